--- a/holdings/holdings.go
+++ b/cacheindex/holdings.go
@@ -1,4 +1,4 @@
-// Package holdings keeps which parts of prompts stand whole in which store.
+// Package cacheindex keeps which parts of prompts stand whole in which store.
 //
 // A store neither checks who reads nor drops anything by itself, so that a read
 // is safe only while the part is known to be whole in the store's present life.
@@ -21,7 +21,7 @@
 //	it knows more than who answers     is told nothing, and keeps what it has
 //	parts are retired                  is told at each change of hosts, for that
 //	                                   is no event of the source
-package holdings
+package cacheindex
 
 import "time"
 
--- a/holdings/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -1,4 +1,4 @@
-package holdings
+package cacheindex
 
 import (
 	"fmt"
--- a/holdings/retire.go
+++ b/cacheindex/retire.go
@@ -1,4 +1,4 @@
-package holdings
+package cacheindex
 
 import "github.com/cespare/xxhash/v2"
 
--- a/holdings/sheet.go
+++ b/cacheindex/sheet.go
@@ -1,4 +1,4 @@
-package holdings
+package cacheindex
 
 // Sheet is a run of records of one source and one salt, as they are sent: what
 // they have in common stands once.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/decision"
 	"github.com/lovagereach/lovagereach/internal/steward"
 	"github.com/lovagereach/lovagereach/outcome"
@@ -113,7 +113,7 @@
 func (r *recorder) Refuse(cause error) { r.ends += "refused"; r.cause = cause }
 
 // kept is a part that stands in the store of the test's configuration.
-var keptPart = holdings.Key{Salt: "m.1", Part: "kept"}
+var keptPart = cacheindex.Key{Salt: "m.1", Part: "kept"}
 
 func testDocument() *catalog.Document {
 	target := func(service string) []catalog.Target { return []catalog.Target{{Service: service, Weight: 1}} }
@@ -148,7 +148,7 @@
 			up("a1", "app"), up("a2", "app"), up("a3", "app"), up("l1", "llm"), up("l2", "llm"),
 		}},
 		States: []steward.ShelfState{{Address: "store:1", Life: 1, Open: true}},
-		Shelves: &holdings.Update{At: holdings.Position{Term: 1, Next: 2}, Sheets: []holdings.Sheet{
+		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: 2}, Sheets: []cacheindex.Sheet{
 			{Address: "store:1", Cleared: true, Life: 1, Salt: keptPart.Salt, Parts: []string{keptPart.Part}, Tokens: []int{9000}, Next: 1},
 		}},
 		Clock: 1000, EntryCount: 1,
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/decision"
 	"github.com/lovagereach/lovagereach/internal/steward"
 	"github.com/lovagereach/lovagereach/placement"
@@ -106,7 +106,7 @@
 	gateways []*Gateway
 	runners  map[string]*modelRunner
 	stores   map[string]*modelStore
-	book     *holdings.Book
+	book     *cacheindex.Book
 	mu       sync.Mutex
 	loads    []map[string]steward.Load
 	seen     map[string]bool
@@ -129,7 +129,7 @@
 	t.Helper()
 	f := &modelFleet{
 		shape: shape, runners: make(map[string]*modelRunner), stores: make(map[string]*modelStore),
-		book: holdings.NewBook(false), seen: make(map[string]bool),
+		book: cacheindex.NewBook(false), seen: make(map[string]bool),
 	}
 	seconds := int(shape.length/time.Second) + 1
 	f.result = fleetResult{
@@ -139,7 +139,7 @@
 	answer := f.describe()
 	f.book.Lead(1)
 	for address := range f.stores {
-		f.book.Write(holdings.Record{Address: address, Cleared: true, Life: 1, Next: 1})
+		f.book.Write(cacheindex.Record{Address: address, Cleared: true, Life: 1, Next: 1})
 	}
 	quiet := log.New(io.Discard)
 	for i := range shape.entries {
@@ -202,7 +202,7 @@
 	}
 	return &steward.WatchAnswer{
 		Term: 1, Document: d, Weights: &steward.WeightsView{Revision: 1}, Roster: view, States: states,
-		Shelves: &holdings.Update{At: holdings.Position{Term: 1, Next: 1}}, Clock: 1000, EntryCount: f.shape.entries,
+		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: 1}}, Clock: 1000, EntryCount: f.shape.entries,
 	}
 }
 
@@ -270,9 +270,9 @@
 	f.mu.Unlock()
 	f.locked(func() {
 		store.next++
-		f.book.Write(holdings.Record{Address: store.address, Change: holdings.Change{Key: holdings.Key{Salt: salt, Part: part.ID}, Tokens: part.Tokens}, Next: store.next})
+		f.book.Write(cacheindex.Record{Address: store.address, Change: cacheindex.Change{Key: cacheindex.Key{Salt: salt, Part: part.ID}, Tokens: part.Tokens}, Next: store.next})
 		for _, g := range f.gateways {
-			delete(g.state.stores[store.address].pending, holdings.Key{Salt: salt, Part: part.ID})
+			delete(g.state.stores[store.address].pending, cacheindex.Key{Salt: salt, Part: part.ID})
 		}
 	})
 }
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/lovagereach/lovagereach/holdings"
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/internal/steward"
 	"github.com/lovagereach/lovagereach/outcome"
 	"github.com/lovagereach/lovagereach/placement"
@@ -85,11 +85,11 @@
 func TestCacheOfAFormerLifeIsNotBelieved(t *testing.T) {
 	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
 	tell(g, 2, 1000)
-	s, key := g.state, holdings.Key{Salt: "m.1", Part: "p"}
-	sheet := holdings.Sheet{Address: "l1:1", Cleared: true, Life: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
+	s, key := g.state, cacheindex.Key{Salt: "m.1", Part: "p"}
+	sheet := cacheindex.Sheet{Address: "l1:1", Cleared: true, Life: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
 	shelves := func(next uint64) {
 		g.Told(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: 1000, States: testAnswer().States,
-			Shelves: &holdings.Update{At: holdings.Position{Term: 1, Next: next}, Sheets: []holdings.Sheet{sheet}}}, time.Now())
+			Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Sheets: []cacheindex.Sheet{sheet}}}, time.Now())
 	}
 	shelves(3)
 	s.recent.note(key, s.members["l1"].life(), time.Now())
@@ -104,7 +104,7 @@
 	if cached, offered := believed(); !cached || !offered {
 		t.Fatalf("before: cached %t, offered %t", cached, offered)
 	}
-	p := &plan{upstream: s.members["l1"], keys: []holdings.Key{key}, send: &Send{Request: promptRequest("/stream/x"),
+	p := &plan{upstream: s.members["l1"], keys: []cacheindex.Key{key}, send: &Send{Request: promptRequest("/stream/x"),
 		Prompt: &PromptSend{Fetch: []FetchFrom{{Address: "l1:1", Tokens: 70}}}}}
 	s.commit(p, time.Now())
 	tell(g, 3, 2000)
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/decision"
 	"github.com/lovagereach/lovagereach/placement"
 )
@@ -62,7 +62,7 @@
 	choice   placement.Choice
 	// candidates is the number of upstreams that the choice was made among.
 	candidates int
-	keys       []holdings.Key
+	keys       []cacheindex.Key
 	// sources are the accounts that the fetches are entered in, part by part.
 	sources []*storeState
 	// fetchMs is the predicted time of the fetches, at the pace that the links
--- a/internal/gateway/recent.go
+++ b/internal/gateway/recent.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lovagereach/lovagereach/holdings"
+	"github.com/lovagereach/lovagereach/cacheindex"
 )
 
 const (
@@ -16,7 +16,7 @@
 
 // recentParts remembers which runner was sent which part last.
 type recentParts struct {
-	last map[holdings.Key]recentPart
+	last map[cacheindex.Key]recentPart
 }
 
 // life is one life of an upstream.
@@ -31,10 +31,10 @@
 }
 
 func newRecentParts() *recentParts {
-	return &recentParts{last: make(map[holdings.Key]recentPart)}
+	return &recentParts{last: make(map[cacheindex.Key]recentPart)}
 }
 
-func (r *recentParts) note(key holdings.Key, runner life, now time.Time) {
+func (r *recentParts) note(key cacheindex.Key, runner life, now time.Time) {
 	if len(r.last) >= maxRecent {
 		r.prune(now)
 	}
@@ -51,7 +51,7 @@
 	}
 }
 
-func (r *recentParts) at(key holdings.Key, runner life, now time.Time) bool {
+func (r *recentParts) at(key cacheindex.Key, runner life, now time.Time) bool {
 	part, known := r.last[key]
 	return known && part.runner == runner && now.Sub(part.at) <= recentFor
 }
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/steward"
 	"github.com/lovagereach/lovagereach/placement"
 )
@@ -14,24 +14,24 @@
 // and, for an isolated team, of that team alone.
 func salt(model string, version uint64, team *catalog.Team) string {
 	if team != nil && team.Isolated {
-		return holdings.Salt(model, version, team.Name)
+		return cacheindex.Salt(model, version, team.Name)
 	}
-	return holdings.Salt(model, version, "")
+	return cacheindex.Salt(model, version, "")
 }
 
 // described is a prompt under one salt.
 type described struct {
 	salt   string
 	prompt placement.Prompt
-	keys   []holdings.Key
+	keys   []cacheindex.Key
 }
 
 func (s *state) describe(prompt *Prompt, salt string, engine *catalog.Engine, candidates []*upstreamState, addresses []string, now time.Time) described {
-	d := described{salt: salt, keys: make([]holdings.Key, len(prompt.Parts))}
+	d := described{salt: salt, keys: make([]cacheindex.Key, len(prompt.Parts))}
 	d.prompt = placement.Prompt{Parts: prompt.Parts, Output: prompt.Output, TokenBytes: engine.TokenBytes, Whole: make([][]int, len(prompt.Parts))}
 	d.prompt.Told = s.cachesTold(candidates)
 	for i, part := range prompt.Parts {
-		d.keys[i] = holdings.Key{Salt: salt, Part: part.ID}
+		d.keys[i] = cacheindex.Key{Salt: salt, Part: part.ID}
 		for index, address := range addresses {
 			if s.book.Whole(address, d.keys[i]) >= part.Tokens {
 				d.prompt.Whole[i] = append(d.prompt.Whole[i], index)
@@ -185,7 +185,7 @@
 
 // isRetired reports whether a part is about to be freed somewhere: kept again
 // there, it would be freed while it is written.
-func (s *state) isRetired(key holdings.Key, addresses []string) bool {
+func (s *state) isRetired(key cacheindex.Key, addresses []string) bool {
 	for _, address := range addresses {
 		if s.book.Retired(address, key) {
 			return true
@@ -194,7 +194,7 @@
 	return false
 }
 
-func (s *state) isPending(key holdings.Key, now time.Time) bool {
+func (s *state) isPending(key cacheindex.Key, now time.Time) bool {
 	for _, store := range s.stores {
 		if save, known := store.pending[key]; known && now.Before(save.until) {
 			return true
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
 	"github.com/lovagereach/lovagereach/estimate"
 	"github.com/lovagereach/lovagereach/evacuation"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/steward"
 	"github.com/lovagereach/lovagereach/quarantine"
 	"github.com/lovagereach/lovagereach/roster"
@@ -80,7 +80,7 @@
 	stores  map[string]*storeState
 	// book holds the shelves. It stood for a moment after shelvesAt, when it was
 	// last complete.
-	book      *holdings.Book
+	book      *cacheindex.Book
 	shelvesAt time.Time
 	term      uint64
 	// laden are the upstreams with work of others under way, or ordered to load weights.
@@ -128,7 +128,7 @@
 	own, others int
 	pace        pace
 	// pending are saves on their way, with the time at which they are given up.
-	pending map[holdings.Key]pendingSave
+	pending map[cacheindex.Key]pendingSave
 }
 
 type pendingSave struct {
@@ -151,7 +151,7 @@
 		engaged:   make(map[string]*upstreamState),
 		serving:   make(map[string][]*upstreamState),
 		stores:    make(map[string]*storeState),
-		book:      holdings.NewBook(false),
+		book:      cacheindex.NewBook(false),
 		recent:    newRecentParts(),
 		budgets:   newBudgets(),
 		allowance: warmup.NewAllowance(time.Now()),
@@ -208,7 +208,7 @@
 func (s *state) store(address string) *storeState {
 	store := s.stores[address]
 	if store == nil {
-		store = &storeState{pending: make(map[holdings.Key]pendingSave)}
+		store = &storeState{pending: make(map[cacheindex.Key]pendingSave)}
 		s.stores[address] = store
 	}
 	return store
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/steward"
 )
 
@@ -116,7 +116,7 @@
 		}
 		pending := s.store(sheet.Address).pending
 		for _, part := range sheet.Parts {
-			delete(pending, holdings.Key{Salt: sheet.Salt, Part: part})
+			delete(pending, cacheindex.Key{Salt: sheet.Salt, Part: part})
 		}
 	}
 	if !s.book.Take(answer.Shelves) {
--- a/internal/gateway/versions_test.go
+++ b/internal/gateway/versions_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/lovagereach/lovagereach/holdings"
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/internal/steward"
 	"github.com/lovagereach/lovagereach/outcome"
 	"github.com/lovagereach/lovagereach/placement"
@@ -148,7 +148,7 @@
 	newer.learn("m", 2)
 	newer.own.Requests = 100
 	shared := placement.Part{ID: "shared", Tokens: 9000}
-	s.recent.note(holdings.Key{Salt: salt("m", 1, nil), Part: shared.ID}, newer.life(), now)
+	s.recent.note(cacheindex.Key{Salt: salt("m", 1, nil), Part: shared.ID}, newer.life(), now)
 	r := request("/stream/x")
 	r.Prompt = prompt(shared, placement.Part{ID: "own", Tokens: 500})
 	admitted, err := g.admit(t.Context(), r)
--- a/internal/steward/behind_test.go
+++ b/internal/steward/behind_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/roster"
 )
 
@@ -19,7 +19,7 @@
 	return o.Events(context.Background(), address, 0, 0)
 }
 
-func (o oneStore) Free(context.Context, string, uint64, []holdings.Key, int64) error { return nil }
+func (o oneStore) Free(context.Context, string, uint64, []cacheindex.Key, int64) error { return nil }
 
 func (o oneStore) Events(_ context.Context, address string, since uint64, wait time.Duration) (StoreEvents, error) {
 	if address != o.address {
@@ -56,10 +56,10 @@
 		{Name: "store2", Store: &catalog.Store{Address: "store:2", CapacityTokens: 1000000}},
 	}})
 	s.machine.lives["store:1"], s.machine.lives["store:2"] = 1, 1
-	change := func(part string) []holdings.Change {
-		return []holdings.Change{{Key: holdings.Key{Salt: "m.2", Part: part}, Tokens: 5000}}
+	change := func(part string) []cacheindex.Change {
+		return []cacheindex.Change{{Key: cacheindex.Key{Salt: "m.2", Part: part}, Tokens: 5000}}
 	}
-	follow := func(book *holdings.Book, from *sharedBook) {
+	follow := func(book *cacheindex.Book, from *sharedBook) {
 		for range 20 {
 			question := book.Ask()
 			if update, _ := from.answer(&question); update != nil {
@@ -74,7 +74,7 @@
 	former.replace("a:1", StoreEvents{Life: 1, Next: 100, Changes: change("q")})
 	follow(s.book.book, former)
 	former.add(dead, StoreEvents{Life: 1, Next: 120, Changes: change("r")})
-	entry := holdings.NewBook(false)
+	entry := cacheindex.NewBook(false)
 	follow(entry, former)
 	if !entry.Complete() || !s.book.book.Complete() {
 		t.Fatal("the books are not complete before")
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/ident"
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
@@ -19,7 +19,7 @@
 	return &WatchAnswer{
 		Term: term, Leader: "c1", Relaying: true, EntryCount: 20,
 		States: []ShelfState{{Address: "store:1", Life: 1, Open: true}},
-		Shelves: &holdings.Update{At: holdings.Position{Term: term, Next: 2}, Sheets: []holdings.Sheet{
+		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Sheets: []cacheindex.Sheet{
 			{Address: "store:1", Cleared: true, Life: 1, Parts: []string{"p"}, Tokens: []int{9}, Next: 1},
 		}},
 	}
@@ -75,7 +75,7 @@
 	ask := func(at time.Duration, meanwhile func()) *WatchAnswer {
 		time.Sleep(time.Until(asked.Add(at)))
 		request := entryRequest("e1", true)
-		request.Shelves = &holdings.Question{Listed: true}
+		request.Shelves = &cacheindex.Question{Listed: true}
 		answer := &WatchAnswer{}
 		b.fill(request, answer)
 		meanwhile()
@@ -95,7 +95,7 @@
 	// A part of the next records has come, and with it no moment to stand for.
 	part := relayingAnswer(3)
 	part.States[0].Open = false
-	part.Shelves = &holdings.Update{At: holdings.Position{Term: 3, Next: 3}, More: true, Sheets: []holdings.Sheet{
+	part.Shelves = &cacheindex.Update{At: cacheindex.Position{Term: 3, Next: 3}, More: true, Sheets: []cacheindex.Sheet{
 		{Address: "store:1", Parts: []string{"q"}, Tokens: []int{9}, Next: 2},
 	}}
 	b.take(part, asked.Add(80*time.Millisecond), asked.Add(90*time.Millisecond))
--- a/internal/steward/clock_test.go
+++ b/internal/steward/clock_test.go
@@ -6,8 +6,8 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 )
 
 // clockInEvents is a store whose listing does not tell the clock, and which keeps a
@@ -24,11 +24,11 @@
 	return StoreEvents{Life: 1, Next: since, Clock: 1000}, nil
 }
 
-func (clockInEvents) Free(context.Context, string, uint64, []holdings.Key, int64) error { return nil }
+func (clockInEvents) Free(context.Context, string, uint64, []cacheindex.Key, int64) error { return nil }
 
 // toldOpen reports whether an entry that asks now is told that the store is open.
 func toldOpen(b *sharedBook) bool {
-	_, _, states := b.answerWithStates(&holdings.Question{}, []string{"store:1"}, time.Now())
+	_, _, states := b.answerWithStates(&cacheindex.Question{}, []string{"store:1"}, time.Now())
 	return states[0].Open
 }
 
--- a/internal/steward/fleet_test.go
+++ b/internal/steward/fleet_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/ident"
 	"github.com/lovagereach/lovagereach/internal/adapter/disk"
 	"github.com/lovagereach/lovagereach/internal/adapter/disk/disktest"
@@ -26,7 +26,7 @@
 type fakeStores struct {
 	mu     sync.Mutex
 	life   uint64
-	events []holdings.Change
+	events []cacheindex.Change
 	down   bool
 	freed  []freedPart
 	// page bounds the events of one answer, 0 for no bound.
@@ -64,14 +64,14 @@
 	return StoreEvents{Life: f.life, Next: end, Changes: slices.Clone(f.events[since:end]), Clock: 5000}, nil
 }
 
-func (f *fakeStores) Free(_ context.Context, address string, life uint64, parts []holdings.Key, until int64) error {
+func (f *fakeStores) Free(_ context.Context, address string, life uint64, parts []cacheindex.Key, until int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down || life != f.life {
 		return errors.New("another life")
 	}
 	for _, part := range parts {
-		f.events = append(f.events, holdings.Change{Key: part})
+		f.events = append(f.events, cacheindex.Change{Key: part})
 		f.freed = append(f.freed, freedPart{key: part, at: time.Now(), until: until})
 	}
 	return nil
@@ -79,12 +79,12 @@
 
 // freedPart is a part that was freed, with the bound of the order.
 type freedPart struct {
-	key   holdings.Key
+	key   cacheindex.Key
 	at    time.Time
 	until int64
 }
 
-func (f *fakeStores) add(c holdings.Change) {
+func (f *fakeStores) add(c cacheindex.Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events = append(f.events, c)
--- a/internal/steward/lives_test.go
+++ b/internal/steward/lives_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/lovagereach/lovagereach/holdings"
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/internal/wire"
 	"github.com/lovagereach/lovagereach/roster"
 )
@@ -117,7 +117,7 @@
 	f.put(1, "one")
 	var lead *Steward
 	f.await("a leader", func() bool { lead = f.leader(); return lead != nil })
-	part := holdings.Change{Key: holdings.Key{Salt: "m.1", Part: "p"}, Tokens: runnerLeast}
+	part := cacheindex.Change{Key: cacheindex.Key{Salt: "m.1", Part: "p"}, Tokens: runnerLeast}
 	f.stores.add(part)
 	u := runner(1000, 7, 1)
 	f.announce(lead, u)
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
 	"github.com/lovagereach/lovagereach/evacuation"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/port"
 	"github.com/lovagereach/lovagereach/quarantine"
 	"github.com/lovagereach/lovagereach/roster"
@@ -60,8 +60,8 @@
 	Weights  uint64          `cbor:"3,keyasint"`
 	Roster   uint64          `cbor:"4,keyasint"`
 	// Shelves asks for what the caller lacks of the shelves, nil for nothing.
-	Shelves *holdings.Question `cbor:"5,keyasint,omitempty"`
-	Loads   []Load             `cbor:"6,keyasint,omitempty"`
+	Shelves *cacheindex.Question `cbor:"5,keyasint,omitempty"`
+	Loads   []Load               `cbor:"6,keyasint,omitempty"`
 	// Term is that of the answer before, zero for the first call.
 	Term uint64 `cbor:"7,keyasint"`
 	// Relay tells that the caller is a control host that answers watches itself,
@@ -171,8 +171,8 @@
 	Loading []string `cbor:"16,keyasint,omitempty"`
 	// Shelves is what the caller lacked of the shelves, and States which stores
 	// may be used once the shelves are complete.
-	Shelves *holdings.Update `cbor:"9,keyasint,omitempty"`
-	States  []ShelfState     `cbor:"11,keyasint,omitempty"`
+	Shelves *cacheindex.Update `cbor:"9,keyasint,omitempty"`
+	States  []ShelfState       `cbor:"11,keyasint,omitempty"`
 	// Clock is the upstreams' clock in milliseconds, at the earliest; zero
 	// while unknown.
 	Clock int64 `cbor:"13,keyasint,omitempty"`
--- a/internal/steward/options.go
+++ b/internal/steward/options.go
@@ -8,7 +8,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/rotisserie/eris"
 
-	"github.com/lovagereach/lovagereach/holdings"
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/ident"
 	"github.com/lovagereach/lovagereach/internal/adapter/disk"
 )
@@ -21,7 +21,7 @@
 	Next uint64
 	// Lost tells that earlier events are no longer held.
 	Lost    bool
-	Changes []holdings.Change
+	Changes []cacheindex.Change
 	// Clock is the upstreams' clock in milliseconds, zero when not told.
 	Clock int64
 }
@@ -40,7 +40,7 @@
 	List(ctx context.Context, address string) (StoreEvents, error)
 	// Free frees parts of a store in one life of it. It changes nothing once the
 	// upstreams' clock shows more than until, in milliseconds.
-	Free(ctx context.Context, address string, life uint64, parts []holdings.Key, until int64) error
+	Free(ctx context.Context, address string, life uint64, parts []cacheindex.Key, until int64) error
 	// Events returns what changed since, waiting up to wait for something.
 	Events(ctx context.Context, address string, since uint64, wait time.Duration) (StoreEvents, error)
 }
--- a/internal/steward/relaying_test.go
+++ b/internal/steward/relaying_test.go
@@ -10,15 +10,15 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/ident"
 )
 
 // followingEntry is an entry's side of the watches, on a real connection.
 type followingEntry struct {
 	mu       sync.Mutex
-	book     *holdings.Book
+	book     *cacheindex.Book
 	document catalog.Version
 	parts    int
 	complete bool
@@ -33,7 +33,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	e := &followingEntry{book: holdings.NewBook(false)}
+	e := &followingEntry{book: cacheindex.NewBook(false)}
 	go follower.Run(ctx, func() *WatchRequest {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -70,7 +70,7 @@
 func TestManyEntriesAreAnsweredByAllControlHosts(t *testing.T) {
 	f := newFleet(t)
 	f.startThree()
-	f.stores.add(holdings.Change{Key: holdings.Key{Salt: "s", Part: "p0"}, Tokens: 10})
+	f.stores.add(cacheindex.Change{Key: cacheindex.Key{Salt: "s", Part: "p0"}, Tokens: 10})
 	f.put(1, "one")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -96,12 +96,12 @@
 	}
 	f.await("all entries are told everything", all(func(e *followingEntry) bool { return e.holds(1, 1) }))
 	f.await("no entry asks the leader", all(throughOthers))
-	f.stores.add(holdings.Change{Key: holdings.Key{Salt: "s", Part: "p1"}, Tokens: 10})
+	f.stores.add(cacheindex.Change{Key: cacheindex.Key{Salt: "s", Part: "p1"}, Tokens: 10})
 	f.put(2, "two")
 	f.await("news reach all entries", all(func(e *followingEntry) bool { return e.holds(2, 2) }))
 	lost := f.leader()
 	f.kill(lost.options.Self)
-	f.stores.add(holdings.Change{Key: holdings.Key{Salt: "s", Part: "p2"}, Tokens: 10})
+	f.stores.add(cacheindex.Change{Key: cacheindex.Key{Salt: "s", Part: "p2"}, Tokens: 10})
 	f.put(3, "three")
 	f.await("news reach all entries after the leader was lost", all(func(e *followingEntry) bool { return e.holds(3, 3) }))
 	f.await("every control host lists the entries", func() bool {
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/ident"
 )
 
@@ -22,15 +22,15 @@
 	s.machine.applyDocument(&catalog.Document{Version: 1, Source: []byte("x"), Services: []catalog.Service{
 		{Name: "store", Store: &catalog.Store{Address: "store:1", CapacityTokens: 1000000}},
 	}})
-	s.book.replace("store:1", StoreEvents{Life: 1, Next: 5, Changes: []holdings.Change{
-		{Key: holdings.Key{Salt: "m.2", Part: "p"}, Tokens: 5000},
+	s.book.replace("store:1", StoreEvents{Life: 1, Next: 5, Changes: []cacheindex.Change{
+		{Key: cacheindex.Key{Salt: "m.2", Part: "p"}, Tokens: 5000},
 	}})
 	s.leading.Store(l)
 	return l
 }
 
 // askOf is the question of an entry that was told of others before.
-func askOf(entry string, others int, held holdings.Question) *WatchRequest {
+func askOf(entry string, others int, held cacheindex.Question) *WatchRequest {
 	return &WatchRequest{Entry: &EntryView{Host: entry, Ready: true}, Shelves: &held, Entries: others}
 }
 
@@ -42,7 +42,7 @@
 func TestTheFirstEntriesAfterARestartOfAllAreNotTakenForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
-		everything := holdings.Question{Listed: true}
+		everything := cacheindex.Question{Listed: true}
 		for i := range 10 {
 			name := fmt.Sprint("e", i)
 			answer := l.steward.watch(t.Context(), entryPeer(name), askOf(name, 64, everything))
@@ -68,7 +68,7 @@
 func TestEntriesThatFoundAllRelaysSilentAreNotToldTheShelvesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
-		request := askOf("e1", 64, holdings.Question{Listed: true})
+		request := askOf("e1", 64, cacheindex.Question{Listed: true})
 		request.Direct = true
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Shelves != nil || answer.Document == nil {
 			t.Fatalf("told %+v", answer)
@@ -91,10 +91,10 @@
 		time.Sleep(relaysWithin)
 		now := time.Now()
 		for i := range entriesAlone + 1 {
-			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, holdings.Question{}), now)
+			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, cacheindex.Question{}), now)
 		}
 		l.follow(controlPeer("c2"), &WatchRequest{Relay: true}, now)
-		request := askOf("e1", 64, holdings.Question{Listed: true})
+		request := askOf("e1", 64, cacheindex.Question{Listed: true})
 		request.Overdue = true
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Shelves != nil || answer.Document == nil {
 			t.Fatalf("told %+v", answer)
@@ -112,7 +112,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, others := range []int{0, 1, entriesAlone} {
 			l := restartedLeader()
-			answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", others, holdings.Question{Listed: true}))
+			answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", others, cacheindex.Question{Listed: true}))
 			if answer.Shelves == nil || len(answer.Shelves.Sheets) == 0 || answer.Relaying {
 				t.Errorf("with %d entries before: shelves %v, relaying %v", others, answer.Shelves, answer.Relaying)
 			}
@@ -126,15 +126,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
 		for i := range entriesAlone + 1 {
-			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, holdings.Question{}), time.Now())
+			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, cacheindex.Question{}), time.Now())
 		}
-		request := askOf("e1", 64, holdings.Question{Listed: true})
+		request := askOf("e1", 64, cacheindex.Question{Listed: true})
 		request.Document, request.Weights, request.Roster = 1, 99, 99
 		request.Term = l.elected
 		go func() {
 			time.Sleep(30 * time.Millisecond)
-			l.steward.book.add("store:1", StoreEvents{Life: 1, Next: 6, Changes: []holdings.Change{
-				{Key: holdings.Key{Salt: "m.2", Part: "q"}, Tokens: 5000},
+			l.steward.book.add("store:1", StoreEvents{Life: 1, Next: 6, Changes: []cacheindex.Change{
+				{Key: cacheindex.Key{Salt: "m.2", Part: "q"}, Tokens: 5000},
 			}})
 		}()
 		asked := time.Now()
@@ -175,7 +175,9 @@
 	return a.List(ctx, address)
 }
 
-func (a *askedSources) Free(context.Context, string, uint64, []holdings.Key, int64) error { return nil }
+func (a *askedSources) Free(context.Context, string, uint64, []cacheindex.Key, int64) error {
+	return nil
+}
 
 // Callers get no answer after a restart of all control hosts of a large fleet: before
 // the first entry calls, the new leader takes the fleet for a small one and reads what
@@ -194,7 +196,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.shelves.run(ctx)
 			time.Sleep(100 * time.Millisecond)
-			l.steward.watch(ctx, entryPeer("e1"), askOf("e1", entries, holdings.Question{Listed: true}))
+			l.steward.watch(ctx, entryPeer("e1"), askOf("e1", entries, cacheindex.Question{Listed: true}))
 			time.Sleep(700 * time.Millisecond)
 			sources.mu.Lock()
 			if small := entries <= cacheWatchers; (sources.asked["a:1"] > 0) != small || sources.asked["store:1"] == 0 {
@@ -232,7 +234,7 @@
 					for ; time.Since(began) < relaysWithin+time.Second; time.Sleep(watchWait) {
 						// Those that were answered tell how many they were told of.
 						sent := time.Now()
-						request := askOf(name, 0, holdings.Question{Listed: true})
+						request := askOf(name, 0, cacheindex.Question{Listed: true})
 						follower.describe(request, "c1", sent)
 						if answer := l.steward.watch(ctx, entryPeer(name), request); !answer.Elsewhere {
 							follower.take(&watched{answer: *answer, sent: sent}, func(*WatchAnswer, time.Time) {})
--- a/internal/steward/retire.go
+++ b/internal/steward/retire.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/wait"
 	"github.com/lovagereach/lovagereach/quorum"
 	"github.com/lovagereach/lovagereach/roster"
@@ -39,13 +39,13 @@
 type retirer struct {
 	leadership *leadership
 	// since is when each part was retired, by store.
-	since map[string]map[holdings.Key]time.Time
+	since map[string]map[cacheindex.Key]time.Time
 	// linger is how much longer than usual fetches last that an entry has permitted.
 	linger time.Duration
 }
 
 func newRetirer(l *leadership) *retirer {
-	return &retirer{leadership: l, since: make(map[string]map[holdings.Key]time.Time)}
+	return &retirer{leadership: l, since: make(map[string]map[cacheindex.Key]time.Time)}
 }
 
 func (o *retirer) run(ctx context.Context) {
@@ -103,7 +103,7 @@
 	if float64(used) < retireFrom*float64(store.CapacityTokens) {
 		return
 	}
-	outdated := holdings.Outdated(parts, passed)
+	outdated := cacheindex.Outdated(parts, passed)
 	s.book.retire(store.Address, outdated)
 	for _, part := range outdated {
 		o.since[store.Address][part.Key] = now
@@ -115,9 +115,9 @@
 
 // due returns the retired parts of a store that may be freed, and forgets those
 // that are gone. Parts that a leader before retired wait as long as others.
-func (o *retirer) due(address string, parts []holdings.Change, now time.Time) []holdings.Key {
-	since := make(map[holdings.Key]time.Time)
-	var due []holdings.Key
+func (o *retirer) due(address string, parts []cacheindex.Change, now time.Time) []cacheindex.Key {
+	since := make(map[cacheindex.Key]time.Time)
+	var due []cacheindex.Key
 	for _, part := range parts {
 		if part.Tokens > 0 {
 			continue
@@ -137,7 +137,7 @@
 
 // free orders a store to free parts, if this host leads for certain. A commit
 // proves it: those who confirmed it elect nobody else for electionMin.
-func (o *retirer) free(ctx context.Context, address string, life uint64, parts []holdings.Key) {
+func (o *retirer) free(ctx context.Context, address string, life uint64, parts []cacheindex.Key) {
 	s := o.leadership.steward
 	began := time.Now()
 	clock := o.leadership.shelves.clock(began)
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/lovagereach/lovagereach/holdings"
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/roster"
 )
 
@@ -29,16 +29,16 @@
 	if passed("other", 1) != 0 {
 		t.Error("parts of a model without runners count as outdated")
 	}
-	var parts []holdings.Change
+	var parts []cacheindex.Change
 	for i := range 1000 {
-		parts = append(parts, holdings.Change{Key: holdings.Key{Salt: holdings.Salt("m.x", 2, "team"), Part: fmt.Sprint(i)}, Tokens: 5})
+		parts = append(parts, cacheindex.Change{Key: cacheindex.Key{Salt: cacheindex.Salt("m.x", 2, "team"), Part: fmt.Sprint(i)}, Tokens: 5})
 	}
-	parts = append(parts, holdings.Change{Key: holdings.Key{Salt: "strange", Part: "x"}, Tokens: 5})
-	first := holdings.Outdated(parts, passed)
+	parts = append(parts, cacheindex.Change{Key: cacheindex.Key{Salt: "strange", Part: "x"}, Tokens: 5})
+	first := cacheindex.Outdated(parts, passed)
 	if len(first) < 200 || len(first) > 300 {
 		t.Fatalf("%d of 1000 parts with a quarter of the runners gone on", len(first))
 	}
-	again := holdings.Outdated(parts, func(string, uint64) float64 { return 0.5 })
+	again := cacheindex.Outdated(parts, func(string, uint64) float64 { return 0.5 })
 	chosen := make(map[string]bool)
 	for _, part := range again {
 		chosen[part.Key.Part] = true
@@ -55,10 +55,10 @@
 func TestFormerWeightsAreFreed(t *testing.T) {
 	f := newFleet(t)
 	f.startThree()
-	old := holdings.Key{Salt: holdings.Salt("m", 1, ""), Part: "old"}
-	fresh := holdings.Key{Salt: holdings.Salt("m", 2, ""), Part: "fresh"}
-	f.stores.add(holdings.Change{Key: old, Tokens: 90})
-	f.stores.add(holdings.Change{Key: fresh, Tokens: 5})
+	old := cacheindex.Key{Salt: cacheindex.Salt("m", 1, ""), Part: "old"}
+	fresh := cacheindex.Key{Salt: cacheindex.Salt("m", 2, ""), Part: "fresh"}
+	f.stores.add(cacheindex.Change{Key: old, Tokens: 90})
+	f.stores.add(cacheindex.Change{Key: fresh, Tokens: 5})
 	u := roster.Upstream{ID: "r", Service: "llm", Address: "r:1", State: roster.Serving, Sequence: 1, Loaded: []roster.Loaded{{Model: "m", Version: 2}}}
 	d := testDocument(1, "one")
 	d.Services[1].Store.Managed, d.Services[1].Store.CapacityTokens = true, 100
@@ -102,9 +102,9 @@
 
 	// store is the state of the store: parts that are whole or being written.
 	life    uint64
-	whole   map[holdings.Key]bool
-	writing map[holdings.Key]int
-	events  []holdings.Change
+	whole   map[cacheindex.Key]bool
+	writing map[cacheindex.Key]int
+	events  []cacheindex.Change
 	// fetches are those that have begun and not ended.
 	fetches map[*fetch]bool
 
@@ -119,11 +119,11 @@
 	fetched int
 }
 
-type fetch struct{ key holdings.Key }
+type fetch struct{ key cacheindex.Key }
 
 // simHost is a control host; it believes that it leads until it is told.
 type simHost struct {
-	book    *holdings.Book
+	book    *cacheindex.Book
 	leads   bool
 	elected uint64
 	retirer *retirer
@@ -132,7 +132,7 @@
 }
 
 type simEntry struct {
-	book *holdings.Book
+	book *cacheindex.Book
 	at   time.Time
 	term uint64
 	// asking tells that a question is under way; an entry asks one at a time.
@@ -140,7 +140,7 @@
 	// deaf is until when it hears nothing.
 	deaf time.Time
 	// saving are parts on their way to the store.
-	saving map[holdings.Key]time.Time
+	saving map[cacheindex.Key]time.Time
 }
 
 func (w *interleaving) after(d time.Duration, do func()) {
@@ -173,15 +173,15 @@
 // poll brings a leading host's book up to the store.
 func (w *interleaving) poll(h *simHost) {
 	next, known := h.book.Next("s")
-	var records []holdings.Record
+	var records []cacheindex.Record
 	if !known || h.book.Shelf("s").Life() != w.life {
-		records = []holdings.Record{{Address: "s", Cleared: true, Life: w.life}}
+		records = []cacheindex.Record{{Address: "s", Cleared: true, Life: w.life}}
 		for key := range w.whole {
-			records = append(records, holdings.Record{Address: "s", Change: holdings.Change{Key: key, Tokens: 1}})
+			records = append(records, cacheindex.Record{Address: "s", Change: cacheindex.Change{Key: key, Tokens: 1}})
 		}
 	} else {
 		for _, change := range w.events[next:] {
-			records = append(records, holdings.Record{Address: "s", Change: change})
+			records = append(records, cacheindex.Record{Address: "s", Change: change})
 		}
 	}
 	if len(records) > 0 {
@@ -201,15 +201,15 @@
 		life, until := h.book.Shelf("s").Life(), w.now.Add(freeWithin)
 		w.after(w.upTo(2*freeWithin), func() { w.free(due, life, until) })
 	}
-	var records []holdings.Record
-	for _, part := range holdings.Outdated(parts, func(_ string, version uint64) float64 {
+	var records []cacheindex.Record
+	for _, part := range cacheindex.Outdated(parts, func(_ string, version uint64) float64 {
 		if version < w.version {
 			return w.loaded
 		}
 		return 0
 	}) {
 		h.retirer.since["s"][part.Key] = w.now
-		records = append(records, holdings.Record{Address: "s", Change: holdings.Change{Key: part.Key, Tokens: -part.Tokens}})
+		records = append(records, cacheindex.Record{Address: "s", Change: cacheindex.Change{Key: part.Key, Tokens: -part.Tokens}})
 	}
 	if next, known := h.book.Next("s"); known && len(records) > 0 {
 		records[len(records)-1].Next = next
@@ -217,7 +217,7 @@
 	}
 }
 
-func (w *interleaving) free(keys []holdings.Key, life uint64, until time.Time) {
+func (w *interleaving) free(keys []cacheindex.Key, life uint64, until time.Time) {
 	if life != w.life || w.now.After(until) {
 		return
 	}
@@ -229,7 +229,7 @@
 		}
 		if w.whole[key] {
 			delete(w.whole, key)
-			w.events = append(w.events, holdings.Change{Key: key})
+			w.events = append(w.events, cacheindex.Change{Key: key})
 			w.freed++
 		}
 	}
@@ -237,7 +237,7 @@
 
 func (w *interleaving) restart() {
 	w.life++
-	w.whole, w.writing, w.events = make(map[holdings.Key]bool), make(map[holdings.Key]int), nil
+	w.whole, w.writing, w.events = make(map[cacheindex.Key]bool), make(map[cacheindex.Key]int), nil
 	w.fetches = make(map[*fetch]bool)
 }
 
@@ -273,7 +273,7 @@
 
 // use has an entry send a prompt that fetches or keeps a part.
 func (w *interleaving) use(e *simEntry) {
-	key := holdings.Key{Salt: holdings.Salt("m", w.version-uint64(w.r.IntN(2)), ""), Part: fmt.Sprint(w.r.IntN(12))}
+	key := cacheindex.Key{Salt: cacheindex.Salt("m", w.version-uint64(w.r.IntN(2)), ""), Part: fmt.Sprint(w.r.IntN(12))}
 	if w.now.Sub(e.at) >= ShelfTrust || e.book.Mixed() {
 		return
 	}
@@ -301,7 +301,7 @@
 				if writes == w.life {
 					delete(w.writing, key)
 					w.whole[key] = true
-					w.events = append(w.events, holdings.Change{Key: key, Tokens: 1})
+					w.events = append(w.events, cacheindex.Change{Key: key, Tokens: 1})
 				}
 			})
 		})
@@ -371,10 +371,10 @@
 		}
 		w.restart()
 		for range 3 {
-			w.hosts = append(w.hosts, &simHost{book: holdings.NewBook(true)})
+			w.hosts = append(w.hosts, &simHost{book: cacheindex.NewBook(true)})
 		}
 		for i := range w.entries {
-			w.entries[i] = &simEntry{book: holdings.NewBook(false), saving: make(map[holdings.Key]time.Time)}
+			w.entries[i] = &simEntry{book: cacheindex.NewBook(false), saving: make(map[cacheindex.Key]time.Time)}
 		}
 		w.elect(0)
 		w.play(40 * time.Second)
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"github.com/lovagereach/lovagereach/holdings"
+	"github.com/lovagereach/lovagereach/cacheindex"
 )
 
 // sharedBook is this host's book of shelves: written from the sources while it
@@ -12,7 +12,7 @@
 // on from what it holds, so that an election makes nobody read listings again.
 type sharedBook struct {
 	mu   sync.Mutex
-	book *holdings.Book
+	book *cacheindex.Book
 	// leads tells that this host writes the book from the sources. An answer of
 	// a leader before, or of a source to a leadership that ended, comes too late.
 	leads bool
@@ -21,7 +21,7 @@
 }
 
 func newSharedBook() *sharedBook {
-	return &sharedBook{book: holdings.NewBook(true), changed: make(chan struct{})}
+	return &sharedBook{book: cacheindex.NewBook(true), changed: make(chan struct{})}
 }
 
 // notify wakes those who wait for a change. The caller holds the lock.
@@ -37,7 +37,7 @@
 	return b.changed
 }
 
-func (b *sharedBook) ask() *holdings.Question {
+func (b *sharedBook) ask() *cacheindex.Question {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	question := b.book.Ask()
@@ -45,7 +45,7 @@
 }
 
 // take takes in the leader's answer and reports whether the book is complete.
-func (b *sharedBook) take(update *holdings.Update) bool {
+func (b *sharedBook) take(update *cacheindex.Update) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.leads {
@@ -59,7 +59,7 @@
 }
 
 // answer returns what a watcher lacks, and whether that is anything.
-func (b *sharedBook) answer(question *holdings.Question) (*holdings.Update, bool) {
+func (b *sharedBook) answer(question *cacheindex.Question) (*cacheindex.Update, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lacking(question)
@@ -67,7 +67,7 @@
 
 // answerWithStates also tells which of the stores may be used at the moment that
 // the answer stands for.
-func (b *sharedBook) answerWithStates(question *holdings.Question, stores []string, now time.Time) (*holdings.Update, bool, []ShelfState) {
+func (b *sharedBook) answerWithStates(question *cacheindex.Question, stores []string, now time.Time) (*cacheindex.Update, bool, []ShelfState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	update, found := b.lacking(question)
@@ -75,7 +75,7 @@
 }
 
 // lacking is answer for a caller that holds the lock.
-func (b *sharedBook) lacking(question *holdings.Question) (*holdings.Update, bool) {
+func (b *sharedBook) lacking(question *cacheindex.Question) (*cacheindex.Update, bool) {
 	update := b.book.Answer(question)
 	return &update, len(update.Sheets) > 0 || update.Unknown
 }
@@ -144,11 +144,11 @@
 	}
 	shelf := b.book.Shelf(address)
 	if listing.Life == 0 || listing.Life != shelf.Life() {
-		b.write(address, listing.Changes, listing.Next, []holdings.Record{{Address: address, Cleared: true, Life: listing.Life}})
+		b.write(address, listing.Changes, listing.Next, []cacheindex.Record{{Address: address, Cleared: true, Life: listing.Life}})
 		return
 	}
-	listed := make(map[holdings.Key]bool, len(listing.Changes))
-	var differences []holdings.Change
+	listed := make(map[cacheindex.Key]bool, len(listing.Changes))
+	var differences []cacheindex.Change
 	for _, change := range listing.Changes {
 		listed[change.Key] = true
 		if shelf.Whole(change.Key) != change.Tokens && !shelf.Retired(change.Key) {
@@ -157,7 +157,7 @@
 	}
 	for _, held := range shelf.All() {
 		if !listed[held.Key] {
-			differences = append(differences, holdings.Change{Key: held.Key})
+			differences = append(differences, cacheindex.Change{Key: held.Key})
 		}
 	}
 	b.write(address, differences, listing.Next, nil)
@@ -165,15 +165,15 @@
 
 // write adds changes to records and writes them all, up to next. The end of a
 // part that is not held is left out. The caller holds the lock.
-func (b *sharedBook) write(address string, changes []holdings.Change, next uint64, records []holdings.Record) {
+func (b *sharedBook) write(address string, changes []cacheindex.Change, next uint64, records []cacheindex.Record) {
 	shelf := b.book.Shelf(address)
-	told := make(map[holdings.Key]bool)
+	told := make(map[cacheindex.Key]bool)
 	for _, change := range changes {
 		if change.Tokens == 0 && !shelf.Holds(change.Key) && !told[change.Key] {
 			continue
 		}
 		told[change.Key] = true
-		records = append(records, holdings.Record{Address: address, Change: change})
+		records = append(records, cacheindex.Record{Address: address, Change: change})
 	}
 	if len(records) == 0 {
 		b.book.Advance(address, next)
@@ -233,7 +233,7 @@
 
 // list returns the parts of a store with their tokens, and its life; nothing
 // while this host does not lead or the store can't be asked.
-func (b *sharedBook) list(address string) (parts []holdings.Change, life uint64) {
+func (b *sharedBook) list(address string) (parts []cacheindex.Change, life uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	shelf := b.book.Shelf(address)
@@ -244,17 +244,17 @@
 }
 
 // retire marks parts of a store that are about to be freed.
-func (b *sharedBook) retire(address string, parts []holdings.Change) {
+func (b *sharedBook) retire(address string, parts []cacheindex.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next, known := b.book.Next(address)
 	if !b.leads || !known || len(parts) == 0 {
 		return
 	}
-	records := make([]holdings.Record, len(parts))
+	records := make([]cacheindex.Record, len(parts))
 	for i, part := range parts {
 		part.Tokens = -part.Tokens
-		records[i] = holdings.Record{Address: address, Change: part}
+		records[i] = cacheindex.Record{Address: address, Change: part}
 	}
 	records[len(records)-1].Next = next
 	b.book.Write(records...)
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/wait"
 )
 
@@ -183,7 +183,7 @@
 // with: a new leader begins with its oldest events, and an entry that knows later
 // ones would get no answer on any shelf before the leader knows them too.
 func (k *shelves) followRunner(ctx context.Context, address string) {
-	var behind *holdings.Shelf
+	var behind *cacheindex.Shelf
 	var from uint64
 	for wait.For(ctx, runnerPause) {
 		next, life := k.book.place(address)
@@ -204,7 +204,7 @@
 		caughtUp := events.caughtUp()
 		events.Changes = large(events.Changes)
 		if events.Lost || events.Life != life {
-			behind = holdings.NewShelf()
+			behind = cacheindex.NewShelf()
 			behind.Clear(events.Life)
 		}
 		if behind == nil {
@@ -225,7 +225,7 @@
 
 // large leaves out the parts that are read sooner than they are looked up. What
 // became of them is told as their end, in case they were larger before.
-func large(changes []holdings.Change) []holdings.Change {
+func large(changes []cacheindex.Change) []cacheindex.Change {
 	kept := changes[:0]
 	for _, change := range changes {
 		if change.Tokens < runnerLeast {
--- a/internal/steward/stepped_test.go
+++ b/internal/steward/stepped_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
@@ -42,8 +42,8 @@
 			l.steward.machine.applyDocument(&catalog.Document{
 				Version: 1, Routes: []catalog.Route{{Name: "r", Timeout: timeout}}, Services: []catalog.Service{{Name: "store", Store: store}},
 			})
-			old := holdings.Change{Key: holdings.Key{Salt: holdings.Salt("m", 1, ""), Part: "old"}, Tokens: 90}
-			l.steward.book.replace(store.Address, StoreEvents{Life: 1, Next: 1, Changes: []holdings.Change{old}})
+			old := cacheindex.Change{Key: cacheindex.Key{Salt: cacheindex.Salt("m", 1, ""), Part: "old"}, Tokens: 90}
+			l.steward.book.replace(store.Address, StoreEvents{Life: 1, Next: 1, Changes: []cacheindex.Change{old}})
 			l.steward.book.reopen(store.Address, time.Now(), 0)
 			clock := int64(100_000)
 			l.shelves.noteClock(clock)
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/internal/adapter/disk/disktest"
 	"github.com/lovagereach/lovagereach/roster"
 )
@@ -211,9 +211,9 @@
 func TestRestartedStoreIsClosedAtFirst(t *testing.T) {
 	f := newFleet(t)
 	f.startThree()
-	f.stores.add(holdings.Change{Key: holdings.Key{Salt: "s", Part: "p"}, Tokens: 10})
+	f.stores.add(cacheindex.Change{Key: cacheindex.Key{Salt: "s", Part: "p"}, Tokens: 10})
 	f.put(1, "one")
-	request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Shelves: &holdings.Question{Listed: true}}
+	request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Shelves: &cacheindex.Question{Listed: true}}
 	parts := func(a *WatchAnswer) int {
 		n := 0
 		for _, sheet := range a.Shelves.Sheets {
@@ -284,7 +284,7 @@
 	f.startThree()
 	const parts = 1800
 	for i := range parts {
-		f.stores.events = append(f.stores.events, holdings.Change{Key: holdings.Key{Salt: "s", Part: fmt.Sprint(i)}, Tokens: runnerLeast})
+		f.stores.events = append(f.stores.events, cacheindex.Change{Key: cacheindex.Key{Salt: "s", Part: fmt.Sprint(i)}, Tokens: runnerLeast})
 	}
 	f.put(1, "one")
 	f.stores.mu.Lock()
--- a/internal/steward/suspended_test.go
+++ b/internal/steward/suspended_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/lovagereach/lovagereach/holdings"
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/internal/port"
 	"github.com/lovagereach/lovagereach/roster"
 )
@@ -77,7 +77,7 @@
 		l.steward.opened.Store(&replica)
 		for _, past := range []time.Duration{0, 400 * time.Millisecond} {
 			time.Sleep(time.Until(replica.Status().LeaseEnd.Add(past)))
-			request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Direct: true, Shelves: &holdings.Question{}}
+			request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Direct: true, Shelves: &cacheindex.Question{}}
 			answer := l.steward.watch(t.Context(), entryPeer("e1"), request)
 			if answer.Elsewhere || answer.Age != past || answer.Heard != past {
 				t.Errorf("%v past its lease: shelves %v old, the rest %v", past, answer.Age, answer.Heard)
--- a/internal/steward/virtualnet_test.go
+++ b/internal/steward/virtualnet_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/lovagereach/lovagereach/cacheindex"
 	"github.com/lovagereach/lovagereach/catalog"
-	"github.com/lovagereach/lovagereach/holdings"
 	"github.com/lovagereach/lovagereach/ident"
 	"github.com/lovagereach/lovagereach/internal/port"
 	"github.com/lovagereach/lovagereach/internal/wait"
@@ -311,7 +311,7 @@
 	defer e.mu.Unlock()
 	return &WatchRequest{
 		Entry: &EntryView{Host: string(e.host.name), Ready: true}, Document: e.version,
-		Shelves: &holdings.Question{}, Term: e.follower.term,
+		Shelves: &cacheindex.Question{}, Term: e.follower.term,
 	}
 }
 
