--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -29,7 +29,7 @@
 	}
 	s.verdicts = verdicts{
 		revision: view.Revision,
-		held:     make(map[quarantine.Print]bool, len(view.Held)), suspects: make(map[quarantine.Print]bool, len(view.Suspects)),
+		held:     make(map[quarantine.Print]bool, len(view.Quarantined)), suspects: make(map[quarantine.Print]bool, len(view.Suspects)),
 	}
 	var cleared []quarantine.Print
 	take := func(told []quarantine.Print, into map[quarantine.Print]bool) {
@@ -41,7 +41,7 @@
 			into[p] = true
 		}
 	}
-	take(view.Held, s.verdicts.held)
+	take(view.Quarantined, s.verdicts.held)
 	take(view.Suspects, s.verdicts.suspects)
 	s.releaseHeld()
 	g.reports.add(steward.Report{Served: cleared})
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -126,9 +126,9 @@
 // QuarantineView is which requests are to be sent to no upstream, and of which further
 // ones one more end decides.
 type QuarantineView struct {
-	Revision uint64             `cbor:"1,keyasint"`
-	Held     []quarantine.Print `cbor:"2,keyasint,omitempty"`
-	Suspects []quarantine.Print `cbor:"3,keyasint,omitempty"`
+	Revision    uint64             `cbor:"1,keyasint"`
+	Quarantined []quarantine.Print `cbor:"2,keyasint,omitempty"`
+	Suspects    []quarantine.Print `cbor:"3,keyasint,omitempty"`
 }
 
 // Report is what an entry has seen of requests that end upstreams.
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -53,7 +53,7 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if answer.Quarantine != nil {
-			e.revision, e.held = answer.Quarantine.Revision, answer.Quarantine.Held
+			e.revision, e.held = answer.Quarantine.Revision, answer.Quarantine.Quarantined
 		}
 		if answer.Document != nil && !e.document {
 			e.document, e.blind = true, answer.Quarantine == nil
