--- a/internal/adapter/callers/errors.go
+++ b/internal/adapter/callers/errors.go
@@ -50,9 +50,9 @@
 	outcome.ReasonKeyExpired:   {http.StatusConflict, typeConflict},
 	outcome.ReasonTeamLimit:    {http.StatusTooManyRequests, typeRate},
 	// No promise that it has not run; callers repeat nothing after this status.
-	outcome.ReasonEndsUpstreams: {http.StatusBadRequest, typeInvalid},
-	outcome.ReasonTimeout:       {http.StatusGatewayTimeout, typeServer},
-	outcome.ReasonDeadline:      {http.StatusServiceUnavailable, typeServer},
+	outcome.ReasonCrashesUpstreams: {http.StatusBadRequest, typeInvalid},
+	outcome.ReasonTimeout:          {http.StatusGatewayTimeout, typeServer},
+	outcome.ReasonDeadline:         {http.StatusServiceUnavailable, typeServer},
 }
 
 // describe turns an error into a status and the body's detail.
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -146,7 +146,7 @@
 
 func isHeld(err error) bool {
 	var unknown *outcome.Unknown
-	return errors.As(err, &unknown) && unknown.Reason == outcome.ReasonEndsUpstreams
+	return errors.As(err, &unknown) && unknown.Reason == outcome.ReasonCrashesUpstreams
 }
 
 // The first messages about ends are lost, and a third entry starts long after they were
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -106,7 +106,7 @@
 	m.sends.Add(sends)
 	m.again.Add(max(sends-1, 0))
 	var unknown *outcome.Unknown
-	if errors.As(cause, &unknown) && unknown.Reason == outcome.ReasonEndsUpstreams {
+	if errors.As(cause, &unknown) && unknown.Reason == outcome.ReasonCrashesUpstreams {
 		m.held.Inc()
 	}
 	var refused *outcome.NotRun
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -47,7 +47,7 @@
 	for name, r := range map[string]*Request{"the request": withBody("/resume/x", "bad"), "its resumed stream": resumed} {
 		rec := serve(g, r)
 		var unknown *outcome.Unknown
-		if rec.ends != "refused" || !errors.As(rec.cause, &unknown) || unknown.Reason != outcome.ReasonEndsUpstreams {
+		if rec.ends != "refused" || !errors.As(rec.cause, &unknown) || unknown.Reason != outcome.ReasonCrashesUpstreams {
 			t.Errorf("%s ends %q with %v", name, rec.ends, rec.cause)
 		}
 	}
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -83,9 +83,9 @@
 	ReasonUpstreamError    Reason = "upstream-error"
 	ReasonLeavingUpstream  Reason = "upstream-leaving"
 	ReasonRetriesExhausted Reason = "retries-exhausted"
-	// ReasonEndsUpstreams: earlier attempts of the same request ended the upstreams
+	// ReasonCrashesUpstreams: earlier attempts of the same request ended the upstreams
 	// that ran them; nothing was sent now.
-	ReasonEndsUpstreams Reason = "ends-upstreams"
+	ReasonCrashesUpstreams Reason = "ends-upstreams"
 )
 
 // NotRun states that no byte of a request can have reached an upstream that
