--- a/audit/batch.go
+++ b/audit/batch.go
@@ -38,10 +38,10 @@
 type BatchStatus struct {
 	Declaration
 	State BatchState `cbor:"5,keyasint" json:"state"`
-	// Settled counts items that are done or failed by the upstream; Open
+	// Resolved counts items that are done or failed by the upstream; Open
 	// counts items accepted without an outcome; Unsettled counts items whose
 	// last outcome is not-run or unknown; Missing counts items never seen.
-	Settled   int `cbor:"6,keyasint" json:"settled"`
+	Resolved  int `cbor:"6,keyasint" json:"settled"`
 	Open      int `cbor:"7,keyasint" json:"open"`
 	Unsettled int `cbor:"8,keyasint" json:"unsettled"`
 	Missing   int `cbor:"9,keyasint" json:"missing"`
@@ -147,7 +147,7 @@
 
 func (b *batch) status(now time.Time) BatchStatus {
 	s := BatchStatus{Declaration: b.declaration, State: BatchOpen}
-	s.Settled = b.counts[itemSettled]
+	s.Resolved = b.counts[itemSettled]
 	s.Open = b.counts[itemOpen]
 	s.Unsettled = b.counts[itemUnsettled]
 	s.Missing = max(0, s.Expected-len(b.items))
