--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -165,7 +165,7 @@
 		Close: []TracedClosing{{Request: ident.Request{1}, Closing: closing(outcome.KindDone)}},
 	})
 	r.send(TraceCommand{Close: []TracedClosing{{Request: ident.Request{2}, Closing: closing(outcome.KindNotRun)}}})
-	if s := r.status(testNow); s.State != BatchOpen || s.Resolved != 1 || s.Unsettled != 1 || s.Missing != 1 {
+	if s := r.status(testNow); s.State != BatchOpen || s.Resolved != 1 || s.Unresolved != 1 || s.Missing != 1 {
 		t.Errorf("status %+v", s)
 	}
 	if got := r.trace.Query(late, Query{Open: true}).Batches; len(got) != 1 || got[0].State != BatchOverdue {
--- a/audit/batch.go
+++ b/audit/batch.go
@@ -41,10 +41,10 @@
 	// Resolved counts items that are done or failed by the upstream; Open
 	// counts items accepted without an outcome; Unsettled counts items whose
 	// last outcome is not-run or unknown; Missing counts items never seen.
-	Resolved  int `cbor:"6,keyasint" json:"settled"`
-	Open      int `cbor:"7,keyasint" json:"open"`
-	Unsettled int `cbor:"8,keyasint" json:"unsettled"`
-	Missing   int `cbor:"9,keyasint" json:"missing"`
+	Resolved   int `cbor:"6,keyasint" json:"settled"`
+	Open       int `cbor:"7,keyasint" json:"open"`
+	Unresolved int `cbor:"8,keyasint" json:"unsettled"`
+	Missing    int `cbor:"9,keyasint" json:"missing"`
 }
 
 // itemState is where one item of a batch stands.
@@ -149,10 +149,10 @@
 	s := BatchStatus{Declaration: b.declaration, State: BatchOpen}
 	s.Resolved = b.counts[itemSettled]
 	s.Open = b.counts[itemOpen]
-	s.Unsettled = b.counts[itemUnsettled]
+	s.Unresolved = b.counts[itemUnsettled]
 	s.Missing = max(0, s.Expected-len(b.items))
 	switch {
-	case s.Missing == 0 && s.Open == 0 && s.Unsettled == 0:
+	case s.Missing == 0 && s.Open == 0 && s.Unresolved == 0:
 		s.State = BatchComplete
 	case now.After(s.Deadline):
 		s.State = BatchOverdue
