--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -63,8 +63,8 @@
 // Update answers a Question.
 type Update struct {
 	// At is the reader's position after Sheets.
-	At     Position `cbor:"1,keyasint"`
-	Sheets []Sheet  `cbor:"2,keyasint,omitempty"`
+	At      Position `cbor:"1,keyasint"`
+	Batches []Sheet  `cbor:"2,keyasint,omitempty"`
 	// Unknown tells that the position asked for means nothing here; the next
 	// question must be Listed.
 	Unknown bool `cbor:"3,keyasint,omitempty"`
@@ -263,12 +263,12 @@
 // Take takes in the answer to a question of this book and reports whether the
 // book now stands for a moment of the leader's.
 func (b *Book) Take(u *Update) bool {
-	for _, record := range unfold(u.Sheets) {
+	for _, record := range unfold(u.Batches) {
 		b.apply(record)
 		b.log(record)
 	}
 	b.trim()
-	b.touched = b.touched || len(u.Sheets) > 0
+	b.touched = b.touched || len(u.Batches) > 0
 	if u.Unknown {
 		b.at, b.complete = Position{}, false
 		return false
@@ -313,7 +313,7 @@
 	records := b.journal[uint64(len(b.journal))-lacks:]
 	records = records[:b.pageEnd(records)]
 	end := Position{Term: b.at.Term, Next: q.At.Next + uint64(len(records))}
-	return Update{At: end, Sheets: fold(records), More: end != b.at}
+	return Update{At: end, Batches: fold(records), More: end != b.at}
 }
 
 // pageEnd is the end of the batch with which a page is full. A reader that has
@@ -345,12 +345,12 @@
 	}
 	for _, address := range b.Addresses() {
 		if told >= b.paged {
-			return Update{Sheets: sheets, More: true}
+			return Update{Batches: sheets, More: true}
 		}
 		h, holds := known[address]
 		switch p := b.shelves[address]; {
 		case holds && h.Life == p.shelf.Life() && h.Next > p.next:
-			return Update{Sheets: sheets, More: true}
+			return Update{Batches: sheets, More: true}
 		case holds && h.Life == p.shelf.Life() && h.Next >= b.floors[address] && h.Next > 0:
 			tell(b.since(address, h.Next))
 			// Told at each question, and so not counted: a reader would come to the
@@ -365,9 +365,9 @@
 	}
 	if behind {
 		// What came after the listings is told when the reader asks with them.
-		return Update{Sheets: sheets, More: true}
+		return Update{Batches: sheets, More: true}
 	}
-	return Update{At: b.at, Sheets: sheets}
+	return Update{At: b.at, Batches: sheets}
 }
 
 // list makes the listing of a shelf anew unless the one at hand can be told: it is of
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -187,8 +187,8 @@
 	}
 	question = entry.Ask()
 	update := second.Answer(&question)
-	if len(unfold(update.Sheets)) != 1 || !entry.Take(&update) || entry.Shelf("a").Whole(Key{Part: "new"}) != 1 {
-		t.Fatalf("told %d records", len(unfold(update.Sheets)))
+	if len(unfold(update.Batches)) != 1 || !entry.Take(&update) || entry.Shelf("a").Whole(Key{Part: "new"}) != 1 {
+		t.Fatalf("told %d records", len(unfold(update.Batches)))
 	}
 }
 
@@ -207,8 +207,8 @@
 	for pages := 1; ; pages++ {
 		question := entry.Ask()
 		update := book.Answer(&question)
-		if len(unfold(update.Sheets)) > PageRecords+1501 {
-			t.Fatalf("a page of %d records", len(unfold(update.Sheets)))
+		if len(unfold(update.Batches)) > PageRecords+1501 {
+			t.Fatalf("a page of %d records", len(unfold(update.Batches)))
 		}
 		if entry.Take(&update) {
 			break
@@ -304,8 +304,8 @@
 	if got := allocated(func() { book.Answer(&question) }); got > 32<<10 {
 		t.Errorf("telling one part takes %d bytes", got)
 	}
-	if update := book.Answer(&question); len(unfold(update.Sheets)) != 1 || update.More {
-		t.Errorf("told %d records", len(unfold(update.Sheets)))
+	if update := book.Answer(&question); len(unfold(update.Batches)) != 1 || update.More {
+		t.Errorf("told %d records", len(unfold(update.Batches)))
 	}
 }
 
@@ -318,8 +318,8 @@
 	for _, held := range [][]Held{nil, {{Address: "store0", Life: 7, Next: 4990}, {Address: "store1", Life: 7, Next: 4990}}} {
 		question.Held = held
 		update := book.Answer(&question)
-		if len(unfold(update.Sheets)) != 2*901 || len(update.Sheets) > 2*3 {
-			t.Errorf("%d records in %d sheets to a reader with %v", len(unfold(update.Sheets)), len(update.Sheets), held)
+		if len(unfold(update.Batches)) != 2*901 || len(update.Batches) > 2*3 {
+			t.Errorf("%d records in %d sheets to a reader with %v", len(unfold(update.Batches)), len(update.Batches), held)
 		}
 	}
 }
--- a/cacheindex/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -40,9 +40,9 @@
 			}
 			q := r.Ask()
 			u := w.Answer(&q)
-			for i := range u.Sheets {
-				if u.Sheets[i].Cleared && len(u.Sheets[i].Parts) > 0 {
-					made[&u.Sheets[i].Parts[0]] = true
+			for i := range u.Batches {
+				if u.Batches[i].Cleared && len(u.Batches[i].Parts) > 0 {
+					made[&u.Batches[i].Parts[0]] = true
 				}
 			}
 			if r.Take(&u) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -275,7 +275,7 @@
 		t.Fatalf("an isolated team fetches what others made: %+v", walled.Fetch)
 	}
 	swapped := testAnswer()
-	swapped.Document, swapped.Shelves.Sheets = nil, nil
+	swapped.Document, swapped.Shelves.Batches = nil, nil
 	swapped.Roster.Revision = 2
 	for i := range swapped.Roster.Upstreams {
 		swapped.Roster.Upstreams[i].Loaded = []roster.Loaded{{Model: "m", Version: 2}}
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -89,7 +89,7 @@
 	sheet := cacheindex.Sheet{Address: "l1:1", Cleared: true, Life: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
 	shelves := func(next uint64) {
 		g.Told(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: 1000, States: testAnswer().States,
-			Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Sheets: []cacheindex.Sheet{sheet}}}, time.Now())
+			Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Batches: []cacheindex.Sheet{sheet}}}, time.Now())
 	}
 	shelves(3)
 	s.recent.note(key, s.members["l1"].life(), time.Now())
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -109,8 +109,8 @@
 	if answer.Shelves == nil {
 		return
 	}
-	for i := range answer.Shelves.Sheets {
-		sheet := &answer.Shelves.Sheets[i]
+	for i := range answer.Shelves.Batches {
+		sheet := &answer.Shelves.Batches[i]
 		if sheet.Cleared {
 			s.list(sheet.Address)
 		}
--- a/internal/steward/meter.go
+++ b/internal/steward/meter.go
@@ -108,8 +108,8 @@
 	if answer.Shelves == nil {
 		return
 	}
-	for i := range answer.Shelves.Sheets {
-		m.told.Add(len(answer.Shelves.Sheets[i].Parts))
+	for i := range answer.Shelves.Batches {
+		m.told.Add(len(answer.Shelves.Batches[i].Parts))
 	}
 }
 
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -113,7 +113,7 @@
 		for _, others := range []int{0, 1, entriesAlone} {
 			l := restartedLeader()
 			answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", others, cacheindex.Question{Listed: true}))
-			if answer.Shelves == nil || len(answer.Shelves.Sheets) == 0 || answer.Relaying {
+			if answer.Shelves == nil || len(answer.Shelves.Batches) == 0 || answer.Relaying {
 				t.Errorf("with %d entries before: shelves %v, relaying %v", others, answer.Shelves, answer.Relaying)
 			}
 		}
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	complete := b.book.Take(update)
-	if len(update.Sheets) > 0 || !complete {
+	if len(update.Batches) > 0 || !complete {
 		b.notify()
 	}
 	return complete
@@ -77,7 +77,7 @@
 // lacking is answer for a caller that holds the lock.
 func (b *sharedBook) lacking(question *cacheindex.Question) (*cacheindex.Update, bool) {
 	update := b.book.Answer(question)
-	return &update, len(update.Sheets) > 0 || update.Unknown
+	return &update, len(update.Batches) > 0 || update.Unknown
 }
 
 // lead begins the term of this host. What it held of the stores is not known to
--- a/internal/steward/watch.go
+++ b/internal/steward/watch.go
@@ -175,7 +175,7 @@
 		return usual
 	case answer.Roster != nil && answer.Roster.More:
 		return 0
-	case answer.Shelves != nil && answer.Shelves.More && len(answer.Shelves.Sheets) > 0:
+	case answer.Shelves != nil && answer.Shelves.More && len(answer.Shelves.Batches) > 0:
 		return 0
 	}
 	return usual
