--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -55,9 +55,9 @@
 
 // Question asks for what a reader lacks: after At or, if Listed, beyond Held.
 type Question struct {
-	At     Position `cbor:"1,keyasint"`
-	Listed bool     `cbor:"2,keyasint,omitempty"`
-	Held   []Held   `cbor:"3,keyasint,omitempty"`
+	At       Position `cbor:"1,keyasint"`
+	Listed   bool     `cbor:"2,keyasint,omitempty"`
+	Progress []Held   `cbor:"3,keyasint,omitempty"`
 }
 
 // Update answers a Question.
@@ -255,7 +255,7 @@
 	question := Question{Listed: true}
 	for _, address := range b.Addresses() {
 		p := b.shelves[address]
-		question.Held = append(question.Held, Held{Address: address, Life: p.shelf.Life(), Next: p.next})
+		question.Progress = append(question.Progress, Held{Address: address, Life: p.shelf.Life(), Next: p.next})
 	}
 	return question
 }
@@ -300,7 +300,7 @@
 		return Update{At: q.At, More: true}
 	}
 	if q.Listed {
-		return b.beyond(q.Held)
+		return b.beyond(q.Progress)
 	}
 	if q.At.Term == b.at.Term && q.At.Next > b.at.Next {
 		// The asker has followed further than this book.
