--- a/config/types.go
+++ b/config/types.go
@@ -136,8 +136,8 @@
 	return slices.Contains(t.Classes, class)
 }
 
-// Wanted returns the version that new requests name.
-func (m *Model) Wanted() ident.Version {
+// TargetVersion returns the version that new requests name.
+func (m *Model) TargetVersion() ident.Version {
 	if len(m.Versions) == 0 {
 		return ""
 	}
