--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -29,8 +29,8 @@
 	// Address is that of the store or runner.
 	Address string
 	// Cleared tells that the shelf is empty and in another life, Life.
-	Cleared bool
-	Life    uint64
+	Cleared     bool
+	Incarnation uint64
 	// Change is what changed, if Change.Key is set.
 	Change Change
 	// Next is how far the source's own events are followed with this record;
@@ -184,7 +184,7 @@
 }
 
 func (b *Book) apply(record Record) {
-	if record.Cleared && record.Life == 0 {
+	if record.Cleared && record.Incarnation == 0 {
 		delete(b.shelves, record.Address)
 		return
 	}
@@ -194,7 +194,7 @@
 		b.shelves[record.Address] = p
 	}
 	if record.Cleared {
-		p.shelf.Clear(record.Life)
+		p.shelf.Clear(record.Incarnation)
 		p.next, p.logged = 0, 0
 	}
 	if record.Change.Key != (Key{}) {
@@ -447,7 +447,7 @@
 		bySalt[key.Salt] = append(bySalt[key.Salt], Change{Key: key, Tokens: tokens})
 	}
 	records := make([]Record, 0, 1+p.shelf.Len())
-	records = append(records, Record{Address: address, Cleared: true, Life: p.shelf.Life()})
+	records = append(records, Record{Address: address, Cleared: true, Incarnation: p.shelf.Life()})
 	for _, salt := range slices.Sorted(maps.Keys(bySalt)) {
 		for _, change := range bySalt[salt] {
 			records = append(records, Record{Address: address, Change: change})
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -36,7 +36,7 @@
 	next, known := b.Next(address)
 	var records []Record
 	if !known || b.Shelf(address).Life() != s.life {
-		records = append(records, Record{Address: address, Cleared: true, Life: s.life})
+		records = append(records, Record{Address: address, Cleared: true, Incarnation: s.life})
 		for key, tokens := range s.parts {
 			records = append(records, Record{Address: address, Change: Change{Key: key, Tokens: tokens}})
 		}
@@ -169,7 +169,7 @@
 func TestNextLeaderTellsOnlyWhatIsMissing(t *testing.T) {
 	first, second, entry := NewBook(true), NewBook(true), NewBook(false)
 	first.Lead(1)
-	records := []Record{{Address: "a", Cleared: true, Life: 9}}
+	records := []Record{{Address: "a", Cleared: true, Incarnation: 9}}
 	for i := range 5000 {
 		records = append(records, Record{Address: "a", Change: Change{Key: Key{Part: fmt.Sprint(i)}, Tokens: 1}})
 	}
@@ -199,7 +199,7 @@
 	book.Lead(1)
 	for s := range 12 {
 		address := fmt.Sprint("store", s)
-		book.Write(Record{Address: address, Cleared: true, Life: 1})
+		book.Write(Record{Address: address, Cleared: true, Incarnation: 1})
 		for i := range 1500 {
 			book.Write(Record{Address: address, Change: Change{Key: Key{Part: fmt.Sprint(i)}, Tokens: 1}, Next: uint64(i + 1)})
 		}
@@ -243,7 +243,7 @@
 		for range r.IntN(12) {
 			record := Record{Address: fmt.Sprint("s", r.IntN(2))}
 			if r.IntN(5) == 0 {
-				record.Cleared, record.Life = true, uint64(r.IntN(3))
+				record.Cleared, record.Incarnation = true, uint64(r.IntN(3))
 			} else {
 				record.Change = Change{Key: Key{Salt: fmt.Sprint(r.IntN(2)), Part: fmt.Sprint(r.IntN(9))}, Tokens: r.IntN(2) * 7}
 			}
@@ -266,7 +266,7 @@
 	question := Question{Listed: true}
 	for s := range stores {
 		address := fmt.Sprint("store", s)
-		records := []Record{{Address: address, Cleared: true, Life: 7}}
+		records := []Record{{Address: address, Cleared: true, Incarnation: 7}}
 		for i := range parts {
 			key := Key{Salt: fmt.Sprint("salt", i%salts), Part: fmt.Sprint(i)}
 			records = append(records, Record{Address: address, Change: Change{Key: key, Tokens: 1}})
--- a/cacheindex/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -11,7 +11,7 @@
 	w.Lead(1)
 	for s := range 34 {
 		address := fmt.Sprintf("10.1.0.%d:8080", s)
-		w.Write(Record{Address: address, Cleared: true, Life: 7})
+		w.Write(Record{Address: address, Cleared: true, Incarnation: 7})
 		for p := range 500 {
 			w.Write(Record{Address: address, Change: Change{Key: Key{Salt: "m.1", Part: fmt.Sprintf("%08x", s*500+p)}, Tokens: 12000}, Next: uint64(p + 1)})
 		}
@@ -88,7 +88,7 @@
 	w := NewBook(true)
 	w.Lead(1)
 	for _, address := range []string{"a", "b"} {
-		w.Write(Record{Address: address, Cleared: true, Life: 7})
+		w.Write(Record{Address: address, Cleared: true, Incarnation: 7})
 		for p := range 3000 {
 			w.Write(Record{Address: address, Change: Change{Key: Key{Salt: "m.1", Part: fmt.Sprint(p)}, Tokens: 10}, Next: uint64(p + 1)})
 		}
--- a/cacheindex/sheet.go
+++ b/cacheindex/sheet.go
@@ -25,7 +25,7 @@
 		joins := last >= 0 && !record.Cleared && sheets[last].Next == 0 && sheets[last].Address == record.Address &&
 			(len(sheets[last].Parts) == 0 || part == "" || sheets[last].Salt == salt)
 		if !joins {
-			sheets = append(sheets, Sheet{Address: record.Address, Cleared: record.Cleared, Life: record.Life})
+			sheets = append(sheets, Sheet{Address: record.Address, Cleared: record.Cleared, Life: record.Incarnation})
 			last++
 		}
 		sheet := &sheets[last]
@@ -45,7 +45,7 @@
 	for i := range sheets {
 		sheet := &sheets[i]
 		if sheet.Cleared || len(sheet.Parts) == 0 {
-			records = append(records, Record{Address: sheet.Address, Cleared: sheet.Cleared, Life: sheet.Life})
+			records = append(records, Record{Address: sheet.Address, Cleared: sheet.Cleared, Incarnation: sheet.Life})
 		}
 		for at, part := range sheet.Parts[:min(len(sheet.Parts), len(sheet.Tokens))] {
 			records = append(records, Record{
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -139,7 +139,7 @@
 	answer := f.describe()
 	f.book.Lead(1)
 	for address := range f.stores {
-		f.book.Write(cacheindex.Record{Address: address, Cleared: true, Life: 1, Next: 1})
+		f.book.Write(cacheindex.Record{Address: address, Cleared: true, Incarnation: 1, Next: 1})
 	}
 	quiet := log.New(io.Discard)
 	for i := range shape.entries {
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -175,7 +175,7 @@
 	next, known := h.book.Next("s")
 	var records []cacheindex.Record
 	if !known || h.book.Shelf("s").Life() != w.life {
-		records = []cacheindex.Record{{Address: "s", Cleared: true, Life: w.life}}
+		records = []cacheindex.Record{{Address: "s", Cleared: true, Incarnation: w.life}}
 		for key := range w.whole {
 			records = append(records, cacheindex.Record{Address: "s", Change: cacheindex.Change{Key: key, Tokens: 1}})
 		}
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -144,7 +144,7 @@
 	}
 	shelf := b.book.Shelf(address)
 	if listing.Life == 0 || listing.Life != shelf.Life() {
-		b.write(address, listing.Changes, listing.Next, []cacheindex.Record{{Address: address, Cleared: true, Life: listing.Life}})
+		b.write(address, listing.Changes, listing.Next, []cacheindex.Record{{Address: address, Cleared: true, Incarnation: listing.Life}})
 		return
 	}
 	listed := make(map[cacheindex.Key]bool, len(listing.Changes))
