--- a/internal/decision/beliefs.go
+++ b/internal/decision/beliefs.go
@@ -52,7 +52,7 @@
 // or only they did.
 type UpstreamLost struct {
 	Upstream string
-	Ended    bool
+	Crashed  bool
 	// Requests are the callers' attempts, and Prints tell the same request in
 	// several of them, one for each.
 	Requests, Prints []string
@@ -71,7 +71,7 @@
 func (e *UpstreamLost) Fields() []any {
 	shown := min(len(e.Requests), lostShown)
 	return []any{
-		"upstream", e.Upstream, "ended", e.Ended, "under_way", len(e.Requests),
+		"upstream", e.Upstream, "ended", e.Crashed, "under_way", len(e.Requests),
 		"requests", strings.Join(e.Requests[:shown], ","), "prints", strings.Join(e.Prints[:shown], ","),
 	}
 }
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -53,7 +53,7 @@
 		g.meter.ends.Inc()
 	}
 	s.mu.Unlock()
-	event := &decision.UpstreamLost{Upstream: life.Upstream, Ended: ended}
+	event := &decision.UpstreamLost{Upstream: life.Upstream, Crashed: ended}
 	for _, a := range attempts {
 		event.Requests = append(event.Requests, a.Request)
 		event.Prints = append(event.Prints, a.Print.String())
