--- a/cmd/lovage-dev/document.go
+++ b/cmd/lovage-dev/document.go
@@ -50,7 +50,7 @@
 		Teams: []config.Team{teamOf(florists), teamOf(growers)},
 		Models: []config.Model{{
 			Name:        modelName,
-			Versions:    []config.WantedVersion{{Version: modelVersion}},
+			Versions:    []config.TargetVersion{{Version: modelVersion}},
 			BlockTokens: blockTokens,
 		}},
 		Services: []config.Service{{
--- a/config/testing_test.go
+++ b/config/testing_test.go
@@ -23,7 +23,7 @@
 			Deadline:   Duration(5 * time.Second),
 			Audit:      AuditFull,
 		}},
-		Models:   []Model{{Name: "appraiser", Versions: []WantedVersion{{Version: "v1"}}}},
+		Models:   []Model{{Name: "appraiser", Versions: []TargetVersion{{Version: "v1"}}}},
 		Services: []Service{{Name: "clock", Class: "bids"}},
 	}
 	for i := range teams {
--- a/config/types.go
+++ b/config/types.go
@@ -92,7 +92,7 @@
 	Name ident.Model `cbor:"1,keyasint" yaml:"name" json:"name"`
 	// Versions are wanted on every runner of the model; new requests name the
 	// first wherever it is loaded.
-	Versions []WantedVersion `cbor:"2,keyasint" yaml:"versions" json:"versions"`
+	Versions []TargetVersion `cbor:"2,keyasint" yaml:"versions" json:"versions"`
 	// MaxLoading is how many runners may load weights at once.
 	MaxLoading int `cbor:"3,keyasint" yaml:"max_loading,omitempty" json:"max_loading,omitempty"`
 	// BlockTokens is the number of tokens in one block of a kept prompt.
@@ -101,8 +101,8 @@
 	Roles []RoleShare `cbor:"5,keyasint,omitempty" yaml:"roles,omitempty" json:"roles,omitempty"`
 }
 
-// WantedVersion is a weight version with the adapters wanted beside it.
-type WantedVersion struct {
+// TargetVersion is a weight version with the adapters wanted beside it.
+type TargetVersion struct {
 	Version  ident.Version   `cbor:"1,keyasint" yaml:"version" json:"version"`
 	Adapters []ident.Adapter `cbor:"2,keyasint,omitempty" yaml:"adapters,omitempty" json:"adapters,omitempty"`
 }
--- a/internal/audited/service_test.go
+++ b/internal/audited/service_test.go
@@ -82,7 +82,7 @@
 			{Name: "plans", Kind: config.KindModel, FirstToken: within, Deadline: config.Duration(time.Minute), Audit: config.AuditFull},
 			{Name: "calls", Kind: config.KindService, FirstToken: within, Deadline: config.Duration(time.Minute)},
 		},
-		Models:   []config.Model{{Name: "kwasi", Versions: []config.WantedVersion{{Version: "v3"}}}},
+		Models:   []config.Model{{Name: "kwasi", Versions: []config.TargetVersion{{Version: "v3"}}}},
 		Services: []config.Service{{Name: "dwene", Class: "calls"}},
 	})
 	if err != nil {
--- a/internal/capacity/probes_config.go
+++ b/internal/capacity/probes_config.go
@@ -35,7 +35,7 @@
 	for i := range TargetModels {
 		doc.Models = append(doc.Models, config.Model{
 			Name:     ident.Model(fmt.Sprintf("model-%02d", i)),
-			Versions: []config.WantedVersion{{Version: "v1"}},
+			Versions: []config.TargetVersion{{Version: "v1"}},
 		})
 	}
 	for i := range teams {
--- a/internal/control/deployment_test.go
+++ b/internal/control/deployment_test.go
@@ -148,7 +148,7 @@
 			FirstToken: config.Target{Within: config.Duration(380 * time.Millisecond)},
 			Deadline:   config.Duration(30*time.Second + time.Duration(seed)*time.Millisecond),
 		}},
-		Models: []config.Model{{Name: "appraiser", Versions: []config.WantedVersion{{Version: "v1"}}}},
+		Models: []config.Model{{Name: "appraiser", Versions: []config.TargetVersion{{Version: "v1"}}}},
 	}
 	for i := range teams {
 		name := fmt.Sprintf("team-%06d", i)
--- a/internal/control/suspended_test.go
+++ b/internal/control/suspended_test.go
@@ -74,7 +74,7 @@
 		doc := document(1, 0)
 		d.mustApply(0, "r1", 0, doc)
 		d.settle()
-		doc.Models = []config.Model{{Name: "appraiser", Versions: []config.WantedVersion{{Version: "v2"}}}}
+		doc.Models = []config.Model{{Name: "appraiser", Versions: []config.TargetVersion{{Version: "v2"}}}}
 		doc.Normalize()
 		d.mustApply(0, "r2", 1, doc)
 		time.Sleep(time.Minute)
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -294,7 +294,7 @@
 			Name: "florists", Tokens: []config.TokenDigest{digest(testToken)},
 			Classes: []ident.Class{"clock", "plan", "bids"},
 		}},
-		Models: []config.Model{{Name: testModel, BlockTokens: 10, Versions: []config.WantedVersion{{Version: testVersion}}}},
+		Models: []config.Model{{Name: testModel, BlockTokens: 10, Versions: []config.TargetVersion{{Version: testVersion}}}},
 		Services: []config.Service{{Name: "clock-app", Class: "bids", Paths: []config.PathRule{
 			{Method: http.MethodGet, Prefix: "/lots", Repeatable: true},
 		}}},
--- a/internal/entry/keeper_test.go
+++ b/internal/entry/keeper_test.go
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t)
 		doc := b.control.snapshot.Document()
-		doc.Models[0].Versions = []config.WantedVersion{{Version: "v2"}, {Version: "v1"}}
+		doc.Models[0].Versions = []config.TargetVersion{{Version: "v2"}, {Version: "v1"}}
 		snapshot, err := config.NewSnapshot(2, doc)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/entryhost/bench_test.go
+++ b/internal/entryhost/bench_test.go
@@ -50,7 +50,7 @@
 		Classes: []config.Class{{Name: "c", Kind: config.KindModel, Repeatable: true,
 			FirstToken: config.Target{Within: config.Duration(time.Second)}, Deadline: config.Duration(time.Hour)}},
 		Teams:  []config.Team{{Name: "t", Tokens: []config.TokenDigest{config.DigestToken(benchToken)}, Classes: []ident.Class{"c"}}},
-		Models: []config.Model{{Name: "m", Versions: []config.WantedVersion{{Version: "v"}}}},
+		Models: []config.Model{{Name: "m", Versions: []config.TargetVersion{{Version: "v"}}}},
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/simtree/simtree_test.go
+++ b/internal/simtree/simtree_test.go
@@ -23,7 +23,7 @@
 			Deadline:   config.Duration(30 * time.Second),
 			Repeatable: true,
 		}},
-		Models: []config.Model{{Name: "appraiser", Versions: []config.WantedVersion{{Version: "v1"}}}},
+		Models: []config.Model{{Name: "appraiser", Versions: []config.TargetVersion{{Version: "v1"}}}},
 	}
 	for i := range teams {
 		doc.Teams = append(doc.Teams, team(i, 0))
