--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -373,7 +373,7 @@
 // list makes the listing of a shelf anew unless the one at hand can be told: it is of
 // the present life, and the journal holds what came after it.
 func (b *Book) list(address string, p *page) {
-	young := b.kept > 0 && len(p.listing) > 0 && p.listing[0].Life == p.shelf.Life() && b.logged-p.listed <= listingKept
+	young := b.kept > 0 && len(p.listing) > 0 && p.listing[0].Incarnation == p.shelf.Life() && b.logged-p.listed <= listingKept
 	if young && (p.changed <= p.listed || p.listingNext > 0 && p.listingNext >= b.floors[address]) {
 		return
 	}
--- a/cacheindex/sheet.go
+++ b/cacheindex/sheet.go
@@ -6,9 +6,9 @@
 	Address string `cbor:"1,keyasint"`
 	// Cleared tells that the shelf is empty and in another life, Life, before
 	// the parts.
-	Cleared bool   `cbor:"2,keyasint,omitempty"`
-	Life    uint64 `cbor:"3,keyasint,omitempty"`
-	Salt    string `cbor:"4,keyasint,omitempty"`
+	Cleared     bool   `cbor:"2,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"3,keyasint,omitempty"`
+	Salt        string `cbor:"4,keyasint,omitempty"`
 	// Parts became whole with as many Tokens, or ended where those are zero.
 	Parts  []string `cbor:"5,keyasint,omitempty"`
 	Tokens []int    `cbor:"6,keyasint,omitempty"`
@@ -25,7 +25,7 @@
 		joins := last >= 0 && !record.Cleared && sheets[last].Next == 0 && sheets[last].Address == record.Address &&
 			(len(sheets[last].Parts) == 0 || part == "" || sheets[last].Salt == salt)
 		if !joins {
-			sheets = append(sheets, Sheet{Address: record.Address, Cleared: record.Cleared, Life: record.Incarnation})
+			sheets = append(sheets, Sheet{Address: record.Address, Cleared: record.Cleared, Incarnation: record.Incarnation})
 			last++
 		}
 		sheet := &sheets[last]
@@ -45,7 +45,7 @@
 	for i := range sheets {
 		sheet := &sheets[i]
 		if sheet.Cleared || len(sheet.Parts) == 0 {
-			records = append(records, Record{Address: sheet.Address, Cleared: sheet.Cleared, Incarnation: sheet.Life})
+			records = append(records, Record{Address: sheet.Address, Cleared: sheet.Cleared, Incarnation: sheet.Incarnation})
 		}
 		for at, part := range sheet.Parts[:min(len(sheet.Parts), len(sheet.Tokens))] {
 			records = append(records, Record{
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -149,7 +149,7 @@
 		}},
 		States: []steward.ShelfState{{Address: "store:1", Life: 1, Open: true}},
 		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: 2}, Batches: []cacheindex.Sheet{
-			{Address: "store:1", Cleared: true, Life: 1, Salt: keptPart.Salt, Parts: []string{keptPart.Part}, Tokens: []int{9000}, Next: 1},
+			{Address: "store:1", Cleared: true, Incarnation: 1, Salt: keptPart.Salt, Parts: []string{keptPart.Part}, Tokens: []int{9000}, Next: 1},
 		}},
 		Clock: 1000, EntryCount: 1,
 	}
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -86,7 +86,7 @@
 	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
 	tell(g, 2, 1000)
 	s, key := g.state, cacheindex.Key{Salt: "m.1", Part: "p"}
-	sheet := cacheindex.Sheet{Address: "l1:1", Cleared: true, Life: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
+	sheet := cacheindex.Sheet{Address: "l1:1", Cleared: true, Incarnation: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
 	shelves := func(next uint64) {
 		g.Told(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: 1000, States: testAnswer().States,
 			Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Batches: []cacheindex.Sheet{sheet}}}, time.Now())
@@ -111,7 +111,7 @@
 	if cached, offered := believed(); cached || offered {
 		t.Errorf("of the next life: cached %t, offered %t", cached, offered)
 	}
-	sheet.Life = 10
+	sheet.Incarnation = 10
 	shelves(5)
 	if cached, offered := believed(); !cached || !offered {
 		t.Errorf("after its own word: cached %t, offered %t", cached, offered)
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -20,7 +20,7 @@
 		Term: term, Leader: "c1", Relaying: true, EntryCount: 20,
 		States: []ShelfState{{Address: "store:1", Life: 1, Open: true}},
 		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Batches: []cacheindex.Sheet{
-			{Address: "store:1", Cleared: true, Life: 1, Parts: []string{"p"}, Tokens: []int{9}, Next: 1},
+			{Address: "store:1", Cleared: true, Incarnation: 1, Parts: []string{"p"}, Tokens: []int{9}, Next: 1},
 		}},
 	}
 }
