--- a/config/delta.go
+++ b/config/delta.go
@@ -118,7 +118,7 @@
 	var newTokens []tableItem[TokenDigest, Team]
 	for i := range change.Put {
 		team, _ := s.teams.get(change.Put[i].Name)
-		s.floors += uint64(team.Share.Floor)
+		s.floors += uint64(team.Share.Guaranteed)
 		for _, digest := range team.Tokens {
 			newTokens = append(newTokens, tableItem[TokenDigest, Team]{key: digest, value: team})
 		}
@@ -133,7 +133,7 @@
 	if !found {
 		return tokens
 	}
-	s.floors -= uint64(team.Share.Floor)
+	s.floors -= uint64(team.Share.Guaranteed)
 	return append(tokens, team.Tokens...)
 }
 
--- a/config/feed_test.go
+++ b/config/feed_test.go
@@ -49,7 +49,7 @@
 		return testDocument(20)
 	}
 	team := testTeam(random.IntN(40))
-	team.Share.Floor = Share(random.IntN(3)) * sharePerPercent
+	team.Share.Guaranteed = Share(random.IntN(3)) * sharePerPercent
 	doc.Teams = slices.DeleteFunc(slices.Clone(doc.Teams), func(t Team) bool { return t.Name == team.Name })
 	if random.IntN(4) > 0 {
 		doc.Teams = append(doc.Teams, team)
--- a/config/state_test.go
+++ b/config/state_test.go
@@ -92,7 +92,7 @@
 	twice.Teams = append(twice.Teams, testTeam(7), testTeam(7))
 	floors := testDocument(3)
 	for i := range floors.Teams {
-		floors.Teams[i].Share.Floor = WholeShare / 2
+		floors.Teams[i].Share.Guaranteed = WholeShare / 2
 	}
 	noClass := testDocument(1)
 	noClass.Classes = noClass.Classes[:1]
@@ -170,7 +170,7 @@
 			continue
 		}
 		team := testTeam(i)
-		team.Share.Floor = Share(random.IntN(5)) * sharePerPercent
+		team.Share.Guaranteed = Share(random.IntN(5)) * sharePerPercent
 		// Tokens move between teams.
 		team.Tokens[0] = DigestToken(fmt.Sprint((i + random.IntN(2)*6) % 12))
 		doc.Teams = append(doc.Teams, team)
@@ -199,7 +199,7 @@
 			t.Fatalf("revision %d: token of %s names %+v", view.Revision(), team.Name, owner)
 		}
 		tokens += len(team.Tokens)
-		floors += uint64(team.Share.Floor)
+		floors += uint64(team.Share.Guaranteed)
 	}
 	if view.tokens.size != tokens || view.floors != floors {
 		t.Fatalf("revision %d: %d tokens and floors %d, want %d and %d", view.Revision(), view.tokens.size, view.floors, tokens, floors)
--- a/config/types.go
+++ b/config/types.go
@@ -80,9 +80,9 @@
 
 // TeamShare bounds a team's part of a contended resource.
 type TeamShare struct {
-	// Floor is kept for the team while it has work. All floors together stay
+	// Guaranteed is kept for the team while it has work. All floors together stay
 	// within the whole.
-	Floor Share `cbor:"1,keyasint,omitempty" yaml:"floor,omitempty" json:"floor,omitempty"`
+	Guaranteed Share `cbor:"1,keyasint,omitempty" yaml:"floor,omitempty" json:"floor,omitempty"`
 	// Ceiling is the most the team gets while others wait. Zero is no bound.
 	Ceiling Share `cbor:"2,keyasint,omitempty" yaml:"ceiling,omitempty" json:"ceiling,omitempty"`
 }
--- a/internal/configdoc/configdoc_test.go
+++ b/internal/configdoc/configdoc_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if doc.Teams[0].Share.Floor.Fraction() != 0.05 || doc.Models[0].BlockTokens != 1000 {
+	if doc.Teams[0].Share.Guaranteed.Fraction() != 0.05 || doc.Models[0].BlockTokens != 1000 {
 		t.Fatalf("decoded %+v", doc)
 	}
 	text, err := Format(doc)
