--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -48,9 +48,9 @@
 // Held is how far a reader has followed one source. It says the same to every
 // writer, unlike a position.
 type Held struct {
-	Address string `cbor:"1,keyasint"`
-	Life    uint64 `cbor:"2,keyasint"`
-	Next    uint64 `cbor:"3,keyasint"`
+	Address     string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Next        uint64 `cbor:"3,keyasint"`
 }
 
 // Question asks for what a reader lacks: after At or, if Listed, beyond Held.
@@ -255,7 +255,7 @@
 	question := Question{Listed: true}
 	for _, address := range b.Addresses() {
 		p := b.shelves[address]
-		question.Progress = append(question.Progress, Held{Address: address, Life: p.shelf.Life(), Next: p.next})
+		question.Progress = append(question.Progress, Held{Address: address, Incarnation: p.shelf.Life(), Next: p.next})
 	}
 	return question
 }
@@ -349,9 +349,9 @@
 		}
 		h, holds := known[address]
 		switch p := b.shelves[address]; {
-		case holds && h.Life == p.shelf.Life() && h.Next > p.next:
+		case holds && h.Incarnation == p.shelf.Life() && h.Next > p.next:
 			return Update{Batches: sheets, More: true}
-		case holds && h.Life == p.shelf.Life() && h.Next >= b.floors[address] && h.Next > 0:
+		case holds && h.Incarnation == p.shelf.Life() && h.Next >= b.floors[address] && h.Next > 0:
 			tell(b.since(address, h.Next))
 			// Told at each question, and so not counted: a reader would come to the
 			// same end of a page each time, and never be told of the sources after it.
