--- a/config/types.go
+++ b/config/types.go
@@ -83,8 +83,8 @@
 	// Guaranteed is kept for the team while it has work. All floors together stay
 	// within the whole.
 	Guaranteed Share `cbor:"1,keyasint,omitempty" yaml:"floor,omitempty" json:"floor,omitempty"`
-	// Ceiling is the most the team gets while others wait. Zero is no bound.
-	Ceiling Share `cbor:"2,keyasint,omitempty" yaml:"ceiling,omitempty" json:"ceiling,omitempty"`
+	// Maximum is the most the team gets while others wait. Zero is no bound.
+	Maximum Share `cbor:"2,keyasint,omitempty" yaml:"ceiling,omitempty" json:"ceiling,omitempty"`
 }
 
 // Model is a model with its wanted versions.
--- a/config/validate.go
+++ b/config/validate.go
@@ -212,10 +212,10 @@
 	for _, digest := range team.Tokens {
 		c.tokenIsOwn(old, next, team, digest)
 	}
-	if team.Share.Guaranteed > WholeShare || team.Share.Ceiling > WholeShare {
+	if team.Share.Guaranteed > WholeShare || team.Share.Maximum > WholeShare {
 		c.addf(path+".share", "must be within 0%% to 100%%")
 	}
-	if team.Share.Ceiling != 0 && team.Share.Ceiling < team.Share.Guaranteed {
+	if team.Share.Maximum != 0 && team.Share.Maximum < team.Share.Guaranteed {
 		c.addf(path+".share.ceiling", "must not be below share.floor")
 	}
 	c.teamClasses(next, team)
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -126,10 +126,10 @@
 func listShares(snapshot *config.Snapshot) map[ident.Team]admit.Share {
 	shares := make(map[ident.Team]admit.Share)
 	for team := range snapshot.Teams() {
-		if team.Share.Guaranteed != 0 || team.Share.Ceiling != 0 {
+		if team.Share.Guaranteed != 0 || team.Share.Maximum != 0 {
 			shares[team.Name] = admit.Share{
 				Floor:   team.Share.Guaranteed.Fraction(),
-				Ceiling: team.Share.Ceiling.Fraction(),
+				Ceiling: team.Share.Maximum.Fraction(),
 			}
 		}
 	}
--- a/internal/entry/budgets.go
+++ b/internal/entry/budgets.go
@@ -14,10 +14,10 @@
 func budgetsOf(snapshot *config.Snapshot) map[ident.Team]keep.Budget {
 	budgets := make(map[ident.Team]keep.Budget)
 	for team := range snapshot.Teams() {
-		if team.Share.Guaranteed != 0 || team.Share.Ceiling != 0 {
+		if team.Share.Guaranteed != 0 || team.Share.Maximum != 0 {
 			budgets[team.Name] = keep.Budget{
 				Floor:   team.Share.Guaranteed.Fraction(),
-				Ceiling: team.Share.Ceiling.Fraction(),
+				Ceiling: team.Share.Maximum.Fraction(),
 			}
 		}
 	}
