--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -42,7 +42,7 @@
 }
 
 func endAt(i int) quarantine.End {
-	e := quarantine.End{Life: quarantine.Life{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Print{{1}}}
+	e := quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Print{{1}}}
 	for n := range endedWith - 1 {
 		e.Prints = append(e.Prints, quarantine.Print{2, byte(i), byte(i >> 8), byte(n)})
 	}
--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -182,7 +182,7 @@
 // noteLost notes that an attempt broke off, and looks once whether its upstream has
 // ended.
 func (e *Entry) noteLost(id ident.Upstream, incarnation ident.Incarnation, address string, a quarantine.Attempt) {
-	life := quarantine.Life{Upstream: string(id), Born: uint64(incarnation)}
+	life := quarantine.Incarnation{Upstream: string(id), Born: uint64(incarnation)}
 	e.mu.Lock()
 	first := e.ends.lost.Add(life, a)
 	e.mu.Unlock()
@@ -201,7 +201,7 @@
 
 // look is an upstream that is to be looked at.
 type look struct {
-	life    quarantine.Life
+	life    quarantine.Incarnation
 	address string
 	at      time.Time
 }
@@ -219,7 +219,7 @@
 }
 
 // look finds out whether an upstream has ended, and tells the other entries.
-func (e *Entry) look(ctx context.Context, life quarantine.Life, address string) {
+func (e *Entry) look(ctx context.Context, life quarantine.Incarnation, address string) {
 	ctx, cancel := context.WithTimeout(ctx, quarantine.LookTimeout)
 	defer cancel()
 	ended := e.options.Upstreams.Ended(ctx, address)
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -33,14 +33,14 @@
 // noteLost notes that a send broke off, and looks once whether its upstream has
 // ended. The caller holds the lock.
 func (r *run) noteLost(p *plan) {
-	life := quarantine.Life{Upstream: p.upstream.record.ID, Born: p.upstream.record.Born}
+	life := quarantine.Incarnation{Upstream: p.upstream.record.ID, Born: p.upstream.record.Born}
 	if r.gateway.state.lost.Add(life, quarantine.Attempt{Request: r.request.ID, Print: r.print}) {
 		go r.gateway.look(life, p.send)
 	}
 }
 
 // look finds out whether an upstream has ended at which sends broke off.
-func (g *Gateway) look(life quarantine.Life, send *Send) {
+func (g *Gateway) look(life quarantine.Incarnation, send *Send) {
 	ctx, cancel := context.WithTimeout(context.Background(), quarantine.LookTimeout)
 	defer cancel()
 	wait.For(ctx, quarantine.LookAfter)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -161,7 +161,7 @@
 
 // blame reports the requests that were under way at an upstream when it ended. The
 // caller holds the lock.
-func (g *Gateway) blame(life quarantine.Life, attempts []quarantine.Attempt, now time.Time) {
+func (g *Gateway) blame(life quarantine.Incarnation, attempts []quarantine.Attempt, now time.Time) {
 	if end := quarantine.Blame(life, attempts, &g.state.served, now); len(end.Prints) > 0 {
 		g.reports.add(steward.Report{Ends: []quarantine.End{end}})
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -189,7 +189,7 @@
 			if ended == r.Empty() {
 				t.Fatalf("ended %t, reported %+v", ended, r)
 			}
-			seen := make(map[quarantine.Life]bool)
+			seen := make(map[quarantine.Incarnation]bool)
 			for _, e := range r.Ends {
 				if seen[e.Life] || len(e.Prints) > 2 {
 					t.Errorf("reported %+v", r.Ends)
@@ -216,7 +216,7 @@
 			return nil
 		})
 		for i := range 3 * steward.MostReported {
-			g.reports.add(steward.Report{Ends: []quarantine.End{{Life: quarantine.Life{Born: uint64(i)}}}})
+			g.reports.add(steward.Report{Ends: []quarantine.End{{Life: quarantine.Incarnation{Born: uint64(i)}}}})
 			time.Sleep(time.Millisecond)
 		}
 		reached.Store(true)
@@ -240,7 +240,7 @@
 		defer cancel()
 		endsOf := func(from, to uint64) (ends []quarantine.End) {
 			for born := from; born < to; born++ {
-				ends = append(ends, quarantine.End{Life: quarantine.Life{Born: born}})
+				ends = append(ends, quarantine.End{Life: quarantine.Incarnation{Born: born}})
 			}
 			return ends
 		}
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -24,8 +24,8 @@
 	Life     *storeLife        `cbor:"4,keyasint,omitempty"`
 	Report   *Report           `cbor:"5,keyasint,omitempty"`
 	// Forget are upstreams whose ends no longer count.
-	Forget   []quarantine.Life `cbor:"6,keyasint,omitempty"`
-	Evacuate *evacuation.Order `cbor:"7,keyasint,omitempty"`
+	Forget   []quarantine.Incarnation `cbor:"6,keyasint,omitempty"`
+	Evacuate *evacuation.Order        `cbor:"7,keyasint,omitempty"`
 	// Upstreams are announcements that were gathered.
 	Upstreams []roster.Upstream `cbor:"8,keyasint,omitempty"`
 }
--- a/internal/steward/report.go
+++ b/internal/steward/report.go
@@ -40,7 +40,7 @@
 }
 
 // applyForget drops ends. The caller holds the lock.
-func (m *Machine) applyForget(lives []quarantine.Life) {
+func (m *Machine) applyForget(lives []quarantine.Incarnation) {
 	before := m.quarantine.Revision()
 	m.quarantine.Forget(lives...)
 	m.seen.Follow(m.quarantine.Lives(), time.Now())
@@ -50,7 +50,7 @@
 }
 
 // oldEnds lists the ends that no longer count, as this host has learnt of them.
-func (m *Machine) oldEnds(now time.Time) []quarantine.Life {
+func (m *Machine) oldEnds(now time.Time) []quarantine.Incarnation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.seen.Old(now)
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -109,7 +109,7 @@
 	var reports sync.WaitGroup
 	for i := range quarantine.Ends {
 		reports.Go(func() {
-			life := quarantine.Life{Upstream: fmt.Sprint("runner-", i)}
+			life := quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}
 			entries[i].report(ctx, &Report{Ends: []quarantine.End{{Life: life, Prints: []quarantine.Print{bad}}}})
 			entries[i+4].report(ctx, &Report{Ends: []quarantine.End{{Life: life, Prints: []quarantine.Print{{byte(10 + i)}}}}})
 		})
@@ -121,7 +121,7 @@
 	f.kill(lost)
 	f.await("another host leads", func() bool { return f.leader() != nil })
 	for i := range quarantine.Ends {
-		entries[0].report(ctx, &Report{Ends: []quarantine.End{{Life: quarantine.Life{Upstream: fmt.Sprint("later-", i)}, Prints: []quarantine.Print{other}}}})
+		entries[0].report(ctx, &Report{Ends: []quarantine.End{{Life: quarantine.Incarnation{Upstream: fmt.Sprint("later-", i)}, Prints: []quarantine.Print{other}}}})
 	}
 	allHear("all entries hold the second request", other, true)
 	late := f.startReporting(ctx, "entry-late")
@@ -145,7 +145,7 @@
 // for ever is never served again once its upstreams are mended.
 func TestOldEndsAreForgotten(t *testing.T) {
 	m, now := NewMachine(), time.Now()
-	m.applyReport(&Report{Ends: []quarantine.End{{Life: quarantine.Life{Upstream: "a"}, Prints: []quarantine.Print{{1}}}}})
+	m.applyReport(&Report{Ends: []quarantine.End{{Life: quarantine.Incarnation{Upstream: "a"}, Prints: []quarantine.Print{{1}}}}})
 	later := now.Add(quarantine.EndKept + time.Second)
 	if old := m.oldEnds(later); len(old) != 1 {
 		t.Fatalf("%d ends are old after %v", len(old), quarantine.EndKept)
@@ -181,7 +181,7 @@
 	entry, bad := f.startReporting(ctx, "entry-1"), quarantine.Print{1}
 	var r Report
 	for i := range quarantine.Ends {
-		r.Ends = append(r.Ends, quarantine.End{Life: quarantine.Life{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Print{bad}})
+		r.Ends = append(r.Ends, quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Print{bad}})
 	}
 	entry.report(ctx, &r)
 	f.await("the entry holds the request", func() bool { return entry.holds(bad) })
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -19,16 +19,16 @@
 	MaxTold = 256
 )
 
-// Life is one life of an upstream.
-type Life struct {
+// Incarnation is one life of an upstream.
+type Incarnation struct {
 	Upstream string `cbor:"1,keyasint"`
 	Born     uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // End is the end of an upstream with requests that were under way there.
 type End struct {
-	Life   Life    `cbor:"1,keyasint"`
-	Prints []Print `cbor:"2,keyasint"`
+	Life   Incarnation `cbor:"1,keyasint"`
+	Prints []Print     `cbor:"2,keyasint"`
 }
 
 // Ledger holds the ends of upstreams and judges by them. Two ledgers that took in the
@@ -85,7 +85,7 @@
 }
 
 // Forget drops ends.
-func (l *Ledger) Forget(lives ...Life) {
+func (l *Ledger) Forget(lives ...Incarnation) {
 	for _, life := range lives {
 		if i := slices.IndexFunc(l.ends, func(e *End) bool { return e.Life == life }); i >= 0 {
 			l.drop(i)
@@ -95,8 +95,8 @@
 }
 
 // Lives lists the upstreams whose ends are remembered.
-func (l *Ledger) Lives() []Life {
-	lives := make([]Life, len(l.ends))
+func (l *Ledger) Lives() []Incarnation {
+	lives := make([]Incarnation, len(l.ends))
 	for i, e := range l.ends {
 		lives[i] = e.Life
 	}
@@ -112,7 +112,7 @@
 // Revision grows whenever Held or Suspects change.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
-func (l *Ledger) find(life Life) *End {
+func (l *Ledger) find(life Incarnation) *End {
 	for _, e := range l.ends {
 		if e.Life == life {
 			return e
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -14,7 +14,7 @@
 }
 
 func endOf(upstream string, names ...string) End {
-	e := End{Life: Life{Upstream: upstream}}
+	e := End{Life: Incarnation{Upstream: upstream}}
 	for _, name := range names {
 		e.Prints = append(e.Prints, printOf(name))
 	}
@@ -32,7 +32,7 @@
 		{"two ends may be chance", []End{endOf("a", "bad", "x"), endOf("b", "bad")}, nil},
 		{"three ends", []End{endOf("a", "bad", "x"), endOf("b", "bad", "y"), endOf("c", "bad")}, []string{"bad"}},
 		{"the same end told by two entries", []End{endOf("a", "bad"), endOf("a", "bad", "x"), endOf("b", "bad")}, nil},
-		{"another life under the same name", []End{endOf("a", "bad"), endOf("b", "bad"), {Life: Life{"a", 7}, Prints: []Print{printOf("bad")}}}, []string{"bad"}},
+		{"another life under the same name", []End{endOf("a", "bad"), endOf("b", "bad"), {Life: Incarnation{"a", 7}, Prints: []Print{printOf("bad")}}}, []string{"bad"}},
 		{"one that was repeated to three of four", []End{endOf("a", "bad"), endOf("b", "bad", "x"), endOf("c", "bad", "x"), endOf("d", "bad", "x")}, []string{"bad"}},
 		{"one that stood at the same three", []End{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad", "x")}, nil},
 		{"which the fourth tells apart", []End{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad", "x"), endOf("d", "bad")}, []string{"bad"}},
@@ -136,11 +136,11 @@
 	for i := range 3 {
 		l.Ended(endOf(fmt.Sprint(i), "bad"))
 	}
-	l.Forget(Life{Upstream: "0"})
+	l.Forget(Incarnation{Upstream: "0"})
 	if len(l.Held()) != 0 || !slices.Equal(l.Suspects(), []Print{printOf("bad")}) {
 		t.Fatalf("held %v, suspected %v", l.Held(), l.Suspects())
 	}
-	crowd := End{Life: Life{Upstream: "crowd"}}
+	crowd := End{Life: Incarnation{Upstream: "crowd"}}
 	for n := range 2 * MaxPrints {
 		crowd.Prints = append(crowd.Prints, printOf(fmt.Sprint("one of many ", n)))
 	}
@@ -166,7 +166,7 @@
 			case 0:
 				l.Served(printOf(p))
 			case 1:
-				l.Forget(Life{Upstream: fmt.Sprint(r.IntN(20))})
+				l.Forget(Incarnation{Upstream: fmt.Sprint(r.IntN(20))})
 			default:
 				l.Ended(endOf(fmt.Sprint(r.IntN(20)), p, fmt.Sprint("p", r.IntN(12))))
 			}
@@ -197,7 +197,7 @@
 			l := NewLedger()
 			next := 0
 			end := func(i int) End {
-				e := End{Life: Life{Upstream: fmt.Sprint(i)}}
+				e := End{Life: Incarnation{Upstream: fmt.Sprint(i)}}
 				for range size.prints {
 					e.Prints = append(e.Prints, printOf(fmt.Sprint(next%size.of)))
 					next++
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -23,13 +23,13 @@
 // Lost are the attempts that broke off at upstreams, until it is known whether these
 // ended or only the connections did. The zero value is ready; it is not safe for
 // concurrent use.
-type Lost struct{ attempts map[Life][]Attempt }
+type Lost struct{ attempts map[Incarnation][]Attempt }
 
 // Add notes an attempt and reports whether it is the first at its upstream, which is
 // then to be looked at after LookAfter.
-func (l *Lost) Add(life Life, a Attempt) bool {
+func (l *Lost) Add(life Incarnation, a Attempt) bool {
 	if l.attempts == nil {
-		l.attempts = make(map[Life][]Attempt)
+		l.attempts = make(map[Incarnation][]Attempt)
 	}
 	known, waiting := l.attempts[life]
 	if len(known) < MaxPrints {
@@ -39,7 +39,7 @@
 }
 
 // Take returns the attempts that broke off at an upstream, once it was looked at.
-func (l *Lost) Take(life Life) []Attempt {
+func (l *Lost) Take(life Incarnation) []Attempt {
 	attempts := l.attempts[life]
 	delete(l.attempts, life)
 	return attempts
@@ -50,7 +50,7 @@
 
 // Blame is an upstream's end with those of the attempts whose requests were not served
 // lately.
-func Blame(life Life, attempts []Attempt, served *Served, now time.Time) End {
+func Blame(life Incarnation, attempts []Attempt, served *Served, now time.Time) End {
 	end := End{Life: life}
 	for _, a := range attempts {
 		if !served.Has(a.Print, now) && !slices.Contains(end.Prints, a.Print) {
--- a/quarantine/seen.go
+++ b/quarantine/seen.go
@@ -8,12 +8,12 @@
 
 // Seen are the times at which the ends of a ledger were seen, by one process's own steady
 // clock: processes have none in common. It is not safe for concurrent use.
-type Seen struct{ at map[Life]time.Time }
+type Seen struct{ at map[Incarnation]time.Time }
 
 // Note notes that an end was seen at a time, unless it is known already.
-func (s *Seen) Note(life Life, at time.Time) {
+func (s *Seen) Note(life Incarnation, at time.Time) {
 	if s.at == nil {
-		s.at = make(map[Life]time.Time)
+		s.at = make(map[Incarnation]time.Time)
 	}
 	if _, known := s.at[life]; !known {
 		s.at[life] = at
@@ -22,9 +22,9 @@
 
 // Follow brings the times in line with the ends that are remembered: new ones were seen
 // now.
-func (s *Seen) Follow(remembered []Life, now time.Time) {
+func (s *Seen) Follow(remembered []Incarnation, now time.Time) {
 	before := s.at
-	s.at = make(map[Life]time.Time, len(remembered))
+	s.at = make(map[Incarnation]time.Time, len(remembered))
 	for _, life := range remembered {
 		if at, known := before[life]; known {
 			s.at[life] = at
@@ -35,7 +35,7 @@
 }
 
 // Age is how long ago an end was seen, 0 if it is not known.
-func (s *Seen) Age(life Life, now time.Time) time.Duration {
+func (s *Seen) Age(life Incarnation, now time.Time) time.Duration {
 	if at, known := s.at[life]; known {
 		return now.Sub(at)
 	}
@@ -43,8 +43,8 @@
 }
 
 // Old lists the ends that no longer count.
-func (s *Seen) Old(now time.Time) []Life {
-	var lives []Life
+func (s *Seen) Old(now time.Time) []Incarnation {
+	var lives []Incarnation
 	for life := range s.at {
 		if s.Age(life, now) >= EndKept {
 			lives = append(lives, life)
