--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -22,9 +22,9 @@
 	// Sources are the hosts to fetch from, in the order of the parts; Pace is the
 	// slowest one's time as a multiple of what its link says, and Queue the
 	// tokens that waited there.
-	Sources string
-	Pace    float64
-	Queue   int
+	Sources  string
+	Slowdown float64
+	Queue    int
 	// Distrust is what former failures added.
 	Distrust time.Duration
 	Version  uint64
@@ -115,7 +115,7 @@
 	return append(fields,
 		"upstream", c.Upstream, "candidates", c.Candidates, "requests", c.Requests, "tokens", c.Tokens, "unread", c.Unread,
 		"reads", c.Reads, "cost_ms", int(c.CostMs), "home", c.Home, "fetched", c.Fetched, "saved", c.Saved,
-		"sources", c.Sources, "pace", math.Round(c.Pace*10)/10, "queue", c.Queue,
+		"sources", c.Sources, "pace", math.Round(c.Slowdown*10)/10, "queue", c.Queue,
 		"distrust_ms", ms(c.Distrust), "weights", c.Version)
 }
 
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -71,7 +71,7 @@
 		p.logged.Fetched++
 		sources = append(sources, f.Address)
 		if store := s.stores[f.Address]; store != nil {
-			p.logged.Pace = max(p.logged.Pace, store.pace.slowness(now))
+			p.logged.Slowdown = max(p.logged.Slowdown, store.pace.slowness(now))
 			p.logged.Queue = max(p.logged.Queue, store.own+store.others)
 		}
 	}
