--- a/cmd/lovagectl/show.go
+++ b/cmd/lovagectl/show.go
@@ -113,7 +113,7 @@
 		return string(c.Name), fmt.Sprintf("%s, first token within %s for %v%%, deadline %s, audit %s", c.Kind, c.FirstToken.Within, c.FirstToken.Percentile, c.Deadline, c.Audit)
 	})
 	changeRows(r, "team", delta.Teams.Drop, delta.Teams.Put, func(t config.Team) (string, string) {
-		return string(t.Name), fmt.Sprintf("%d tokens, classes %v, share %s to %s", len(t.Tokens), t.Classes, t.Share.Guaranteed, cmp.Or(t.Share.Maximum, config.WholeShare))
+		return string(t.Name), fmt.Sprintf("%d tokens, classes %v, share %s to %s", len(t.Tokens), t.Classes, t.Share.Guaranteed, cmp.Or(t.Share.Maximum, config.FullShare))
 	})
 	changeRows(r, "model", delta.Models.Drop, delta.Models.Put, func(m config.Model) (string, string) {
 		return string(m.Name), fmt.Sprintf("versions %s, at most %d loading", versionNames(m), m.MaxLoading)
--- a/config/state_test.go
+++ b/config/state_test.go
@@ -92,7 +92,7 @@
 	twice.Teams = append(twice.Teams, testTeam(7), testTeam(7))
 	floors := testDocument(3)
 	for i := range floors.Teams {
-		floors.Teams[i].Share.Guaranteed = WholeShare / 2
+		floors.Teams[i].Share.Guaranteed = FullShare / 2
 	}
 	noClass := testDocument(1)
 	noClass.Classes = noClass.Classes[:1]
--- a/config/validate.go
+++ b/config/validate.go
@@ -129,7 +129,7 @@
 	for i := range delta.Services.Put {
 		check.service(next, &delta.Services.Put[i])
 	}
-	if next.floors > uint64(WholeShare) {
+	if next.floors > uint64(FullShare) {
 		check.addf("teams", "the floors add up to %s; lower some until they fit in 100%%", Share(next.floors))
 	}
 	if s.changesClassUse(delta) {
@@ -212,7 +212,7 @@
 	for _, digest := range team.Tokens {
 		c.tokenIsOwn(old, next, team, digest)
 	}
-	if team.Share.Guaranteed > WholeShare || team.Share.Maximum > WholeShare {
+	if team.Share.Guaranteed > FullShare || team.Share.Maximum > FullShare {
 		c.addf(path+".share", "must be within 0%% to 100%%")
 	}
 	if team.Share.Maximum != 0 && team.Share.Maximum < team.Share.Guaranteed {
@@ -287,7 +287,7 @@
 		c.name(path+".roles", role.Role)
 		sum += uint64(role.Share)
 	}
-	if sum > uint64(WholeShare) {
+	if sum > uint64(FullShare) {
 		c.addf(path+".roles", "the shares add up to more than 100%%")
 	}
 }
--- a/config/value.go
+++ b/config/value.go
@@ -40,14 +40,14 @@
 // the same on every replica whatever the order of addition.
 type Share uint32
 
-// WholeShare is the share that leaves nothing to others.
-const WholeShare Share = 1_000_000
+// FullShare is the share that leaves nothing to others.
+const FullShare Share = 1_000_000
 
 // sharePerPercent is how many millionths make one percent.
-const sharePerPercent = WholeShare / 100
+const sharePerPercent = FullShare / 100
 
 // Fraction returns s between 0 and 1.
-func (s Share) Fraction() float64 { return float64(s) / float64(WholeShare) }
+func (s Share) Fraction() float64 { return float64(s) / float64(FullShare) }
 
 // String returns s in percent, for example "12.5%".
 func (s Share) String() string {
--- a/internal/configdoc/bench_test.go
+++ b/internal/configdoc/bench_test.go
@@ -25,7 +25,7 @@
 			Name:    ident.Team(name),
 			Tokens:  []config.TokenDigest{config.DigestToken(name)},
 			Classes: []ident.Class{"questions"},
-			Share:   config.TeamShare{Maximum: config.WholeShare},
+			Share:   config.TeamShare{Maximum: config.FullShare},
 		})
 	}
 	doc.Normalize()
--- a/internal/entry/budgets_test.go
+++ b/internal/entry/budgets_test.go
@@ -24,7 +24,7 @@
 		b.announceAgain(t)
 		b.whole(t, 1)
 		initial := b.keptOf(t)
-		b.setShare(t, 2, config.TeamShare{Guaranteed: config.WholeShare / 4, Maximum: config.WholeShare / 2})
+		b.setShare(t, 2, config.TeamShare{Guaranteed: config.FullShare / 4, Maximum: config.FullShare / 2})
 		time.Sleep(2 * planEvery)
 		if floor, ceiling := b.keptOf(t)[0], b.keptOf(t)[1]; floor != 1<<28 || ceiling != 1<<29 {
 			t.Errorf("of a store of 1 GiB the floor is %d and the ceiling %d", floor, ceiling)
