--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -42,9 +42,9 @@
 }
 
 func endAt(i int) quarantine.End {
-	e := quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Print{{1}}}
+	e := quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{{1}}}
 	for n := range endedWith - 1 {
-		e.Prints = append(e.Prints, quarantine.Print{2, byte(i), byte(i >> 8), byte(n)})
+		e.Prints = append(e.Prints, quarantine.Fingerprint{2, byte(i), byte(i >> 8), byte(n)})
 	}
 	return e
 }
@@ -52,6 +52,6 @@
 // verdictBytes is the size of what an entry is told when all that can be is held and
 // suspected.
 func verdictBytes() int {
-	prints := make([]quarantine.Print, quarantine.MaxTold)
-	return len(wire.MustMarshal([][]quarantine.Print{prints, prints}))
+	prints := make([]quarantine.Fingerprint, quarantine.MaxTold)
+	return len(wire.MustMarshal([][]quarantine.Fingerprint{prints, prints}))
 }
--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -33,7 +33,7 @@
 type endsMessage struct {
 	Ends []endWord `cbor:"1,keyasint,omitempty"`
 	// Served are requests that ran to a good end and were held or suspected.
-	Served []quarantine.Print `cbor:"2,keyasint,omitempty"`
+	Served []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
 }
 
 // endWord is an end and how long ago it was seen: told on as new, an end would come back
@@ -122,7 +122,7 @@
 func (n *ends) decisive(now time.Time, most int) []endWord {
 	var list []endWord
 	for _, end := range slices.Backward(n.ledger.Save().Ends) {
-		end.Prints = slices.DeleteFunc(end.Prints, func(p quarantine.Print) bool { return !slices.Contains(n.ledger.Held(), p) })
+		end.Prints = slices.DeleteFunc(end.Prints, func(p quarantine.Fingerprint) bool { return !slices.Contains(n.ledger.Held(), p) })
 		if len(end.Prints) > 0 && len(list) < most {
 			list = append(list, endWord{End: end, Age: n.seen.Age(end.Life, now)})
 		}
@@ -131,7 +131,7 @@
 }
 
 // printOfPrompt tells a prompt from all others.
-func printOfPrompt(p *Prompt) quarantine.Print {
+func printOfPrompt(p *Prompt) quarantine.Fingerprint {
 	body := binary.BigEndian.AppendUint64(nil, p.Seed)
 	body = binary.BigEndian.AppendUint64(body, uint64(p.MaxTokens))
 	for _, token := range p.Tokens {
@@ -144,7 +144,7 @@
 }
 
 // printOfCall tells a call from all others.
-func printOfCall(c *ServiceCall) quarantine.Print {
+func printOfCall(c *ServiceCall) quarantine.Fingerprint {
 	r := quarantine.Request{
 		Service: string(c.Service), Team: string(c.Caller.Team()), Method: c.Method, Target: c.Path, Body: c.Body,
 	}
@@ -152,7 +152,7 @@
 }
 
 // mayRun refuses a request that ends the upstreams that run it.
-func (e *Entry) mayRun(p quarantine.Print) error {
+func (e *Entry) mayRun(p quarantine.Fingerprint) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !slices.Contains(e.ends.ledger.Held(), p) || e.ends.served.Has(p, time.Now()) {
@@ -165,7 +165,7 @@
 // mayRepeat reports whether a request is sent again by ourselves after cause; ran is the
 // outcome of an attempt that may have run. Where one more end decides, it is for its
 // caller to repeat it.
-func (e *Entry) mayRepeat(p quarantine.Print, cause, ran error) bool {
+func (e *Entry) mayRepeat(p quarantine.Fingerprint, cause, ran error) bool {
 	if ran == nil && outcome.KindOf(cause) == outcome.KindNotRun {
 		return true
 	}
@@ -173,7 +173,7 @@
 }
 
 // judged reports whether a request is held or suspected.
-func (e *Entry) judged(p quarantine.Print) bool {
+func (e *Entry) judged(p quarantine.Fingerprint) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Contains(e.ends.ledger.Held(), p) || slices.Contains(e.ends.ledger.Suspects(), p)
@@ -243,12 +243,12 @@
 }
 
 // noteServed notes that a request ran to a good end, and clears it.
-func (e *Entry) noteServed(p quarantine.Print) {
+func (e *Entry) noteServed(p quarantine.Fingerprint) {
 	e.mu.Lock()
 	e.ends.served.Note(p, time.Now())
 	e.mu.Unlock()
 	if e.judged(p) {
-		cleared := endsMessage{Served: []quarantine.Print{p}}
+		cleared := endsMessage{Served: []quarantine.Fingerprint{p}}
 		e.takeEnds(cleared)
 		e.tellEnds(cleared)
 	}
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -255,7 +255,7 @@
 		var seen []quarantine.End
 		for i := range quarantine.Ends {
 			seen = append(seen, quarantine.End{
-				Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Print{bad, {byte(i)}},
+				Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{bad, {byte(i)}},
 			})
 		}
 		if err := two.TakeEnds(wire.MustMarshal(toldNow(seen))); err != nil {
@@ -288,7 +288,7 @@
 		}
 		var seen []quarantine.End
 		for i := range quarantine.Ends {
-			seen = append(seen, quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Print{{1}}})
+			seen = append(seen, quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
 		}
 		first.takeEnds(toldNow(seen))
 		time.Sleep(quarantine.EndKept - time.Minute)
--- a/internal/entry/plan.go
+++ b/internal/entry/plan.go
@@ -28,7 +28,7 @@
 type job struct {
 	prompt Prompt
 	// print tells the prompt from all others.
-	print    quarantine.Print
+	print    quarantine.Fingerprint
 	model    *config.Model
 	class    *config.Class
 	arrived  time.Time
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -39,7 +39,7 @@
 	// ran is the outcome of an attempt that may have run; see answer.verdict.
 	ran error
 	// print tells the call from all others.
-	print quarantine.Print
+	print quarantine.Fingerprint
 }
 
 // Call implements Service.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -176,7 +176,7 @@
 	// mayHaveRun tells that a send may have been run.
 	mayHaveRun bool
 	// print identifies the request across attempts and entries.
-	print quarantine.Print
+	print quarantine.Fingerprint
 	// last is the latest send.
 	last *plan
 	// begun tells that the caller has the status and headers.
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -11,7 +11,7 @@
 )
 
 // printed takes the request's print.
-func (r *run) printed() quarantine.Print {
+func (r *run) printed() quarantine.Fingerprint {
 	q := quarantine.Request{
 		Service: r.service, Team: r.callerName(), Method: r.request.Method,
 		Host: strings.ToLower(r.request.Host), Target: r.request.Target, Body: r.request.Body,
--- a/internal/gateway/lost_test.go
+++ b/internal/gateway/lost_test.go
@@ -13,7 +13,7 @@
 // makes it another request must change it: another team may say the same.
 func TestPrintsTellRequestsApart(t *testing.T) {
 	g, _ := testGateway(t, nil)
-	print := func(change func(*Request)) quarantine.Print {
+	print := func(change func(*Request)) quarantine.Fingerprint {
 		r := request("/resume/x")
 		r.Body = []byte("body")
 		change(r)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -17,7 +17,7 @@
 // verdicts are what this entry was told of requests that end upstreams.
 type verdicts struct {
 	revision       uint64
-	held, suspects map[quarantine.Print]bool
+	held, suspects map[quarantine.Fingerprint]bool
 }
 
 // judgeBy takes in what the control hosts tell. What this entry has served lately it
@@ -29,10 +29,10 @@
 	}
 	s.verdicts = verdicts{
 		revision: view.Revision,
-		held:     make(map[quarantine.Print]bool, len(view.Quarantined)), suspects: make(map[quarantine.Print]bool, len(view.Suspects)),
+		held:     make(map[quarantine.Fingerprint]bool, len(view.Quarantined)), suspects: make(map[quarantine.Fingerprint]bool, len(view.Suspects)),
 	}
-	var cleared []quarantine.Print
-	take := func(told []quarantine.Print, into map[quarantine.Print]bool) {
+	var cleared []quarantine.Fingerprint
+	take := func(told []quarantine.Fingerprint, into map[quarantine.Fingerprint]bool) {
 		for _, p := range told {
 			if s.served.Has(p, now) {
 				cleared = append(cleared, p)
@@ -68,7 +68,7 @@
 	if s.verdicts.held[p] || s.verdicts.suspects[p] {
 		delete(s.verdicts.held, p)
 		delete(s.verdicts.suspects, p)
-		r.gateway.reports.add(steward.Report{Served: []quarantine.Print{p}})
+		r.gateway.reports.add(steward.Report{Served: []quarantine.Fingerprint{p}})
 	}
 }
 
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -16,7 +16,7 @@
 	"github.com/lovagereach/lovagereach/quarantine"
 )
 
-func printOf(t *testing.T, g *Gateway, r *Request) quarantine.Print {
+func printOf(t *testing.T, g *Gateway, r *Request) quarantine.Fingerprint {
 	t.Helper()
 	run, err := g.admit(context.Background(), r)
 	if err != nil {
@@ -26,7 +26,7 @@
 }
 
 // tellHeld tells an entry of held and suspected requests, as a late answer may.
-func tellHeld(g *Gateway, revision uint64, held, suspects []quarantine.Print) {
+func tellHeld(g *Gateway, revision uint64, held, suspects []quarantine.Fingerprint) {
 	g.Told(&steward.WatchAnswer{Partial: true, Quarantine: &steward.QuarantineView{Revision: revision, Quarantined: held, Suspects: suspects}}, time.Now())
 }
 
@@ -41,7 +41,7 @@
 // are served.
 func TestHeldRequestsAreSentToNobody(t *testing.T) {
 	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
-	tellHeld(g, 1, []quarantine.Print{printOf(t, g, withBody("/resume/x", "bad"))}, nil)
+	tellHeld(g, 1, []quarantine.Fingerprint{printOf(t, g, withBody("/resume/x", "bad"))}, nil)
 	resumed, otherTeam := withBody("/resume/x", "bad"), withBody("/resume/x", "bad")
 	resumed.ResumeAfter, otherTeam.Key = "3", "kb"
 	for name, r := range map[string]*Request{"the request": withBody("/resume/x", "bad"), "its resumed stream": resumed} {
@@ -84,7 +84,7 @@
 		if len(g.state.waiting) == 0 {
 			t.Fatal("nothing waits")
 		}
-		tellHeld(g, 1, []quarantine.Print{printOf(t, g, withBody("/safe/x", "bad"))}, nil)
+		tellHeld(g, 1, []quarantine.Fingerprint{printOf(t, g, withBody("/safe/x", "bad"))}, nil)
 		told := time.Now()
 		rec := <-waits
 		if late := time.Since(told); late > 0 {
@@ -120,7 +120,7 @@
 		want := 2
 		if suspected {
 			want = 1
-			tellHeld(g, 1, nil, []quarantine.Print{printOf(t, g, request("/resume/x"))})
+			tellHeld(g, 1, nil, []quarantine.Fingerprint{printOf(t, g, request("/resume/x"))})
 		}
 		if serve(g, request("/resume/x")); sender.count() != want {
 			t.Errorf("suspected %t: %d sends, want %d", suspected, sender.count(), want)
@@ -149,20 +149,20 @@
 		synctest.Wait()
 		poll, fresh := printOf(t, g, withBody("/safe/x", "poll")), printOf(t, g, withBody("/unsafe/x", "new"))
 		for _, e := range g.reports.take().Ends {
-			if !slices.Equal(e.Prints, []quarantine.Print{fresh}) {
+			if !slices.Equal(e.Prints, []quarantine.Fingerprint{fresh}) {
 				t.Errorf("%s is said to have ended with %v", e.Life.Upstream, e.Prints)
 			}
 		}
 		ends = false
-		tellHeld(g, 1, []quarantine.Print{poll, fresh}, nil)
-		if cleared := g.reports.take().Served; !slices.Equal(cleared, []quarantine.Print{poll}) {
+		tellHeld(g, 1, []quarantine.Fingerprint{poll, fresh}, nil)
+		if cleared := g.reports.take().Served; !slices.Equal(cleared, []quarantine.Fingerprint{poll}) {
 			t.Errorf("cleared %v, want %v", cleared, poll)
 		}
 		if rec := serve(g, withBody("/safe/x", "poll")); rec.ends != "done" {
 			t.Errorf("what was served lately ends %q", rec.ends)
 		}
 		time.Sleep(30 * time.Second)
-		tellHeld(g, 2, []quarantine.Print{poll}, nil)
+		tellHeld(g, 2, []quarantine.Fingerprint{poll}, nil)
 		if rec := serve(g, withBody("/safe/x", "poll")); rec.ends != "refused" {
 			t.Errorf("what was served long ago ends %q", rec.ends)
 		}
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -126,16 +126,16 @@
 // QuarantineView is which requests are to be sent to no upstream, and of which further
 // ones one more end decides.
 type QuarantineView struct {
-	Revision    uint64             `cbor:"1,keyasint"`
-	Quarantined []quarantine.Print `cbor:"2,keyasint,omitempty"`
-	Suspects    []quarantine.Print `cbor:"3,keyasint,omitempty"`
+	Revision    uint64                   `cbor:"1,keyasint"`
+	Quarantined []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
+	Suspects    []quarantine.Fingerprint `cbor:"3,keyasint,omitempty"`
 }
 
 // Report is what an entry has seen of requests that end upstreams.
 type Report struct {
 	Ends []quarantine.End `cbor:"1,keyasint,omitempty"`
 	// Served are requests that ran to a good end and were suspected.
-	Served []quarantine.Print `cbor:"2,keyasint,omitempty"`
+	Served []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
 }
 
 // Empty reports whether there is nothing to tell.
--- a/internal/steward/report.go
+++ b/internal/steward/report.go
@@ -57,7 +57,7 @@
 }
 
 // quarantined lists the requests that are sent to no upstream, and counts those suspected.
-func (m *Machine) quarantined() (held []quarantine.Print, suspects int) {
+func (m *Machine) quarantined() (held []quarantine.Fingerprint, suspects int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.quarantine.Held(), len(m.quarantine.Suspects())
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -26,7 +26,7 @@
 	mu       sync.Mutex
 	document bool
 	revision uint64
-	held     []quarantine.Print
+	held     []quarantine.Fingerprint
 	// blind tells that a configuration came without the verdicts known then.
 	blind bool
 }
@@ -62,7 +62,7 @@
 	return e
 }
 
-func (e *reportingEntry) holds(p quarantine.Print) bool {
+func (e *reportingEntry) holds(p quarantine.Fingerprint) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Contains(e.held, p)
@@ -95,7 +95,7 @@
 			return through != nil && leader != nil && *through != leader.options.Self
 		})
 	})
-	allHear := func(what string, p quarantine.Print, held bool) {
+	allHear := func(what string, p quarantine.Fingerprint, held bool) {
 		t.Helper()
 		began := time.Now()
 		f.await(what, func() bool {
@@ -105,13 +105,13 @@
 			t.Errorf("%s after %v, want %v", what, took, toldWithin)
 		}
 	}
-	bad, other := quarantine.Print{1}, quarantine.Print{2}
+	bad, other := quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 	var reports sync.WaitGroup
 	for i := range quarantine.Ends {
 		reports.Go(func() {
 			life := quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}
-			entries[i].report(ctx, &Report{Ends: []quarantine.End{{Life: life, Prints: []quarantine.Print{bad}}}})
-			entries[i+4].report(ctx, &Report{Ends: []quarantine.End{{Life: life, Prints: []quarantine.Print{{byte(10 + i)}}}}})
+			entries[i].report(ctx, &Report{Ends: []quarantine.End{{Life: life, Prints: []quarantine.Fingerprint{bad}}}})
+			entries[i+4].report(ctx, &Report{Ends: []quarantine.End{{Life: life, Prints: []quarantine.Fingerprint{{byte(10 + i)}}}}})
 		})
 	}
 	reports.Wait()
@@ -121,7 +121,7 @@
 	f.kill(lost)
 	f.await("another host leads", func() bool { return f.leader() != nil })
 	for i := range quarantine.Ends {
-		entries[0].report(ctx, &Report{Ends: []quarantine.End{{Life: quarantine.Incarnation{Upstream: fmt.Sprint("later-", i)}, Prints: []quarantine.Print{other}}}})
+		entries[0].report(ctx, &Report{Ends: []quarantine.End{{Life: quarantine.Incarnation{Upstream: fmt.Sprint("later-", i)}, Prints: []quarantine.Fingerprint{other}}}})
 	}
 	allHear("all entries hold the second request", other, true)
 	late := f.startReporting(ctx, "entry-late")
@@ -134,7 +134,7 @@
 		t.Error("an entry that has just started does not hold what all others hold")
 	}
 	entries = append(entries, late)
-	entries[1].report(ctx, &Report{Served: []quarantine.Print{other}})
+	entries[1].report(ctx, &Report{Served: []quarantine.Fingerprint{other}})
 	allHear("all entries send the request on that was served", other, false)
 	if !late.holds(bad) {
 		t.Error("one request was cleared with another")
@@ -145,7 +145,7 @@
 // for ever is never served again once its upstreams are mended.
 func TestOldEndsAreForgotten(t *testing.T) {
 	m, now := NewMachine(), time.Now()
-	m.applyReport(&Report{Ends: []quarantine.End{{Life: quarantine.Incarnation{Upstream: "a"}, Prints: []quarantine.Print{{1}}}}})
+	m.applyReport(&Report{Ends: []quarantine.End{{Life: quarantine.Incarnation{Upstream: "a"}, Prints: []quarantine.Fingerprint{{1}}}}})
 	later := now.Add(quarantine.EndKept + time.Second)
 	if old := m.oldEnds(later); len(old) != 1 {
 		t.Fatalf("%d ends are old after %v", len(old), quarantine.EndKept)
@@ -178,10 +178,10 @@
 	f.put(1, "one")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	entry, bad := f.startReporting(ctx, "entry-1"), quarantine.Print{1}
+	entry, bad := f.startReporting(ctx, "entry-1"), quarantine.Fingerprint{1}
 	var r Report
 	for i := range quarantine.Ends {
-		r.Ends = append(r.Ends, quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Print{bad}})
+		r.Ends = append(r.Ends, quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{bad}})
 	}
 	entry.report(ctx, &r)
 	f.await("the entry holds the request", func() bool { return entry.holds(bad) })
@@ -192,7 +192,7 @@
 // A report that is too long for one command must be told again, not cut.
 func TestReportsBeyondABatchAreToldAgain(t *testing.T) {
 	l := &leadership{reports: &reportBatch{done: make(chan struct{}), size: reportMost - 1}}
-	r := &Report{Served: []quarantine.Print{{1}, {2}}}
+	r := &Report{Served: []quarantine.Fingerprint{{1}, {2}}}
 	if l.join(r) != nil || len(l.reports.report.Served) != 0 {
 		t.Fatal("a report beyond the bound was taken in")
 	}
@@ -207,8 +207,8 @@
 func TestTheLongestReportIsTaken(t *testing.T) {
 	var longest Report
 	for range MostReported {
-		longest.Ends = append(longest.Ends, quarantine.End{Prints: make([]quarantine.Print, quarantine.MaxPrints)})
-		longest.Served = append(longest.Served, quarantine.Print{})
+		longest.Ends = append(longest.Ends, quarantine.End{Prints: make([]quarantine.Fingerprint, quarantine.MaxPrints)})
+		longest.Served = append(longest.Served, quarantine.Fingerprint{})
 	}
 	l := &leadership{reports: &reportBatch{done: make(chan struct{})}}
 	if l.join(&longest) == nil {
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -27,8 +27,8 @@
 
 // End is the end of an upstream with requests that were under way there.
 type End struct {
-	Life   Incarnation `cbor:"1,keyasint"`
-	Prints []Print     `cbor:"2,keyasint"`
+	Life   Incarnation   `cbor:"1,keyasint"`
+	Prints []Fingerprint `cbor:"2,keyasint"`
 }
 
 // Ledger holds the ends of upstreams and judges by them. Two ledgers that took in the
@@ -37,13 +37,13 @@
 	// ends are by the order in which they were first heard of.
 	ends []*End
 	// counts are the ends at which each request stood.
-	counts         map[Print]int
-	held, suspects []Print
+	counts         map[Fingerprint]int
+	held, suspects []Fingerprint
 	revision       uint64
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{counts: make(map[Print]int)} }
+func NewLedger() *Ledger { return &Ledger{counts: make(map[Fingerprint]int)} }
 
 // Ended takes in ends, or further requests that were under way at known ones.
 func (l *Ledger) Ended(ends ...End) {
@@ -71,14 +71,14 @@
 }
 
 // Served clears requests that an upstream has run to a good end.
-func (l *Ledger) Served(prints ...Print) {
+func (l *Ledger) Served(prints ...Fingerprint) {
 	for _, p := range prints {
 		if l.counts[p] == 0 {
 			continue
 		}
 		delete(l.counts, p)
 		for _, e := range l.ends {
-			e.Prints = slices.DeleteFunc(e.Prints, func(other Print) bool { return other == p })
+			e.Prints = slices.DeleteFunc(e.Prints, func(other Fingerprint) bool { return other == p })
 		}
 	}
 	l.judge()
@@ -104,10 +104,10 @@
 }
 
 // Held lists the requests that are to be sent to no upstream, at most MaxTold.
-func (l *Ledger) Held() []Print { return l.held }
+func (l *Ledger) Held() []Fingerprint { return l.held }
 
 // Suspects lists further requests of which one more end may decide, at most MaxTold.
-func (l *Ledger) Suspects() []Print { return l.suspects }
+func (l *Ledger) Suspects() []Fingerprint { return l.suspects }
 
 // Revision grows whenever Held or Suspects change.
 func (l *Ledger) Revision() uint64 { return l.revision }
@@ -147,18 +147,18 @@
 // stood. The others are blamed for what is left, but for those that stood at just the
 // same few ends: held together, an innocent one would never be served again, and so never
 // cleared; one more end tells them apart.
-func (l *Ledger) blame() []Print {
+func (l *Ledger) blame() []Fingerprint {
 	stood := l.standing(Ends)
 	held := alone(stood)
 	explained := endsOf(held, stood)
-	var rest []Print
+	var rest []Fingerprint
 	for p, ends := range stood {
 		if !held[p] && slices.ContainsFunc(ends, func(i int) bool { return !explained[i] }) {
 			rest = append(rest, p)
 		}
 	}
 	for _, p := range rest {
-		same := func(other Print) bool { return other != p && slices.Equal(stood[other], stood[p]) }
+		same := func(other Fingerprint) bool { return other != p && slices.Equal(stood[other], stood[p]) }
 		if len(stood[p]) > Ends || !slices.ContainsFunc(rest, same) {
 			held[p] = true
 		}
@@ -167,14 +167,14 @@
 }
 
 // suspect lists further requests that stood at enough ends which no held one explains.
-func (l *Ledger) suspect(held []Print) []Print {
+func (l *Ledger) suspect(held []Fingerprint) []Fingerprint {
 	stood := l.standing(suspectEnds)
-	isHeld := make(map[Print]bool, len(held))
+	isHeld := make(map[Fingerprint]bool, len(held))
 	for _, p := range held {
 		isHeld[p] = true
 	}
 	explained := endsOf(isHeld, stood)
-	suspects := make(map[Print]bool)
+	suspects := make(map[Fingerprint]bool)
 	for p, ends := range stood {
 		left := len(ends)
 		for _, i := range ends {
@@ -191,8 +191,8 @@
 
 // standing tells for each request that stood at so many ends which these are, by their
 // places.
-func (l *Ledger) standing(least int) map[Print][]int {
-	stood := make(map[Print][]int)
+func (l *Ledger) standing(least int) map[Fingerprint][]int {
+	stood := make(map[Fingerprint][]int)
 	for i, e := range l.ends {
 		for _, p := range e.Prints {
 			if l.counts[p] >= least {
@@ -204,14 +204,14 @@
 }
 
 // alone are the requests at one of whose ends no other of them stood.
-func alone(stood map[Print][]int) map[Print]bool {
+func alone(stood map[Fingerprint][]int) map[Fingerprint]bool {
 	others := make(map[int]int)
 	for _, ends := range stood {
 		for _, i := range ends {
 			others[i]++
 		}
 	}
-	found := make(map[Print]bool)
+	found := make(map[Fingerprint]bool)
 	for p, ends := range stood {
 		if slices.ContainsFunc(ends, func(i int) bool { return others[i] == 1 }) {
 			found[p] = true
@@ -221,7 +221,7 @@
 }
 
 // endsOf are the ends at which some requests stood.
-func endsOf(requests map[Print]bool, stood map[Print][]int) map[int]bool {
+func endsOf(requests map[Fingerprint]bool, stood map[Fingerprint][]int) map[int]bool {
 	ends := make(map[int]bool)
 	for p := range requests {
 		for _, i := range stood[p] {
@@ -232,8 +232,8 @@
 }
 
 // told lists requests in one order, as many as are told.
-func told(requests map[Print]bool) []Print {
-	list := slices.SortedFunc(maps.Keys(requests), func(a, b Print) int { return bytes.Compare(a[:], b[:]) })
+func told(requests map[Fingerprint]bool) []Fingerprint {
+	list := slices.SortedFunc(maps.Keys(requests), func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
 	return list[:min(len(list), MaxTold)]
 }
 
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func printOf(name string) Print {
+func printOf(name string) Fingerprint {
 	r := Request{Team: "growers", Target: name}
 	return r.Print()
 }
@@ -32,7 +32,7 @@
 		{"two ends may be chance", []End{endOf("a", "bad", "x"), endOf("b", "bad")}, nil},
 		{"three ends", []End{endOf("a", "bad", "x"), endOf("b", "bad", "y"), endOf("c", "bad")}, []string{"bad"}},
 		{"the same end told by two entries", []End{endOf("a", "bad"), endOf("a", "bad", "x"), endOf("b", "bad")}, nil},
-		{"another life under the same name", []End{endOf("a", "bad"), endOf("b", "bad"), {Life: Incarnation{"a", 7}, Prints: []Print{printOf("bad")}}}, []string{"bad"}},
+		{"another life under the same name", []End{endOf("a", "bad"), endOf("b", "bad"), {Life: Incarnation{"a", 7}, Prints: []Fingerprint{printOf("bad")}}}, []string{"bad"}},
 		{"one that was repeated to three of four", []End{endOf("a", "bad"), endOf("b", "bad", "x"), endOf("c", "bad", "x"), endOf("d", "bad", "x")}, []string{"bad"}},
 		{"one that stood at the same three", []End{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad", "x")}, nil},
 		{"which the fourth tells apart", []End{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad", "x"), endOf("d", "bad")}, []string{"bad"}},
@@ -47,11 +47,11 @@
 			for _, e := range c.ends {
 				l.Ended(e)
 			}
-			var want []Print
+			var want []Fingerprint
 			for _, name := range c.held {
 				want = append(want, printOf(name))
 			}
-			slices.SortFunc(want, func(a, b Print) int { return bytes.Compare(a[:], b[:]) })
+			slices.SortFunc(want, func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
 			if !slices.Equal(l.Held(), want) {
 				t.Fatalf("held %v, want %v", l.Held(), want)
 			}
@@ -124,7 +124,7 @@
 	for _, e := range []End{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad"), endOf("d", "y"), endOf("e", "y")} {
 		l.Ended(e)
 	}
-	if !slices.Equal(l.Held(), []Print{printOf("bad")}) || !slices.Equal(l.Suspects(), []Print{printOf("y")}) {
+	if !slices.Equal(l.Held(), []Fingerprint{printOf("bad")}) || !slices.Equal(l.Suspects(), []Fingerprint{printOf("y")}) {
 		t.Fatalf("held %v, suspected %v", l.Held(), l.Suspects())
 	}
 }
@@ -137,7 +137,7 @@
 		l.Ended(endOf(fmt.Sprint(i), "bad"))
 	}
 	l.Forget(Incarnation{Upstream: "0"})
-	if len(l.Held()) != 0 || !slices.Equal(l.Suspects(), []Print{printOf("bad")}) {
+	if len(l.Held()) != 0 || !slices.Equal(l.Suspects(), []Fingerprint{printOf("bad")}) {
 		t.Fatalf("held %v, suspected %v", l.Held(), l.Suspects())
 	}
 	crowd := End{Life: Incarnation{Upstream: "crowd"}}
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -17,7 +17,7 @@
 // Attempt is one attempt that broke off.
 type Attempt struct {
 	Request string
-	Print   Print
+	Print   Fingerprint
 }
 
 // Lost are the attempts that broke off at upstreams, until it is known whether these
--- a/quarantine/print.go
+++ b/quarantine/print.go
@@ -8,12 +8,12 @@
 	"io"
 )
 
-// Print tells requests with the same content from all others. It is part of a
+// Fingerprint tells requests with the same content from all others. It is part of a
 // cryptographic digest: nobody can make a request that bears another team's print.
-type Print [16]byte
+type Fingerprint [16]byte
 
 // String returns the beginning, as it stands in logs.
-func (p Print) String() string { return hex.EncodeToString(p[:8]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:8]) }
 
 // Request is what makes two attempts the same request: whose it is, where it goes
 // and what it says. The identity of the attempt is no part of it, nor is the last
@@ -32,14 +32,14 @@
 }
 
 // Print returns the request's print.
-func (r *Request) Print() Print {
+func (r *Request) Print() Fingerprint {
 	digest := sha256.New()
 	for _, field := range []string{r.Service, r.Team, r.Method, r.Host, r.Target} {
 		writeField(digest, field)
 	}
 	// A hash never fails.
 	_, _ = digest.Write(r.Body)
-	var p Print
+	var p Fingerprint
 	copy(p[:], digest.Sum(nil))
 	return p
 }
--- a/quarantine/served.go
+++ b/quarantine/served.go
@@ -13,18 +13,18 @@
 // Served are the requests that were served within ten seconds, and some that were
 // before, in two generations. The zero value is ready; it is not safe for concurrent use.
 type Served struct {
-	young, old map[Print]bool
+	young, old map[Fingerprint]bool
 	turned     time.Time
 }
 
 // Note notes that a request ran to a good end.
-func (s *Served) Note(p Print, now time.Time) {
+func (s *Served) Note(p Fingerprint, now time.Time) {
 	s.turn(now)
 	s.young[p] = true
 }
 
 // Has reports whether a request was served lately.
-func (s *Served) Has(p Print, now time.Time) bool {
+func (s *Served) Has(p Fingerprint, now time.Time) bool {
 	s.turn(now)
 	return s.young[p] || s.old[p]
 }
@@ -38,5 +38,5 @@
 	if age >= 2*servedFor {
 		s.old = nil
 	}
-	s.young, s.turned = make(map[Print]bool), now
+	s.young, s.turned = make(map[Fingerprint]bool), now
 }
--- a/quarantine/served_test.go
+++ b/quarantine/served_test.go
@@ -9,7 +9,7 @@
 func TestServedIsBounded(t *testing.T) {
 	var s Served
 	now := time.Now()
-	numbered := func(i int) Print { return Print{byte(i), byte(i >> 8)} }
+	numbered := func(i int) Fingerprint { return Fingerprint{byte(i), byte(i >> 8)} }
 	for i := range 3 * servedMost {
 		s.Note(numbered(i), now)
 		if len(s.young)+len(s.old) > servedMost {
