--- a/internal/ledger/machine.go
+++ b/internal/ledger/machine.go
@@ -34,7 +34,7 @@
 		trace:   audit.NewTrace(),
 		waiters: make(map[once.KeyID][]chan struct{}),
 	}
-	m.ledger.OnSettle(m.wake)
+	m.ledger.OnResolve(m.wake)
 	return m
 }
 
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -88,9 +88,9 @@
 	l.floor = 0
 }
 
-// OnSettle sets a function that Apply calls with each key whose claim stops
+// OnResolve sets a function that Apply calls with each key whose claim stops
 // being in flight. It must not call the ledger.
-func (l *Ledger) OnSettle(f func(KeyID)) { l.onSettle = f }
+func (l *Ledger) OnResolve(f func(KeyID)) { l.onSettle = f }
 
 func (l *Ledger) settled(id KeyID) {
 	if l.onSettle != nil {
