--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -12,9 +12,9 @@
 	// Requests and Tokens were under way at the upstream, by this entry's and
 	// the others' word; Unread are this entry's prompts not yet begun.
 	Requests, Tokens, Unread int
-	// Reads are the tokens expected to be read, CostMs the weighed prediction.
-	Reads  int
-	CostMs float64
+	// PrefillTokens are the tokens expected to be read, CostMs the weighed prediction.
+	PrefillTokens int
+	CostMs        float64
 	// Home tells that the upstream is the first by hash, Fetched how many parts
 	// were to be fetched, Saved how many to be kept.
 	Home           bool
@@ -114,7 +114,7 @@
 	}
 	return append(fields,
 		"upstream", c.Upstream, "candidates", c.Candidates, "requests", c.Requests, "tokens", c.Tokens, "unread", c.Unread,
-		"reads", c.Reads, "cost_ms", int(c.CostMs), "home", c.Home, "fetched", c.Fetched, "saved", c.Saved,
+		"reads", c.PrefillTokens, "cost_ms", int(c.CostMs), "home", c.Home, "fetched", c.Fetched, "saved", c.Saved,
 		"sources", c.Sources, "pace", math.Round(c.Slowdown*10)/10, "queue", c.Queue,
 		"distrust_ms", ms(c.Distrust), "weights", c.Version)
 }
