--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -41,8 +41,8 @@
 	return l
 }
 
-func endAt(i int) quarantine.End {
-	e := quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{{1}}}
+func endAt(i int) quarantine.Crash {
+	e := quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{{1}}}
 	for n := range endedWith - 1 {
 		e.Prints = append(e.Prints, quarantine.Fingerprint{2, byte(i), byte(i >> 8), byte(n)})
 	}
--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -39,8 +39,8 @@
 // endWord is an end and how long ago it was seen: told on as new, an end would come back
 // to entries that have forgotten it, and never cease to count.
 type endWord struct {
-	End quarantine.End `cbor:"1,keyasint"`
-	Age time.Duration  `cbor:"2,keyasint,omitempty"`
+	End quarantine.Crash `cbor:"1,keyasint"`
+	Age time.Duration    `cbor:"2,keyasint,omitempty"`
 }
 
 // ends is what this entry knows of requests that end upstreams. Each entry judges by
@@ -59,7 +59,7 @@
 }
 
 type ownEnd struct {
-	end  quarantine.End
+	end  quarantine.Crash
 	seen time.Time
 }
 
@@ -71,7 +71,7 @@
 // has changed.
 func (n *ends) take(now time.Time, m endsMessage) bool {
 	before := n.ledger.Revision()
-	var ended []quarantine.End
+	var ended []quarantine.Crash
 	for _, word := range m.Ends {
 		if word.Age < 0 || word.Age >= quarantine.EndKept {
 			continue
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -252,9 +252,9 @@
 		three.engine(t, "runner-1")
 		run(t, two)
 		bad := printOfPrompt(&Prompt{Caller: two.prompt(t, 1).Caller, Model: testModel, Tokens: two.prompt(t, 1).Tokens, MaxTokens: 5, Seed: 7})
-		var seen []quarantine.End
+		var seen []quarantine.Crash
 		for i := range quarantine.Ends {
-			seen = append(seen, quarantine.End{
+			seen = append(seen, quarantine.Crash{
 				Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{bad, {byte(i)}},
 			})
 		}
@@ -286,9 +286,9 @@
 				t.Fatal(err)
 			}
 		}
-		var seen []quarantine.End
+		var seen []quarantine.Crash
 		for i := range quarantine.Ends {
-			seen = append(seen, quarantine.End{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
+			seen = append(seen, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
 		}
 		first.takeEnds(toldNow(seen))
 		time.Sleep(quarantine.EndKept - time.Minute)
@@ -308,7 +308,7 @@
 }
 
 // toldNow is a message on ends that have just been seen.
-func toldNow(seen []quarantine.End) (m endsMessage) {
+func toldNow(seen []quarantine.Crash) (m endsMessage) {
 	for _, end := range seen {
 		m.Ends = append(m.Ends, endWord{End: end})
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -163,6 +163,6 @@
 // caller holds the lock.
 func (g *Gateway) blame(life quarantine.Incarnation, attempts []quarantine.Attempt, now time.Time) {
 	if end := quarantine.Blame(life, attempts, &g.state.served, now); len(end.Prints) > 0 {
-		g.reports.add(steward.Report{Ends: []quarantine.End{end}})
+		g.reports.add(steward.Report{Ends: []quarantine.Crash{end}})
 	}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -216,7 +216,7 @@
 			return nil
 		})
 		for i := range 3 * steward.MostReported {
-			g.reports.add(steward.Report{Ends: []quarantine.End{{Life: quarantine.Incarnation{Born: uint64(i)}}}})
+			g.reports.add(steward.Report{Ends: []quarantine.Crash{{Life: quarantine.Incarnation{Born: uint64(i)}}}})
 			time.Sleep(time.Millisecond)
 		}
 		reached.Store(true)
@@ -225,7 +225,7 @@
 		if len(told.Ends) != steward.MostReported {
 			t.Fatalf("%d ends told, want the latest %d", len(told.Ends), steward.MostReported)
 		}
-		if !slices.ContainsFunc(told.Ends, func(e quarantine.End) bool { return e.Life.Born == 3*steward.MostReported-1 }) {
+		if !slices.ContainsFunc(told.Ends, func(e quarantine.Crash) bool { return e.Life.Born == 3*steward.MostReported-1 }) {
 			t.Fatal("the latest end is not told")
 		}
 	})
@@ -238,15 +238,15 @@
 		g, _ := testGateway(t, nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		endsOf := func(from, to uint64) (ends []quarantine.End) {
+		endsOf := func(from, to uint64) (ends []quarantine.Crash) {
 			for born := from; born < to; born++ {
-				ends = append(ends, quarantine.End{Life: quarantine.Incarnation{Born: born}})
+				ends = append(ends, quarantine.Crash{Life: quarantine.Incarnation{Born: born}})
 			}
 			return ends
 		}
 		g.reports.add(steward.Report{Ends: endsOf(0, steward.MostReported)})
 		tells := 0
-		var told []quarantine.End
+		var told []quarantine.Crash
 		go g.Report(ctx, func(_ context.Context, r *steward.Report) error {
 			if tells++; tells == 1 {
 				g.reports.add(steward.Report{Ends: endsOf(steward.MostReported, steward.MostReported+1)})
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -133,7 +133,7 @@
 
 // Report is what an entry has seen of requests that end upstreams.
 type Report struct {
-	Ends []quarantine.End `cbor:"1,keyasint,omitempty"`
+	Ends []quarantine.Crash `cbor:"1,keyasint,omitempty"`
 	// Served are requests that ran to a good end and were suspected.
 	Served []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -25,8 +25,8 @@
 	Born     uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// End is the end of an upstream with requests that were under way there.
-type End struct {
+// Crash is the end of an upstream with requests that were under way there.
+type Crash struct {
 	Life   Incarnation   `cbor:"1,keyasint"`
 	Prints []Fingerprint `cbor:"2,keyasint"`
 }
@@ -35,7 +35,7 @@
 // same in the same order judge alike. It is not safe for concurrent use.
 type Ledger struct {
 	// ends are by the order in which they were first heard of.
-	ends []*End
+	ends []*Crash
 	// counts are the ends at which each request stood.
 	counts         map[Fingerprint]int
 	held, suspects []Fingerprint
@@ -46,20 +46,20 @@
 func NewLedger() *Ledger { return &Ledger{counts: make(map[Fingerprint]int)} }
 
 // Ended takes in ends, or further requests that were under way at known ones.
-func (l *Ledger) Ended(ends ...End) {
+func (l *Ledger) Ended(ends ...Crash) {
 	for _, e := range ends {
 		l.add(e)
 	}
 	l.judge()
 }
 
-func (l *Ledger) add(e End) {
+func (l *Ledger) add(e Crash) {
 	known := l.find(e.Life)
 	if known == nil {
 		if len(l.ends) == MaxLives {
 			l.drop(0)
 		}
-		known = &End{Life: e.Life}
+		known = &Crash{Life: e.Life}
 		l.ends = append(l.ends, known)
 	}
 	for _, p := range e.Prints {
@@ -87,7 +87,7 @@
 // Forget drops ends.
 func (l *Ledger) Forget(lives ...Incarnation) {
 	for _, life := range lives {
-		if i := slices.IndexFunc(l.ends, func(e *End) bool { return e.Life == life }); i >= 0 {
+		if i := slices.IndexFunc(l.ends, func(e *Crash) bool { return e.Life == life }); i >= 0 {
 			l.drop(i)
 		}
 	}
@@ -112,7 +112,7 @@
 // Revision grows whenever Held or Suspects change.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
-func (l *Ledger) find(life Incarnation) *End {
+func (l *Ledger) find(life Incarnation) *Crash {
 	for _, e := range l.ends {
 		if e.Life == life {
 			return e
@@ -239,15 +239,15 @@
 
 // Saved is a ledger's whole state.
 type Saved struct {
-	Ends     []End  `cbor:"1,keyasint"`
-	Revision uint64 `cbor:"2,keyasint"`
+	Ends     []Crash `cbor:"1,keyasint"`
+	Revision uint64  `cbor:"2,keyasint"`
 }
 
 // Save returns the state.
 func (l *Ledger) Save() Saved {
 	saved := Saved{Revision: l.revision}
 	for _, e := range l.ends {
-		saved.Ends = append(saved.Ends, End{Life: e.Life, Prints: slices.Clone(e.Prints)})
+		saved.Ends = append(saved.Ends, Crash{Life: e.Life, Prints: slices.Clone(e.Prints)})
 	}
 	return saved
 }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -13,8 +13,8 @@
 	return r.Print()
 }
 
-func endOf(upstream string, names ...string) End {
-	e := End{Life: Incarnation{Upstream: upstream}}
+func endOf(upstream string, names ...string) Crash {
+	e := Crash{Life: Incarnation{Upstream: upstream}}
 	for _, name := range names {
 		e.Prints = append(e.Prints, printOf(name))
 	}
@@ -26,20 +26,20 @@
 func TestWhoStoodAtEveryEndIsHeld(t *testing.T) {
 	cases := []struct {
 		name string
-		ends []End
+		ends []Crash
 		held []string
 	}{
-		{"two ends may be chance", []End{endOf("a", "bad", "x"), endOf("b", "bad")}, nil},
-		{"three ends", []End{endOf("a", "bad", "x"), endOf("b", "bad", "y"), endOf("c", "bad")}, []string{"bad"}},
-		{"the same end told by two entries", []End{endOf("a", "bad"), endOf("a", "bad", "x"), endOf("b", "bad")}, nil},
-		{"another life under the same name", []End{endOf("a", "bad"), endOf("b", "bad"), {Life: Incarnation{"a", 7}, Prints: []Fingerprint{printOf("bad")}}}, []string{"bad"}},
-		{"one that was repeated to three of four", []End{endOf("a", "bad"), endOf("b", "bad", "x"), endOf("c", "bad", "x"), endOf("d", "bad", "x")}, []string{"bad"}},
-		{"one that stood at the same three", []End{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad", "x")}, nil},
-		{"which the fourth tells apart", []End{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad", "x"), endOf("d", "bad")}, []string{"bad"}},
-		{"two that end upstreams of their own", []End{
+		{"two ends may be chance", []Crash{endOf("a", "bad", "x"), endOf("b", "bad")}, nil},
+		{"three ends", []Crash{endOf("a", "bad", "x"), endOf("b", "bad", "y"), endOf("c", "bad")}, []string{"bad"}},
+		{"the same end told by two entries", []Crash{endOf("a", "bad"), endOf("a", "bad", "x"), endOf("b", "bad")}, nil},
+		{"another life under the same name", []Crash{endOf("a", "bad"), endOf("b", "bad"), {Life: Incarnation{"a", 7}, Prints: []Fingerprint{printOf("bad")}}}, []string{"bad"}},
+		{"one that was repeated to three of four", []Crash{endOf("a", "bad"), endOf("b", "bad", "x"), endOf("c", "bad", "x"), endOf("d", "bad", "x")}, []string{"bad"}},
+		{"one that stood at the same three", []Crash{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad", "x")}, nil},
+		{"which the fourth tells apart", []Crash{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad", "x"), endOf("d", "bad")}, []string{"bad"}},
+		{"two that end upstreams of their own", []Crash{
 			endOf("a", "bad"), endOf("b", "worse"), endOf("c", "bad"), endOf("d", "worse"), endOf("e", "bad", "worse"), endOf("f", "worse"),
 		}, []string{"bad", "worse"}},
-		{"a whole rack with all its requests", []End{endOf("a", "x", "y"), endOf("b", "z"), endOf("c", "u", "v"), endOf("d", "x")}, nil},
+		{"a whole rack with all its requests", []Crash{endOf("a", "x", "y"), endOf("b", "z"), endOf("c", "u", "v"), endOf("d", "x")}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 // Blamed first it excused them all: they were sent on, and it alone was held.
 func TestOneBesideSeveralExcusesNone(t *testing.T) {
 	l := NewLedger()
-	for _, e := range []End{
+	for _, e := range []Crash{
 		endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "worse", "x"), endOf("d", "worse", "x"),
 		endOf("e", "bad"), endOf("f", "worse"),
 	} {
@@ -121,7 +121,7 @@
 // ends without it is.
 func TestSuspects(t *testing.T) {
 	l := NewLedger()
-	for _, e := range []End{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad"), endOf("d", "y"), endOf("e", "y")} {
+	for _, e := range []Crash{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad"), endOf("d", "y"), endOf("e", "y")} {
 		l.Ended(e)
 	}
 	if !slices.Equal(l.Held(), []Fingerprint{printOf("bad")}) || !slices.Equal(l.Suspects(), []Fingerprint{printOf("y")}) {
@@ -140,7 +140,7 @@
 	if len(l.Held()) != 0 || !slices.Equal(l.Suspects(), []Fingerprint{printOf("bad")}) {
 		t.Fatalf("held %v, suspected %v", l.Held(), l.Suspects())
 	}
-	crowd := End{Life: Incarnation{Upstream: "crowd"}}
+	crowd := Crash{Life: Incarnation{Upstream: "crowd"}}
 	for n := range 2 * MaxPrints {
 		crowd.Prints = append(crowd.Prints, printOf(fmt.Sprint("one of many ", n)))
 	}
@@ -196,8 +196,8 @@
 		b.Run(fmt.Sprintf("%d ends of %d", size.lives, size.prints), func(b *testing.B) {
 			l := NewLedger()
 			next := 0
-			end := func(i int) End {
-				e := End{Life: Incarnation{Upstream: fmt.Sprint(i)}}
+			end := func(i int) Crash {
+				e := Crash{Life: Incarnation{Upstream: fmt.Sprint(i)}}
 				for range size.prints {
 					e.Prints = append(e.Prints, printOf(fmt.Sprint(next%size.of)))
 					next++
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -50,8 +50,8 @@
 
 // Blame is an upstream's end with those of the attempts whose requests were not served
 // lately.
-func Blame(life Incarnation, attempts []Attempt, served *Served, now time.Time) End {
-	end := End{Life: life}
+func Blame(life Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
+	end := Crash{Life: life}
 	for _, a := range attempts {
 		if !served.Has(a.Print, now) && !slices.Contains(end.Prints, a.Print) {
 			end.Prints = append(end.Prints, a.Print)
