--- a/internal/capacity/probes_ledger.go
+++ b/internal/capacity/probes_ledger.go
@@ -121,7 +121,7 @@
 	}
 	for i, m := range membership.Voters {
 		opts := quorum.Options{Self: m.Host, Rand: rand.New(rand.NewPCG(uint64(number), uint64(i)))}
-		node, err := quorum.NewNode(opts, quorum.Form(membership, m.Host), g.now)
+		node, err := quorum.NewNode(opts, quorum.Bootstrap(membership, m.Host), g.now)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -84,7 +84,7 @@
 		}
 	}
 	self := quorum.Member{Host: m.options.Self, Disk: newDiskID()}
-	stored := quorum.Form(quorum.Membership{Voters: []quorum.Member{self}}, m.options.Self)
+	stored := quorum.Bootstrap(quorum.Membership{Voters: []quorum.Member{self}}, m.options.Self)
 	update := disk.Update{
 		Group:    id,
 		Hard:     &stored.HardState,
--- a/quorum/api.go
+++ b/quorum/api.go
@@ -43,10 +43,10 @@
 	return "unknown"
 }
 
-// Form returns the state of a new group's first disk. Exactly one host forms
+// Bootstrap returns the state of a new group's first disk. Exactly one host forms
 // a group, once; the others start from an empty disk (Stored with only
 // HardState.Disk set) and are added as learners.
-func Form(members Membership, self ident.Host) Stored {
+func Bootstrap(members Membership, self ident.Host) Stored {
 	var disk DiskID
 	for _, m := range members.Voters {
 		if m.Host == self {
--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -27,7 +27,7 @@
 	}
 	for i, m := range members.Voters {
 		opts := Options{Self: m.Host, Rand: rand.New(rand.NewPCG(2, uint64(i)))}
-		n, err := NewNode(opts, Form(members, m.Host), g.now)
+		n, err := NewNode(opts, Bootstrap(members, m.Host), g.now)
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -155,7 +155,7 @@
 func BenchmarkRestart(b *testing.B) {
 	for _, entries := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			stored := Form(Membership{Voters: []Member{{"h1", 100}}}, "h1")
+			stored := Bootstrap(Membership{Voters: []Member{{"h1", 100}}}, "h1")
 			for i := range entries {
 				stored.Entries = append(stored.Entries, Entry{Term: 1, Index: formIndex + 1 + uint64(i), Data: make([]byte, 128)})
 			}
--- a/quorum/cases_test.go
+++ b/quorum/cases_test.go
@@ -275,7 +275,7 @@
 
 func feed(t rapid.TB, members Membership, list ...Message) {
 	s := newSim(nil, 1, 1, 0, nil)
-	s.hosts[0].disk = Form(members, "h1")
+	s.hosts[0].disk = Bootstrap(members, "h1")
 	s.boot(s.hosts[0])
 	n := s.hosts[0].node
 	for _, m := range list {
--- a/quorum/example_test.go
+++ b/quorum/example_test.go
@@ -15,7 +15,7 @@
 	now := time.Unix(0, 0)
 	node, err := quorum.NewNode(
 		quorum.Options{Self: self.Host, Rand: rand.New(rand.NewPCG(1, 2))},
-		quorum.Form(quorum.Membership{Voters: []quorum.Member{self}}, self.Host), now)
+		quorum.Bootstrap(quorum.Membership{Voters: []quorum.Member{self}}, self.Host), now)
 	if err != nil {
 		panic(err)
 	}
--- a/quorum/sim_test.go
+++ b/quorum/sim_test.go
@@ -76,7 +76,7 @@
 	}
 	for i, h := range s.hosts {
 		if i < voters {
-			h.disk = Form(members, h.host)
+			h.disk = Bootstrap(members, h.host)
 		}
 		s.boot(h)
 	}
