--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -25,9 +25,9 @@
 	Sources  string
 	Slowdown float64
 	Queue    int
-	// Distrust is what former failures added.
-	Distrust time.Duration
-	Version  uint64
+	// HealthPenalty is what former failures added.
+	HealthPenalty time.Duration
+	Version       uint64
 }
 
 // View is how fresh the inputs were.
@@ -116,7 +116,7 @@
 		"upstream", c.Upstream, "candidates", c.Candidates, "requests", c.Requests, "tokens", c.Tokens, "unread", c.Unread,
 		"reads", c.PrefillTokens, "cost_ms", int(c.CostMs), "home", c.Home, "fetched", c.Fetched, "saved", c.Saved,
 		"sources", c.Sources, "pace", math.Round(c.Slowdown*10)/10, "queue", c.Queue,
-		"distrust_ms", ms(c.Distrust), "weights", c.Version)
+		"distrust_ms", ms(c.HealthPenalty), "weights", c.Version)
 }
 
 func (v *View) append(fields []any) []any {
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -57,7 +57,7 @@
 	p.logged = decision.Choice{
 		Upstream: u.record.ID, Candidates: p.candidates,
 		Requests: u.own.Requests + u.others.Requests, Tokens: u.own.Tokens + u.others.Tokens, Unread: u.own.Unread + u.others.Unread,
-		PrefillTokens: p.reads, CostMs: p.choice.CostMs, Home: p.choice.Home, Distrust: u.trust.cost(now, u.silent),
+		PrefillTokens: p.reads, CostMs: p.choice.CostMs, Home: p.choice.Home, HealthPenalty: u.trust.cost(now, u.silent),
 	}
 	if p.send.Prompt == nil {
 		return
