--- a/internal/controlhost/groups.go
+++ b/internal/controlhost/groups.go
@@ -65,7 +65,7 @@
 	var logged time.Time
 	for {
 		attempt, cancel := context.WithTimeout(ctx, formTimeout)
-		formed, err := h.manager.Form(attempt, id, h.machine(id), h.options.hosts())
+		formed, err := h.manager.Bootstrap(attempt, id, h.machine(id), h.options.hosts())
 		cancel()
 		if err == nil {
 			h.replicas[id].set(formed)
--- a/internal/ledger/real_test.go
+++ b/internal/ledger/real_test.go
@@ -139,7 +139,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), realTimeout)
 	defer cancel()
-	return must(h.manager.Form(ctx, id, machine, c.names))
+	return must(h.manager.Bootstrap(ctx, id, machine, c.names))
 }
 
 // stop ends a control host without a word to the others, as a crash does.
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -67,7 +67,7 @@
 		for _, host := range c.hosts[1:] {
 			host.open(b, port.GroupID(id))
 		}
-		replica, err := c.hosts[0].manager.Form(limit(5*time.Second), port.GroupID(id), &countMachine{}, c.names)
+		replica, err := c.hosts[0].manager.Bootstrap(limit(5*time.Second), port.GroupID(id), &countMachine{}, c.names)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -277,7 +277,7 @@
 		_ = folder.Close()
 	}
 	life(func(m *Manager) {
-		replica, err := m.Form(limit(time.Second), 0, &countMachine{}, nil)
+		replica, err := m.Bootstrap(limit(time.Second), 0, &countMachine{}, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -203,7 +203,7 @@
 
 func (h *testHost) form(id port.GroupID) {
 	h.cluster.t.Helper()
-	replica, err := h.manager.Form(limit(time.Second), id, &listMachine{}, h.cluster.names())
+	replica, err := h.manager.Bootstrap(limit(time.Second), id, &listMachine{}, h.cluster.names())
 	if err != nil {
 		h.cluster.t.Fatal(err)
 	}
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -59,12 +59,12 @@
 	return answer, eris.Wrap(wire.Unmarshal(body, &answer), "replica: identify")
 }
 
-// Form creates a group whose only voter is this host and opens it. It asks all
+// Bootstrap creates a group whose only voter is this host and opens it. It asks all
 // hosts that are meant to take part and refuses when one does not answer or
 // knows the group: a host whose disk was wiped must not form the group a
 // second time. Only the first of hosts in order may form, so that two can't do
 // it at once.
-func (m *Manager) Form(ctx context.Context, id groupID, machine port.StateMachine, hosts []ident.Host) (port.Replica, error) {
+func (m *Manager) Bootstrap(ctx context.Context, id groupID, machine port.StateMachine, hosts []ident.Host) (port.Replica, error) {
 	if first := slices.Min(append(slices.Clone(hosts), m.options.Self)); first != m.options.Self {
 		return nil, eris.Errorf("replica: group %d is formed by host %q", id, first)
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -196,11 +196,11 @@
 		first.crash(0)
 		first.wipe()
 		first.prepare()
-		if _, err := first.manager.Form(limit(time.Second), 0, &listMachine{}, c.names()); !errors.Is(err, ErrFormed) {
+		if _, err := first.manager.Bootstrap(limit(time.Second), 0, &listMachine{}, c.names()); !errors.Is(err, ErrFormed) {
 			t.Errorf("a wiped host forms the group again: %v", err)
 		}
 		first.run()
-		if _, err := c.hosts[1].manager.Form(limit(time.Second), 7, &listMachine{}, c.names()); err == nil {
+		if _, err := c.hosts[1].manager.Bootstrap(limit(time.Second), 7, &listMachine{}, c.names()); err == nil {
 			t.Error("the second host forms a group as well")
 		}
 	})
--- a/internal/steward/formation.go
+++ b/internal/steward/formation.go
@@ -67,7 +67,7 @@
 func (s *Steward) form(ctx context.Context) (port.Replica, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, formTimeout)
-		formed, err := s.manager.Form(attempt, group, s.machine, s.options.Seeds)
+		formed, err := s.manager.Bootstrap(attempt, group, s.machine, s.options.Seeds)
 		cancel()
 		if err == nil {
 			return formed, nil
