--- a/internal/controlhost/groups.go
+++ b/internal/controlhost/groups.go
@@ -72,7 +72,7 @@
 			h.options.Log.Info("group formed", "group", uint32(id))
 			return nil
 		}
-		if errors.Is(err, replica.ErrFormed) {
+		if errors.Is(err, replica.ErrGroupExists) {
 			h.options.Log.Warn("group exists already without this host's disk", "group", uint32(id),
 				"hint", "lovagectl members replace "+string(h.options.Host))
 			return h.open(id)
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -17,8 +17,8 @@
 	ErrBusy = errors.New("replica: too much is waiting, nothing was appended")
 	// ErrStopped reports that the manager is not running.
 	ErrStopped = errors.New("replica: stopped")
-	// ErrFormed reports that a group to be formed exists already.
-	ErrFormed = errors.New("replica: the group exists already")
+	// ErrGroupExists reports that a group to be formed exists already.
+	ErrGroupExists = errors.New("replica: the group exists already")
 	// ErrUnknownGroup reports a group that this host does not hold.
 	ErrUnknownGroup = errors.New("replica: no such group on this host")
 	// ErrBarrier reports a read that could not be proved up to date in time.
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -69,7 +69,7 @@
 		return nil, eris.Errorf("replica: group %d is formed by host %q", id, first)
 	}
 	if _, _, ok, err := m.options.Storage.Load(id); err != nil || ok {
-		return nil, errors.Join(ErrFormed, err)
+		return nil, errors.Join(ErrGroupExists, err)
 	}
 	for _, host := range hosts {
 		if host == m.options.Self {
@@ -80,7 +80,7 @@
 			return nil, err
 		}
 		if answer.Member {
-			return nil, eris.Wrapf(ErrFormed, "host %q is a member", host)
+			return nil, eris.Wrapf(ErrGroupExists, "host %q is a member", host)
 		}
 	}
 	self := quorum.Member{Host: m.options.Self, Disk: newDiskID()}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -196,7 +196,7 @@
 		first.crash(0)
 		first.wipe()
 		first.prepare()
-		if _, err := first.manager.Bootstrap(limit(time.Second), 0, &listMachine{}, c.names()); !errors.Is(err, ErrFormed) {
+		if _, err := first.manager.Bootstrap(limit(time.Second), 0, &listMachine{}, c.names()); !errors.Is(err, ErrGroupExists) {
 			t.Errorf("a wiped host forms the group again: %v", err)
 		}
 		first.run()
--- a/internal/steward/formation.go
+++ b/internal/steward/formation.go
@@ -72,7 +72,7 @@
 		if err == nil {
 			return formed, nil
 		}
-		if errors.Is(err, replica.ErrFormed) {
+		if errors.Is(err, replica.ErrGroupExists) {
 			// The others know the group: this host's disk was wiped, and forming
 			// again would make a second group.
 			return s.manager.Open(group, s.machine)
