--- a/internal/adapter/disk/folder.go
+++ b/internal/adapter/disk/folder.go
@@ -196,12 +196,12 @@
 
 // Load returns what is stored of a group and its snapshot's data; ok is false
 // when nothing is.
-func (f *Folder) Load(group port.GroupID) (stored quorum.Stored, data []byte, ok bool, err error) {
+func (f *Folder) Load(group port.GroupID) (stored quorum.StoredState, data []byte, ok bool, err error) {
 	for {
 		var ref snapshotRef
 		stored, ref, ok, err = f.stored(group)
 		if !ok || err != nil {
-			return quorum.Stored{}, nil, false, err
+			return quorum.StoredState{}, nil, false, err
 		}
 		data, err = f.readSnapshot(group, ref)
 		if err == nil {
@@ -209,19 +209,19 @@
 		}
 		// A later snapshot may have replaced the file before it was read.
 		if _, now, _, _ := f.stored(group); now.File == ref.File {
-			return quorum.Stored{}, nil, false, err
+			return quorum.StoredState{}, nil, false, err
 		}
 	}
 }
 
-func (f *Folder) stored(group port.GroupID) (quorum.Stored, snapshotRef, bool, error) {
+func (f *Folder) stored(group port.GroupID) (quorum.StoredState, snapshotRef, bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state, ok := f.groups[group]
 	if !ok || f.failed != nil {
-		return quorum.Stored{}, snapshotRef{}, false, f.failed
+		return quorum.StoredState{}, snapshotRef{}, false, f.failed
 	}
-	stored := quorum.Stored{
+	stored := quorum.StoredState{
 		HardState: state.hard,
 		Snapshot:  state.snapshot.Meta,
 		Entries:   append([]quorum.Entry(nil), state.entries...),
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -191,7 +191,7 @@
 	return m.start(id, machine, stored, data)
 }
 
-func (m *Manager) start(id groupID, machine port.StateMachine, stored quorum.Stored, data []byte) (port.Replica, error) {
+func (m *Manager) start(id groupID, machine port.StateMachine, stored quorum.StoredState, data []byte) (port.Replica, error) {
 	if err := restoreMachine(machine, data); err != nil {
 		return nil, eris.Wrapf(err, "replica: restore group %d", id)
 	}
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -28,7 +28,7 @@
 
 // Storage is what a manager needs of a data folder; *disk.Folder is one.
 type Storage interface {
-	Load(group port.GroupID) (stored quorum.Stored, data []byte, ok bool, err error)
+	Load(group port.GroupID) (stored quorum.StoredState, data []byte, ok bool, err error)
 	Save(update disk.Update) error
 	Start(update disk.Update, done func(error))
 	Err() error
--- a/quorum/api.go
+++ b/quorum/api.go
@@ -46,14 +46,14 @@
 // Bootstrap returns the state of a new group's first disk. Exactly one host forms
 // a group, once; the others start from an empty disk (Stored with only
 // HardState.Disk set) and are added as learners.
-func Bootstrap(members Membership, self ident.Host) Stored {
+func Bootstrap(members Membership, self ident.Host) StoredState {
 	var disk DiskID
 	for _, m := range members.Voters {
 		if m.Host == self {
 			disk = m.Disk
 		}
 	}
-	return Stored{
+	return StoredState{
 		HardState: HardState{Term: formTerm, Disk: disk},
 		Snapshot:  SnapshotMeta{Index: formIndex, Term: formTerm, Members: members},
 	}
--- a/quorum/api_test.go
+++ b/quorum/api_test.go
@@ -69,7 +69,7 @@
 		t.Error("a snapshot is described beyond what was applied")
 	}
 	for _, id := range []DiskID{0, 7} {
-		stored := Stored{HardState: HardState{Disk: id}, Entries: []Entry{{Index: 1 + uint64(id)}}}
+		stored := StoredState{HardState: HardState{Disk: id}, Entries: []Entry{{Index: 1 + uint64(id)}}}
 		if _, err := NewNode(Options{Self: "h1", Rand: s.rand}, stored, s.now); err == nil {
 			t.Errorf("disk %d with entries from %d on is taken", id, stored.Entries[0].Index)
 		}
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -29,7 +29,7 @@
 	members Membership
 }
 
-func newEntryLog(stored Stored) entryLog {
+func newEntryLog(stored StoredState) entryLog {
 	l := entryLog{base: stored.Snapshot}
 	l.entries = make([]Entry, 0, len(stored.Entries))
 	l.commit = l.base.Index
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -46,7 +46,7 @@
 
 // NewNode starts a node from what its disk holds. Stored.HardState must carry a
 // DiskID. The first Ready holds the HardState with the new incarnation.
-func NewNode(opts Options, stored Stored, now time.Time) (*Node, error) {
+func NewNode(opts Options, stored StoredState, now time.Time) (*Node, error) {
 	if err := opts.Validate(); err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 }
 
 // checkStored refuses a log with gaps, which would break the log's indexing.
-func (n *Node) checkStored(stored Stored) error {
+func (n *Node) checkStored(stored StoredState) error {
 	next := stored.Snapshot.Index
 	for _, e := range stored.Entries {
 		if e.Index <= stored.Snapshot.Index {
--- a/quorum/sim_test.go
+++ b/quorum/sim_test.go
@@ -69,7 +69,7 @@
 	var members Membership
 	for i := range hosts {
 		name := ident.Host(fmt.Sprintf("h%d", i+1))
-		s.hosts = append(s.hosts, &simHost{host: name, disk: Stored{HardState: HardState{Disk: DiskID(100 + i)}}})
+		s.hosts = append(s.hosts, &simHost{host: name, disk: StoredState{HardState: HardState{Disk: DiskID(100 + i)}}})
 		if i < voters {
 			members.Voters = append(members.Voters, Member{name, DiskID(100 + i)})
 		}
--- a/quorum/simhost_test.go
+++ b/quorum/simhost_test.go
@@ -11,9 +11,9 @@
 type simHost struct {
 	host    ident.Host
 	node    *Node
-	disk    Stored
-	lost    []Stored // disks replaced by wipe
-	data    []byte   // snapshot data on disk
+	disk    StoredState
+	lost    []StoredState // disks replaced by wipe
+	data    []byte        // snapshot data on disk
 	drift   float64
 	clock   time.Duration // shown since the start
 	paused  time.Time
@@ -66,7 +66,7 @@
 // wipe replaces the disk of a stopped host by an empty one.
 func (h *simHost) wipe(disk DiskID) {
 	h.lost = append(h.lost, h.disk)
-	h.disk, h.data = Stored{HardState: HardState{Disk: disk}}, nil
+	h.disk, h.data = StoredState{HardState: HardState{Disk: disk}}, nil
 }
 
 // diskCopy returns a function that puts the disk back to what it is now.
--- a/quorum/types.go
+++ b/quorum/types.go
@@ -97,8 +97,8 @@
 	Data []byte       `cbor:"2,keyasint,omitempty"`
 }
 
-// Stored is what a host reads back from its disk at a start.
-type Stored struct {
+// StoredState is what a host reads back from its disk at a start.
+type StoredState struct {
 	HardState HardState
 	// Snapshot is the latest synced snapshot's description; its data goes to
 	// the state machine.
