--- a/admit/controller.go
+++ b/admit/controller.go
@@ -53,10 +53,10 @@
 func (c *Controller) SetShares(shares map[ident.Team]Share) error {
 	total := 0.0
 	for name, s := range shares {
-		if s.Floor < 0 || s.Ceiling < 0 || s.Ceiling > 1 || s.Ceiling > 0 && s.Floor > s.Ceiling {
-			return fmt.Errorf("admit: share of team %q out of range: floor %v, ceiling %v", name, s.Floor, s.Ceiling)
+		if s.Guaranteed < 0 || s.Ceiling < 0 || s.Ceiling > 1 || s.Ceiling > 0 && s.Guaranteed > s.Ceiling {
+			return fmt.Errorf("admit: share of team %q out of range: floor %v, ceiling %v", name, s.Guaranteed, s.Ceiling)
 		}
-		total += s.Floor
+		total += s.Guaranteed
 	}
 	if total > 1 {
 		return fmt.Errorf("admit: floors add up to %v of the pool", total)
--- a/admit/controller_test.go
+++ b/admit/controller_test.go
@@ -158,10 +158,10 @@
 			map[ident.Team]Share{"a": {Ceiling: 0.5}}, map[ident.Team]int{"a": 200},
 			nil, map[ident.Team]int{"a": 5}},
 		{"floor is kept among many",
-			map[ident.Team]Share{"a": {Floor: 0.5}}, map[ident.Team]int{"a": 200, "b": 200, "c": 200, "d": 200, "e": 200},
+			map[ident.Team]Share{"a": {Guaranteed: 0.5}}, map[ident.Team]int{"a": 200, "b": 200, "c": 200, "d": 200, "e": 200},
 			map[ident.Team]int{"a": 5, "b": 1, "c": 1, "d": 1, "e": 1}, nil},
 		{"unused floor is lent",
-			map[ident.Team]Share{"a": {Floor: 0.5}}, map[ident.Team]int{"b": 200},
+			map[ident.Team]Share{"a": {Guaranteed: 0.5}}, map[ident.Team]int{"b": 200},
 			map[ident.Team]int{"b": 10}, nil},
 	}
 	for _, tt := range tests {
@@ -194,7 +194,7 @@
 			}
 		})
 	}
-	if err := New(fixed(1)).SetShares(map[ident.Team]Share{"a": {Floor: 0.7}, "b": {Floor: 0.7}}); err == nil {
+	if err := New(fixed(1)).SetShares(map[ident.Team]Share{"a": {Guaranteed: 0.7}, "b": {Guaranteed: 0.7}}); err == nil {
 		t.Error("floors above the whole pool were taken")
 	}
 }
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -170,7 +170,7 @@
 // place puts a team's lanes where they belong after a change of its counts.
 func (c *Controller) place(t *team) {
 	limit := float64(c.limit.Value())
-	t.belowFloor = float64(t.running) < t.share.Floor*limit
+	t.belowFloor = float64(t.running) < t.share.Guaranteed*limit
 	atCeiling := t.running > 0 && float64(t.running) >= t.share.Ceiling*limit
 	placeLane(&c.urgent, &t.urgent, atCeiling)
 	placeLane(&c.relaxed, &t.relaxed, atCeiling)
--- a/admit/types.go
+++ b/admit/types.go
@@ -38,7 +38,7 @@
 // Share is the part of a pool that a team may count on and may use at most, as
 // fractions of the pool's limit. A zero Ceiling means 1.
 type Share struct {
-	Floor, Ceiling float64
+	Guaranteed, Ceiling float64
 }
 
 // Grant lets a request start.
--- a/internal/capacity/probes_home.go
+++ b/internal/capacity/probes_home.go
@@ -153,7 +153,7 @@
 func sharesOf(teams int) map[ident.Team]admit.Share {
 	shares := make(map[ident.Team]admit.Share, teams)
 	for i := range teams {
-		shares[ident.Team(fmt.Sprintf("team-%06d", i))] = admit.Share{Floor: 0.5 / float64(teams)}
+		shares[ident.Team(fmt.Sprintf("team-%06d", i))] = admit.Share{Guaranteed: 0.5 / float64(teams)}
 	}
 	return shares
 }
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -128,8 +128,8 @@
 	for team := range snapshot.Teams() {
 		if team.Share.Guaranteed != 0 || team.Share.Maximum != 0 {
 			shares[team.Name] = admit.Share{
-				Floor:   team.Share.Guaranteed.Fraction(),
-				Ceiling: team.Share.Maximum.Fraction(),
+				Guaranteed: team.Share.Guaranteed.Fraction(),
+				Ceiling:    team.Share.Maximum.Fraction(),
 			}
 		}
 	}
