--- a/once/command.go
+++ b/once/command.go
@@ -113,13 +113,13 @@
 	// Configure sets the ledger's options.
 	Configure *Options `cbor:"6,keyasint,omitempty"`
 	// Seal is committed when the number of shards grows.
-	Seal *Seal `cbor:"7,keyasint,omitempty"`
+	Seal *Reshard `cbor:"7,keyasint,omitempty"`
 }
 
-// Seal tells a ledger that keys are now spread over Shards shards, of which it
+// Reshard tells a ledger that keys are now spread over Shards shards, of which it
 // is Self. It goes on answering for every key it knows, and takes new keys only
 // if they are still its own.
-type Seal struct {
+type Reshard struct {
 	Self   uint32 `cbor:"1,keyasint"`
 	Shards uint32 `cbor:"2,keyasint"`
 }
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -61,7 +61,7 @@
 	holds        deadlines
 	forgets      deadlines
 	expired      filter
-	seal         Seal
+	seal         Reshard
 	// floor is the date up to which dated keys have been refused as too old.
 	// It never falls, also when the retention is raised: the records of keys
 	// older than it are gone.
@@ -84,7 +84,7 @@
 	l.holds, l.forgets = nil, nil
 	l.bytes = 0
 	l.expired = filter{}
-	l.seal = Seal{}
+	l.seal = Reshard{}
 	l.floor = 0
 }
 
@@ -153,7 +153,7 @@
 
 // sealShards takes a seal if it spreads the keys wider than the one before; a
 // late copy of an older one changes nothing.
-func (l *Ledger) sealShards(s Seal) Result {
+func (l *Ledger) sealShards(s Reshard) Result {
 	if s.Self >= s.Shards {
 		return Result{Status: StatusBad, Detail: "a shard's number must be below the number of shards"}
 	}
--- a/once/snapshot.go
+++ b/once/snapshot.go
@@ -19,7 +19,7 @@
 	// Records holds Keys records, see appendRecord.
 	Records []byte       `cbor:"5,keyasint"`
 	Layers  []layerImage `cbor:"6,keyasint"`
-	Seal    Seal         `cbor:"7,keyasint"`
+	Seal    Reshard      `cbor:"7,keyasint"`
 	Floor   int64        `cbor:"8,keyasint"`
 	Keys    int          `cbor:"9,keyasint"`
 }
