--- a/once/bounds_test.go
+++ b/once/bounds_test.go
@@ -96,7 +96,7 @@
 	for i := range 600 {
 		if i == 300 {
 			for self := range uint32(before) {
-				ledgers[self].must(t, StatusOK, Command{Seal: &Reshard{Self: self, Shards: after}})
+				ledgers[self].must(t, StatusOK, Command{Reshard: &Reshard{Self: self, Shards: after}})
 			}
 		}
 		first, second := testClaim(fmt.Sprint(i), 1), testClaim(fmt.Sprint(i), 2)
--- a/once/command.go
+++ b/once/command.go
@@ -112,8 +112,8 @@
 	Lost *Owner `cbor:"5,keyasint,omitempty"`
 	// Configure sets the ledger's options.
 	Configure *Options `cbor:"6,keyasint,omitempty"`
-	// Seal is committed when the number of shards grows.
-	Seal *Reshard `cbor:"7,keyasint,omitempty"`
+	// Reshard is committed when the number of shards grows.
+	Reshard *Reshard `cbor:"7,keyasint,omitempty"`
 }
 
 // Reshard tells a ledger that keys are now spread over Shards shards, of which it
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -129,8 +129,8 @@
 		return Result{Status: StatusOK}
 	case c.Configure != nil:
 		return l.configure(*c.Configure)
-	case c.Seal != nil:
-		return l.sealShards(*c.Seal)
+	case c.Reshard != nil:
+		return l.sealShards(*c.Reshard)
 	default:
 		return Result{Status: StatusOK}
 	}
