--- a/internal/entry/budgets.go
+++ b/internal/entry/budgets.go
@@ -16,8 +16,8 @@
 	for team := range snapshot.Teams() {
 		if team.Share.Guaranteed != 0 || team.Share.Maximum != 0 {
 			budgets[team.Name] = keep.Budget{
-				Floor:   team.Share.Guaranteed.Fraction(),
-				Ceiling: team.Share.Maximum.Fraction(),
+				Guaranteed: team.Share.Guaranteed.Fraction(),
+				Ceiling:    team.Share.Maximum.Fraction(),
 			}
 		}
 	}
--- a/keep/team.go
+++ b/keep/team.go
@@ -65,8 +65,8 @@
 // Budget is what one team is promised and allowed of each tier, as shares of
 // this process's part. Zero fields mean the defaults of Options.
 type Budget struct {
-	Floor   float64
-	Ceiling float64
+	Guaranteed float64
+	Ceiling    float64
 }
 
 // SetBudgets replaces the budgets that operators have set for teams.
@@ -76,7 +76,7 @@
 
 // floor is what a team may hold of a tier without being asked to give way.
 func (m *Manager) floor(t *teamUse, tier prefix.Tier) float64 {
-	if floor := m.budgets[t.team].Floor; floor > 0 {
+	if floor := m.budgets[t.team].Guaranteed; floor > 0 {
 		return m.room(tier) * floor
 	}
 	return m.room(tier) * m.opts.TeamFloor / float64(max(len(m.teams), 1))
