--- a/internal/ledger/do.go
+++ b/internal/ledger/do.go
@@ -24,8 +24,8 @@
 	Class   ident.Class
 }
 
-// Done is the answer to a Call.
-type Done struct {
+// Result is the answer to a Call.
+type Result struct {
 	Answer once.Answer
 	// Replayed tells that the answer was recorded for an earlier request.
 	Replayed bool
@@ -44,12 +44,12 @@
 // after it was recorded, so that a duplicate gets the same one; if the ledger
 // can't take it within SettleWait, the caller is not kept from its answer and
 // the recording goes on in the background.
-func (c *Client) Do(ctx context.Context, call Call, send SendFunc) (Done, error) {
+func (c *Client) Do(ctx context.Context, call Call, send SendFunc) (Result, error) {
 	c.unsettled.Add(1)
 	defer c.unsettled.Add(-1)
 	self, assigned := c.awaitSelf(ctx)
 	if !assigned {
-		return Done{}, unavailable(errNoAnswer)
+		return Result{}, unavailable(errNoAnswer)
 	}
 	claim := once.Claim{
 		Key: call.Key, Digest: call.Digest, Owner: self, ID: newClaimID(),
@@ -62,24 +62,24 @@
 		c.settleLater(releaseOf(last.group, claim, outcome.ReasonLedgerDown))
 	}
 	if err != nil {
-		return Done{}, unavailable(err)
+		return Result{}, unavailable(err)
 	}
 	switch result.Status {
 	case once.StatusWon:
 		return c.sendClaimed(ctx, last.group, claim, send)
 	case once.StatusInFlight:
-		return Done{}, &outcome.Unknown{Reason: outcome.ReasonTimeout, Detail: "the first call under this key is still in flight"}
+		return Result{}, &outcome.Unknown{Reason: outcome.ReasonTimeout, Detail: "the first call under this key is still in flight"}
 	case once.StatusAnswered:
-		return Done{Answer: *result.Answer, Replayed: true}, result.Err()
+		return Result{Answer: *result.Answer, Replayed: true}, result.Err()
 	default:
-		return Done{}, result.Err()
+		return Result{}, result.Err()
 	}
 }
 
-func (c *Client) sendClaimed(ctx context.Context, group port.GroupID, claim once.Claim, send SendFunc) (Done, error) {
+func (c *Client) sendClaimed(ctx context.Context, group port.GroupID, claim once.Claim, send SendFunc) (Result, error) {
 	if err := ctx.Err(); err != nil {
 		c.settle(ctx, releaseOf(group, claim, outcome.ReasonCallerGone))
-		return Done{}, &outcome.NotRun{Reason: outcome.ReasonCallerGone, Detail: "the deadline passed or the caller left before the call was sent"}
+		return Result{}, &outcome.NotRun{Reason: outcome.ReasonCallerGone, Detail: "the deadline passed or the caller left before the call was sent"}
 	}
 	sending, cancel := detached(ctx)
 	defer cancel()
@@ -87,12 +87,12 @@
 	var notRun *outcome.NotRun
 	if errors.As(err, &notRun) {
 		c.settle(ctx, releaseOf(group, claim, notRun.Reason))
-		return Done{}, err
+		return Result{}, err
 	}
 	answer = answerOf(answer, err, claim.Request)
 	record := &once.Record{Key: claim.Key, ID: claim.ID, Answer: answer.Bounded()}
 	c.settle(ctx, settlement{group: group, record: record})
-	return Done{Answer: answer}, answer.Err()
+	return Result{Answer: answer}, answer.Err()
 }
 
 // detached keeps the deadline of ctx but not its cancellation. A caller whose
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -84,14 +84,14 @@
 	answers []said
 
 	// do and send stand in for the real ones when a bug is seeded.
-	do   func(*Client, context.Context, Call, SendFunc) (Done, error)
+	do   func(*Client, context.Context, Call, SendFunc) (Result, error)
 	send func(SendFunc) SendFunc
 }
 
 // said is what a caller was told.
 type said struct {
 	request ident.Request
-	done    Done
+	done    Result
 	err     error
 	ranThen bool
 }
@@ -322,14 +322,14 @@
 // Each seeded bug is one that a careless change could bring. The trials must
 // notice it, or their silence above means nothing.
 func TestSeededBugsAreNoticed(t *testing.T) {
-	sendFirst := func(c *Client, ctx context.Context, call Call, send SendFunc) (Done, error) {
+	sendFirst := func(c *Client, ctx context.Context, call Call, send SendFunc) (Result, error) {
 		answer, err := send(ctx)
 		if err != nil {
-			return Done{}, err
+			return Result{}, err
 		}
 		return c.Do(ctx, call, func(context.Context) (once.Answer, error) { return answer, nil })
 	}
-	ledgerDownIsNotRun := func(c *Client, ctx context.Context, call Call, send SendFunc) (Done, error) {
+	ledgerDownIsNotRun := func(c *Client, ctx context.Context, call Call, send SendFunc) (Result, error) {
 		done, err := c.Do(ctx, call, send)
 		if outcome.KindOf(err) == outcome.KindUnknown {
 			err = &outcome.NotRun{Reason: outcome.ReasonTimeout}
@@ -345,7 +345,7 @@
 			return answer, err
 		}
 	}
-	otherBody := func(c *Client, ctx context.Context, call Call, send SendFunc) (Done, error) {
+	otherBody := func(c *Client, ctx context.Context, call Call, send SendFunc) (Result, error) {
 		done, err := c.Do(ctx, call, send)
 		if done.Replayed {
 			done.Answer.Body = []byte("k run 1 for somebody")
