--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -66,11 +66,11 @@
 
 // Reply is the answer to every message.
 type Reply struct {
-	Code   ReplyCode          `cbor:"1,keyasint"`
-	Leader ident.Host         `cbor:"2,keyasint,omitempty"`
-	Result *once.Result       `cbor:"3,keyasint,omitempty"`
-	Trace  *audit.TraceResult `cbor:"4,keyasint,omitempty"`
-	Found  *audit.Result      `cbor:"5,keyasint,omitempty"`
+	Code        ReplyCode          `cbor:"1,keyasint"`
+	Leader      ident.Host         `cbor:"2,keyasint,omitempty"`
+	Result      *once.Result       `cbor:"3,keyasint,omitempty"`
+	Trace       *audit.TraceResult `cbor:"4,keyasint,omitempty"`
+	QueryResult *audit.Result      `cbor:"5,keyasint,omitempty"`
 }
 
 // command is one entry of a ledger group's log: of the ledger or of the trace.
--- a/internal/ledger/server.go
+++ b/internal/ledger/server.go
@@ -223,7 +223,7 @@
 		return Reply{Code: ReplyNotLeader, Leader: g.Replica.Status().Leader}
 	}
 	found := g.Machine.Query(now, q)
-	return Reply{Code: ReplyOK, Found: &found}
+	return Reply{Code: ReplyOK, QueryResult: &found}
 }
 
 // Audit answers a query from the traces of all groups on this control host, past
--- a/internal/ledger/tracer.go
+++ b/internal/ledger/tracer.go
@@ -341,8 +341,8 @@
 		if err != nil {
 			return audit.Result{}, err
 		}
-		if reply.Found != nil {
-			all = audit.Merge(all, *reply.Found, q)
+		if reply.QueryResult != nil {
+			all = audit.Merge(all, *reply.QueryResult, q)
 		}
 	}
 	return all, nil
