--- a/keep/options.go
+++ b/keep/options.go
@@ -17,11 +17,11 @@
 	// Share is this process's part of each store's room and link, for
 	// example one over the number of entry processes that are homes.
 	Share float64
-	// TeamFloor is the share of a tier that all teams together are
+	// TeamGuaranteed is the share of a tier that all teams together are
 	// guaranteed, split evenly over the teams present; TeamCeiling is the
 	// most that one team may hold of a tier.
-	TeamFloor   float64
-	TeamCeiling float64
+	TeamGuaranteed float64
+	TeamCeiling    float64
 	// LinkShare is the part of a link that exports may use, LinkCeiling the
 	// most that one team may take of that while others wait.
 	LinkShare   float64
@@ -70,7 +70,7 @@
 	setDefault(&o.MaxStores, DefaultMaxStores)
 	setDefault(&o.MaxRecords, DefaultMaxRecords)
 	setDefault(&o.Share, 1)
-	setDefault(&o.TeamFloor, DefaultTeamFloor)
+	setDefault(&o.TeamGuaranteed, DefaultTeamFloor)
 	setDefault(&o.TeamCeiling, DefaultTeamCeiling)
 	setDefault(&o.LinkShare, DefaultLinkShare)
 	setDefault(&o.LinkCeiling, DefaultLinkCeiling)
@@ -114,7 +114,7 @@
 		value float64
 	}{
 		{"share", o.Share},
-		{"team floor", o.TeamFloor},
+		{"team floor", o.TeamGuaranteed},
 		{"team ceiling", o.TeamCeiling},
 		{"link share", o.LinkShare},
 		{"link ceiling", o.LinkCeiling},
--- a/keep/team.go
+++ b/keep/team.go
@@ -79,7 +79,7 @@
 	if floor := m.budgets[t.team].Guaranteed; floor > 0 {
 		return m.room(tier) * floor
 	}
-	return m.room(tier) * m.opts.TeamFloor / float64(max(len(m.teams), 1))
+	return m.room(tier) * m.opts.TeamGuaranteed / float64(max(len(m.teams), 1))
 }
 
 // ceiling is the most that one team may hold of a tier while others want room.
