--- a/internal/control/client/options.go
+++ b/internal/control/client/options.go
@@ -33,10 +33,10 @@
 	// Addresses are the peer addresses of the control hosts.
 	Addresses []string
 	Log       *log.Logger
-	// Changed is called with each new revision, in order, from one goroutine.
+	// OnRevision is called with each new revision, in order, from one goroutine.
 	// It may be nil. The revision is acknowledged only after it returns, so
 	// what it sets up is in force once the revision is.
-	Changed func(*config.Snapshot)
+	OnRevision func(*config.Snapshot)
 	// Upstreams returns the engines that the entry follows. It may be nil.
 	Upstreams func() []protocol.Upstream
 
--- a/internal/control/client/watch.go
+++ b/internal/control/client/watch.go
@@ -85,8 +85,8 @@
 
 func (c *Client) adopt(next *config.Snapshot) {
 	c.current.Store(next)
-	if c.opts.Changed != nil {
-		c.opts.Changed(next)
+	if c.opts.OnRevision != nil {
+		c.opts.OnRevision(next)
 	}
 	c.acked.Store(uint64(next.Revision()))
 	c.count(func(n *Counts) { n.Updates++ })
