--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -182,7 +182,7 @@
 // noteLost notes that an attempt broke off, and looks once whether its upstream has
 // ended.
 func (e *Entry) noteLost(id ident.Upstream, incarnation ident.Incarnation, address string, a quarantine.Attempt) {
-	life := quarantine.Incarnation{Upstream: string(id), Born: uint64(incarnation)}
+	life := quarantine.Incarnation{Upstream: string(id), StartedMs: uint64(incarnation)}
 	e.mu.Lock()
 	first := e.ends.lost.Add(life, a)
 	e.mu.Unlock()
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -216,7 +216,7 @@
 			return nil
 		})
 		for i := range 3 * steward.MostReported {
-			g.reports.add(steward.Report{Ends: []quarantine.Crash{{Life: quarantine.Incarnation{Born: uint64(i)}}}})
+			g.reports.add(steward.Report{Ends: []quarantine.Crash{{Life: quarantine.Incarnation{StartedMs: uint64(i)}}}})
 			time.Sleep(time.Millisecond)
 		}
 		reached.Store(true)
@@ -225,7 +225,7 @@
 		if len(told.Ends) != steward.MostReported {
 			t.Fatalf("%d ends told, want the latest %d", len(told.Ends), steward.MostReported)
 		}
-		if !slices.ContainsFunc(told.Ends, func(e quarantine.Crash) bool { return e.Life.Born == 3*steward.MostReported-1 }) {
+		if !slices.ContainsFunc(told.Ends, func(e quarantine.Crash) bool { return e.Life.StartedMs == 3*steward.MostReported-1 }) {
 			t.Fatal("the latest end is not told")
 		}
 	})
@@ -240,7 +240,7 @@
 		defer cancel()
 		endsOf := func(from, to uint64) (ends []quarantine.Crash) {
 			for born := from; born < to; born++ {
-				ends = append(ends, quarantine.Crash{Life: quarantine.Incarnation{Born: born}})
+				ends = append(ends, quarantine.Crash{Life: quarantine.Incarnation{StartedMs: born}})
 			}
 			return ends
 		}
@@ -257,7 +257,7 @@
 		})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if len(told) != steward.MostReported || told[len(told)-1].Life.Born != steward.MostReported {
+		if len(told) != steward.MostReported || told[len(told)-1].Life.StartedMs != steward.MostReported {
 			t.Fatalf("told %d ends without the latest", len(told))
 		}
 	})
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -21,8 +21,8 @@
 
 // Incarnation is one life of an upstream.
 type Incarnation struct {
-	Upstream string `cbor:"1,keyasint"`
-	Born     uint64 `cbor:"2,keyasint,omitempty"`
+	Upstream  string `cbor:"1,keyasint"`
+	StartedMs uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // Crash is the end of an upstream with requests that were under way there.
