--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -111,9 +111,9 @@
 	return c.child.Expiry()
 }
 
-// Alive returns the entries that callers may be sent to, those of the given
+// AvailableEntries returns the entries that callers may be sent to, those of the given
 // data centre first.
-func (c *Client) Alive(near ident.DataCentre) []member.Member {
+func (c *Client) AvailableEntries(near ident.DataCentre) []member.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.child.Members().Alive(member.RoleEntry, near)
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -14,7 +14,7 @@
 
 func aliveAt(c *client.Client) []ident.Host {
 	var hosts []ident.Host
-	for _, m := range c.Alive("hall-north") {
+	for _, m := range c.AvailableEntries("hall-north") {
 		hosts = append(hosts, m.Host)
 	}
 	return hosts
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -27,7 +27,7 @@
 
 // Entries implements entry.Control.
 func (c controlView) Entries() []entry.Peer {
-	alive := c.client.Alive(c.near)
+	alive := c.client.AvailableEntries(c.near)
 	peers := make([]entry.Peer, 0, len(alive))
 	for _, m := range alive {
 		peers = append(peers, entry.Peer{
