--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -45,9 +45,9 @@
 	Next uint64 `cbor:"2,keyasint"`
 }
 
-// Held is how far a reader has followed one source. It says the same to every
+// Progress is how far a reader has followed one source. It says the same to every
 // writer, unlike a position.
-type Held struct {
+type Progress struct {
 	Address     string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Next        uint64 `cbor:"3,keyasint"`
@@ -55,9 +55,9 @@
 
 // Question asks for what a reader lacks: after At or, if Listed, beyond Held.
 type Question struct {
-	At       Position `cbor:"1,keyasint"`
-	Listed   bool     `cbor:"2,keyasint,omitempty"`
-	Progress []Held   `cbor:"3,keyasint,omitempty"`
+	At       Position   `cbor:"1,keyasint"`
+	Listed   bool       `cbor:"2,keyasint,omitempty"`
+	Progress []Progress `cbor:"3,keyasint,omitempty"`
 }
 
 // Update answers a Question.
@@ -255,7 +255,7 @@
 	question := Question{Listed: true}
 	for _, address := range b.Addresses() {
 		p := b.shelves[address]
-		question.Progress = append(question.Progress, Held{Address: address, Incarnation: p.shelf.Life(), Next: p.next})
+		question.Progress = append(question.Progress, Progress{Address: address, Incarnation: p.shelf.Life(), Next: p.next})
 	}
 	return question
 }
@@ -329,14 +329,14 @@
 
 // beyond returns what is missing beyond what a reader holds, a shelf at least
 // and no further one after a page.
-func (b *Book) beyond(held []Held) Update {
+func (b *Book) beyond(held []Progress) Update {
 	var sheets []Sheet
 	told, behind := 0, false
 	tell := func(records []Record) {
 		sheets = append(sheets, fold(records)...)
 		told += len(records)
 	}
-	known := make(map[string]Held, len(held))
+	known := make(map[string]Progress, len(held))
 	for _, h := range held {
 		known[h.Address] = h
 		if b.shelves[h.Address] == nil {
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -226,7 +226,7 @@
 	// The journal holds less than all of them: a reader that lagged beyond it
 	// must not be told the tail for the whole.
 	late := NewBook(false)
-	question := Question{Listed: true, Progress: []Held{{Address: "store0", Incarnation: 1, Next: 10}}}
+	question := Question{Listed: true, Progress: []Progress{{Address: "store0", Incarnation: 1, Next: 10}}}
 	update := book.Answer(&question)
 	late.Take(&update)
 	if late.Shelf("store0").Len() != 1500 {
@@ -273,7 +273,7 @@
 		}
 		records[parts].Next = 5000
 		book.Write(records...)
-		question.Progress = append(question.Progress, Held{Address: address, Incarnation: 7, Next: 5000})
+		question.Progress = append(question.Progress, Progress{Address: address, Incarnation: 7, Next: 5000})
 	}
 	return book, question
 }
@@ -315,7 +315,7 @@
 // busy with these until the leader was lost.
 func TestAShelfIsToldWithOneSheetForEachSalt(t *testing.T) {
 	book, question := restarted(2, 900, 3)
-	for _, held := range [][]Held{nil, {{Address: "store0", Incarnation: 7, Next: 4990}, {Address: "store1", Incarnation: 7, Next: 4990}}} {
+	for _, held := range [][]Progress{nil, {{Address: "store0", Incarnation: 7, Next: 4990}, {Address: "store1", Incarnation: 7, Next: 4990}}} {
 		question.Progress = held
 		update := book.Answer(&question)
 		if len(unfold(update.Batches)) != 2*901 || len(update.Batches) > 2*3 {
