--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -119,9 +119,9 @@
 	return c.child.Members().Alive(member.RoleEntry, near)
 }
 
-// Present lists the entries that are up, also those that are draining: they
+// RunningEntries lists the entries that are up, also those that are draining: they
 // still serve who is there.
-func (c *Client) Present() []member.Member {
+func (c *Client) RunningEntries() []member.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.child.Members().Present(member.RoleEntry, c.opts.Self.DataCentre)
--- a/internal/entryhost/departures.go
+++ b/internal/entryhost/departures.go
@@ -19,7 +19,7 @@
 
 // sendAll sends a message to every other entry.
 func (h *Host) sendAll(method port.Method, body []byte) {
-	for _, member := range h.control.Present() {
+	for _, member := range h.control.RunningEntries() {
 		if member.Host != h.options.Host {
 			h.transport.Send(member.Peers, method, body)
 		}
