--- a/internal/entry/plan.go
+++ b/internal/entry/plan.go
@@ -218,11 +218,11 @@
 		for _, match := range directory.Longest(chain.blocks, matches[:0]) {
 			at := slices.IndexFunc(out, func(o candidate) bool { return o.Upstream == match.Upstream })
 			if at >= 0 {
-				out[at].blocks, out[at].trust = match.Blocks, match.Trust
+				out[at].blocks, out[at].trust = match.Blocks, match.Accuracy
 				continue
 			}
 			if c, ok := e.registry.Candidate(now, key, match.Upstream); ok && !slices.Contains(avoid, c.Upstream) {
-				out = append(out, candidate{Candidate: c, blocks: match.Blocks, trust: match.Trust})
+				out = append(out, candidate{Candidate: c, blocks: match.Blocks, trust: match.Accuracy})
 			}
 		}
 	}
--- a/prefix/faults_test.go
+++ b/prefix/faults_test.go
@@ -155,7 +155,7 @@
 	d.Apply(batch("a", 1, stored(1, 1), stored(2, 2), stored(3, 3)))
 	d.Observe(Answer{Upstream: "a", Incarnation: 1, Blocks: blocks, Claimed: 3, Reused: 1, Held: 3})
 	got := d.Longest(blocks, nil)
-	if len(got) != 1 || got[0].Blocks != 3 || got[0].Trust >= 1 || d.Stats().Mismatches != 1 {
+	if len(got) != 1 || got[0].Blocks != 3 || got[0].Accuracy >= 1 || d.Stats().Mismatches != 1 {
 		t.Fatalf("after a wrong claim: %+v, %+v", got, d.Stats())
 	}
 	d.Observe(Answer{Upstream: "a", Incarnation: 1, Blocks: blocks, Claimed: 3, Reused: 0, Held: 1})
@@ -165,8 +165,8 @@
 	for range 50 {
 		d.Observe(Answer{Upstream: "a", Incarnation: 1, Blocks: blocks, Claimed: 3, Reused: 3, Held: 3})
 	}
-	if got := d.Longest(blocks, nil); got[0].Trust < 0.99 {
-		t.Fatalf("trust %v after many right claims", got[0].Trust)
+	if got := d.Longest(blocks, nil); got[0].Accuracy < 0.99 {
+		t.Fatalf("trust %v after many right claims", got[0].Accuracy)
 	}
 	d.Observe(Answer{Upstream: "a", Incarnation: 2, Blocks: blocks[:1], Held: 1})
 	d.Observe(Answer{Upstream: "x", Incarnation: 1, Blocks: blocks[:1], Held: 1})
--- a/prefix/longest.go
+++ b/prefix/longest.go
@@ -57,7 +57,7 @@
 			Upstream:    h.upstream,
 			Incarnation: h.incarnation,
 			Blocks:      step.depth,
-			Trust:       h.trust,
+			Accuracy:    h.trust,
 			Stale:       h.stale(),
 		})
 		return len(out) < limit
--- a/prefix/types.go
+++ b/prefix/types.go
@@ -143,9 +143,9 @@
 	Incarnation ident.Incarnation
 	// Blocks is how many of the prompt's blocks, from the first, it holds.
 	Blocks int
-	// Trust is how much of what it was thought to hold its answers in fact
+	// Accuracy is how much of what it was thought to hold its answers in fact
 	// reused, 0 to 1, averaged over recent answers.
-	Trust float64
+	Accuracy float64
 	// Stale means that events are missing and a snapshot is due.
 	Stale bool
 }
