--- a/config/deltalog.go
+++ b/config/deltalog.go
@@ -70,7 +70,7 @@
 	}
 	delta, err := l.between(held, current.revision)
 	if err != nil || delta.Size() >= current.Items() {
-		return Update{Full: &Full{Revision: current.revision, Document: current.Document()}}
+		return Update{Full: &FullRevision{Revision: current.revision, Document: current.Document()}}
 	}
 	return Update{Delta: &delta}
 }
--- a/config/follower.go
+++ b/config/follower.go
@@ -8,12 +8,12 @@
 // Update brings a follower forward. At most one field is set; none means that
 // the follower holds the latest revision.
 type Update struct {
-	Delta *Delta `cbor:"1,keyasint,omitempty" json:"delta,omitempty"`
-	Full  *Full  `cbor:"2,keyasint,omitempty" json:"full,omitempty"`
+	Delta *Delta        `cbor:"1,keyasint,omitempty" json:"delta,omitempty"`
+	Full  *FullRevision `cbor:"2,keyasint,omitempty" json:"full,omitempty"`
 }
 
-// Full is a whole revision.
-type Full struct {
+// FullRevision is a whole revision.
+type FullRevision struct {
 	Revision Revision `cbor:"1,keyasint" json:"revision"`
 	Document Document `cbor:"2,keyasint" json:"document"`
 }
@@ -54,7 +54,7 @@
 	return f.applyDelta(update.Delta)
 }
 
-func (f *Follower) applyFull(full *Full) (bool, error) {
+func (f *Follower) applyFull(full *FullRevision) (bool, error) {
 	if full.Revision <= f.current.revision {
 		return false, nil
 	}
--- a/internal/capacity/probes_config.go
+++ b/internal/capacity/probes_config.go
@@ -97,7 +97,7 @@
 }
 
 func fullBytes(teams int) (float64, error) {
-	full := config.Full{Revision: 1, Document: SampleDocument(teams)}
+	full := config.FullRevision{Revision: 1, Document: SampleDocument(teams)}
 	data, err := wire.Marshal(config.Update{Full: &full})
 	return float64(len(data)), err
 }
--- a/internal/control/client/watch.go
+++ b/internal/control/client/watch.go
@@ -96,7 +96,7 @@
 }
 
 // fetch collects a whole configuration part by part.
-func (c *Client) fetch(ctx context.Context, target string, answer protocol.WatchAnswer) (*config.Full, error) {
+func (c *Client) fetch(ctx context.Context, target string, answer protocol.WatchAnswer) (*config.FullRevision, error) {
 	if answer.FullBytes <= 0 || answer.FullBytes > protocol.MaxConfigBytes {
 		return nil, eris.Errorf("a configuration of %d bytes is out of bounds", answer.FullBytes)
 	}
@@ -112,7 +112,7 @@
 		}
 		data = append(data, part.Data...)
 	}
-	full := new(config.Full)
+	full := new(config.FullRevision)
 	if err := wire.Unmarshal(data, full); err != nil {
 		return nil, eris.Wrap(err, "decode configuration")
 	}
--- a/internal/control/update_cache.go
+++ b/internal/control/update_cache.go
@@ -46,7 +46,7 @@
 	return update
 }
 
-func (c *updateCache) encode(full *config.Full) encodedFull {
+func (c *updateCache) encode(full *config.FullRevision) encodedFull {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, known := range c.full {
