--- a/internal/entry/plan.go
+++ b/internal/entry/plan.go
@@ -248,7 +248,7 @@
 		QueuedTokens:       int64(c.Load.QueuedTokens),
 		LoadAge:            c.Load.Age,
 		CachedTokens:       c.blocks * blockTokens,
-		Trust:              c.trust,
+		CacheAccuracy:      c.trust,
 		PendingImportBytes: e.fetching.into[c.Upstream],
 		NetworkDelay:       e.delayTo(c.DataCentre),
 		Share:              c.Weight,
--- a/internal/simload/plan.go
+++ b/internal/simload/plan.go
@@ -63,7 +63,7 @@
 		if c, ok := en.registry.Candidate(now, en.pool(e.dc, j), m.Upstream); ok {
 			candidate := en.candidate(c, m.Blocks*blockTokens)
 			if !en.cluster.tuning.NoVerify {
-				candidate.Trust = m.Accuracy
+				candidate.CacheAccuracy = m.Accuracy
 			}
 			out = append(out, candidate)
 		}
--- a/route/model_test.go
+++ b/route/model_test.go
@@ -159,8 +159,8 @@
 // ask to verify what it builds on.
 func TestDoubtedHolder(t *testing.T) {
 	p := newPlanner(t, Options{})
-	doubted := Candidate{Upstream: "doubted", Slots: 8, CachedTokens: 20_000, Trust: 0.3}
-	trusted := Candidate{Upstream: "trusted", Slots: 8, CachedTokens: 20_000, Trust: 1}
+	doubted := Candidate{Upstream: "doubted", Slots: 8, CachedTokens: 20_000, CacheAccuracy: 0.3}
+	trusted := Candidate{Upstream: "trusted", Slots: 8, CachedTokens: 20_000, CacheAccuracy: 1}
 	req := Request{PromptTokens: 20_100, Arrived: start, Target: time.Second, Candidates: []Candidate{doubted, trusted}}
 	d, err := p.Plan(start, req, random())
 	if err != nil || d.Upstream != "trusted" || d.Verify {
--- a/route/planner.go
+++ b/route/planner.go
@@ -238,7 +238,7 @@
 	if best.FetchTokens > 0 {
 		best.Parts = p.parts(chosen, req, best.Prediction)
 	}
-	best.Verify = best.CachedTokens > 0 && chosen.Trust > 0 && chosen.Trust < verifyBelow
+	best.Verify = best.CachedTokens > 0 && chosen.CacheAccuracy > 0 && chosen.CacheAccuracy < verifyBelow
 	best.Slack = allowed - best.FirstToken
 	best.MeetsTarget = best.Slack >= 0
 	return best, nil
--- a/route/predict.go
+++ b/route/predict.go
@@ -69,10 +69,10 @@
 
 // likely is how much of the cached prefix is expected to be there.
 func (c Candidate) likely(cached int) int {
-	if c.Trust <= 0 || c.Trust >= verifyBelow {
+	if c.CacheAccuracy <= 0 || c.CacheAccuracy >= verifyBelow {
 		return cached
 	}
-	return int(float64(cached) * c.Trust)
+	return int(float64(cached) * c.CacheAccuracy)
 }
 
 // verifyBelow is the trust below which a holder's blocks are verified.
--- a/route/types.go
+++ b/route/types.go
@@ -47,9 +47,9 @@
 	// CachedAfter is how long it still takes until CachedTokens are there, for
 	// a prefix that another request is bringing; see InFlight.
 	CachedAfter time.Duration
-	// Trust is how much of what the upstream was thought to hold it has lately
+	// CacheAccuracy is how much of what the upstream was thought to hold it has lately
 	// been found to hold, over 0 to 1. Zero means 1.
-	Trust float64
+	CacheAccuracy float64
 	// PendingImportBytes is what own fetches still move into the upstream.
 	PendingImportBytes int64
 	// LinkBytesPerSecond is the capacity of the upstream's link, zero if unknown.
