--- a/cmd/lovagectl/lovagectl_test.go
+++ b/cmd/lovagectl/lovagectl_test.go
@@ -62,7 +62,7 @@
 
 func (s *stubControl) Get(context.Context) (*config.Snapshot, error) { return s.state.Current(), nil }
 
-func (s *stubControl) History(_ context.Context, before config.Revision, limit int) ([]config.Meta, error) {
+func (s *stubControl) History(_ context.Context, before config.Revision, limit int) ([]config.RevisionMeta, error) {
 	return s.state.History(before, limit), nil
 }
 
--- a/config/command.go
+++ b/config/command.go
@@ -52,7 +52,7 @@
 	Revision Revision `cbor:"2,keyasint" json:"revision"`
 	// Winner is the revision that followed the base of a conflicting command;
 	// it is nil when that is older than the history kept.
-	Winner   *Meta    `cbor:"3,keyasint,omitempty" json:"winner,omitempty"`
-	Problems Problems `cbor:"4,keyasint,omitempty" json:"problems,omitempty"`
-	Repeated bool     `cbor:"5,keyasint,omitempty" json:"repeated,omitempty"`
+	Winner   *RevisionMeta `cbor:"3,keyasint,omitempty" json:"winner,omitempty"`
+	Problems Problems      `cbor:"4,keyasint,omitempty" json:"problems,omitempty"`
+	Repeated bool          `cbor:"5,keyasint,omitempty" json:"repeated,omitempty"`
 }
--- a/config/history.go
+++ b/config/history.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Meta says who made a revision, when and how.
-type Meta struct {
+// RevisionMeta says who made a revision, when and how.
+type RevisionMeta struct {
 	Revision  Revision `cbor:"1,keyasint" json:"revision"`
 	Author    string   `cbor:"2,keyasint" json:"author"`
 	RequestID string   `cbor:"3,keyasint" json:"request_id"`
@@ -15,7 +15,7 @@
 }
 
 // Time returns At as a time.
-func (m Meta) Time() time.Time { return time.UnixMicro(m.At) }
+func (m RevisionMeta) Time() time.Time { return time.UnixMicro(m.At) }
 
 // ring keeps the newest of a sequence, oldest first.
 type ring[E any] struct {
--- a/config/image.go
+++ b/config/image.go
@@ -4,11 +4,11 @@
 
 // Image is a State as plain data, for snapshots of the replicated log.
 type Image struct {
-	Revision Revision  `cbor:"1,keyasint"`
-	Document Document  `cbor:"2,keyasint"`
-	History  []Meta    `cbor:"3,keyasint,omitempty"`
-	Deltas   []Delta   `cbor:"4,keyasint,omitempty"`
-	Requests []Request `cbor:"5,keyasint,omitempty"`
+	Revision Revision       `cbor:"1,keyasint"`
+	Document Document       `cbor:"2,keyasint"`
+	History  []RevisionMeta `cbor:"3,keyasint,omitempty"`
+	Deltas   []Delta        `cbor:"4,keyasint,omitempty"`
+	Requests []Request      `cbor:"5,keyasint,omitempty"`
 }
 
 // Request is the first answer to one request id.
--- a/config/state.go
+++ b/config/state.go
@@ -22,7 +22,7 @@
 // ends in a conflict and never in a second revision.
 type State struct {
 	current  *Snapshot
-	history  ring[Meta]
+	history  ring[RevisionMeta]
 	deltas   deltaLog
 	requests map[string]answered
 	order    ring[string]
@@ -38,7 +38,7 @@
 func NewState() *State {
 	return &State{
 		current:  Empty(),
-		history:  ring[Meta]{limit: HistoryKept},
+		history:  ring[RevisionMeta]{limit: HistoryKept},
 		deltas:   newDeltaLog(),
 		requests: make(map[string]answered),
 		order:    ring[string]{limit: RequestsKept},
@@ -142,7 +142,7 @@
 	delta.From = s.current.revision
 	delta.To = delta.From + 1
 	s.current = s.current.Apply(delta)
-	s.history.push(Meta{
+	s.history.push(RevisionMeta{
 		Revision:  delta.To,
 		Author:    cmd.Author,
 		RequestID: cmd.RequestID,
@@ -161,7 +161,7 @@
 }
 
 // Meta returns what is known of a revision, nil if it is no longer kept.
-func (s *State) Meta(revision Revision) *Meta {
+func (s *State) Meta(revision Revision) *RevisionMeta {
 	metas := s.history.items
 	if len(metas) == 0 || revision < metas[0].Revision || revision > s.current.revision {
 		return nil
@@ -172,8 +172,8 @@
 
 // History returns up to limit revisions before the given one, newest first. A
 // zero before starts at the latest.
-func (s *State) History(before Revision, limit int) []Meta {
-	var list []Meta
+func (s *State) History(before Revision, limit int) []RevisionMeta {
+	var list []RevisionMeta
 	for _, meta := range slices.Backward(s.history.items) {
 		if len(list) == limit {
 			break
--- a/internal/adapter/operators/api/api.go
+++ b/internal/adapter/operators/api/api.go
@@ -55,7 +55,7 @@
 	Next     string           `json:"next,omitempty" cbor:"3,keyasint,omitempty"`
 	Problems []config.Problem `json:"problems,omitempty" cbor:"4,keyasint,omitempty"`
 	// Winner is the revision that a conflicting change lost to.
-	Winner *config.Meta `json:"winner,omitempty" cbor:"5,keyasint,omitempty"`
+	Winner *config.RevisionMeta `json:"winner,omitempty" cbor:"5,keyasint,omitempty"`
 	// Revision is the latest committed one, where known.
 	Revision config.Revision `json:"revision,omitempty" cbor:"6,keyasint,omitempty"`
 	// Leader is the URL of the leader's operators' listener.
@@ -109,7 +109,7 @@
 
 // HistoryAnswer lists revisions, newest first.
 type HistoryAnswer struct {
-	Revisions []config.Meta `json:"revisions" cbor:"1,keyasint"`
+	Revisions []config.RevisionMeta `json:"revisions" cbor:"1,keyasint"`
 }
 
 // DiffAnswer is what changed between two revisions.
--- a/internal/adapter/operators/options.go
+++ b/internal/adapter/operators/options.go
@@ -28,7 +28,7 @@
 type Control interface {
 	Apply(ctx context.Context, request control.ApplyRequest) (control.ApplyAnswer, error)
 	Get(ctx context.Context) (*config.Snapshot, error)
-	History(ctx context.Context, before config.Revision, limit int) ([]config.Meta, error)
+	History(ctx context.Context, before config.Revision, limit int) ([]config.RevisionMeta, error)
 	DeltaBetween(ctx context.Context, from, to config.Revision) (config.Delta, error)
 	Status() control.Status
 }
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -22,11 +22,11 @@
 
 // History lists up to limit revisions before the given one, newest first. A
 // zero before starts at the latest.
-func (s *Server) History(ctx context.Context, before config.Revision, limit int) ([]config.Meta, error) {
+func (s *Server) History(ctx context.Context, before config.Revision, limit int) ([]config.RevisionMeta, error) {
 	if err := s.barrier(ctx); err != nil {
 		return nil, err
 	}
-	var list []config.Meta
+	var list []config.RevisionMeta
 	s.opts.Replica.View(func(port.StateMachine) {
 		list = s.opts.Machine.config.History(before, limit)
 	})
