--- a/cmd/lovage-control/main.go
+++ b/cmd/lovage-control/main.go
@@ -45,16 +45,16 @@
 		return errors.Join(process.ErrUsage, err)
 	}
 	options.Log = env.Log
-	if options.Peer, err = net.Listen("tcp", s.Listen.Peer.String()); err != nil {
+	if options.PeerListener, err = net.Listen("tcp", s.Listen.Peer.String()); err != nil {
 		return eris.Wrap(err, "listen for peers")
 	}
 	if options.Operators, err = net.Listen("tcp", s.Listen.Operators.String()); err != nil {
-		return errors.Join(eris.Wrap(err, "listen for operators"), options.Peer.Close())
+		return errors.Join(eris.Wrap(err, "listen for operators"), options.PeerListener.Close())
 	}
 	host, err := controlhost.New(options)
 	if err != nil {
-		return errors.Join(err, options.Peer.Close(), options.Operators.Close())
+		return errors.Join(err, options.PeerListener.Close(), options.Operators.Close())
 	}
-	env.Log.Info("started", "host", s.Host, "peer", options.Peer.Addr(), "operators", options.Operators.Addr(), "data", s.Data)
+	env.Log.Info("started", "host", s.Host, "peer", options.PeerListener.Addr(), "operators", options.Operators.Addr(), "data", s.Data)
 	return host.Run(ctx, env.Drain)
 }
--- a/cmd/lovage-dev/controls.go
+++ b/cmd/lovage-dev/controls.go
@@ -52,7 +52,7 @@
 			DataCentre:     centres[i%len(centres)],
 			Cluster:        cluster,
 			Data:           filepath.Join(folder, string(controlName(i))),
-			Peer:           peerListeners[i],
+			PeerListener:   peerListeners[i],
 			Operators:      operatorListeners[i],
 			Control:        c.peers,
 			OperatorURLs:   urls,
--- a/internal/controlhost/host.go
+++ b/internal/controlhost/host.go
@@ -164,7 +164,7 @@
 func (h *Host) Orders() control.OrderStatus { return h.orderer.Status() }
 
 // Peer returns the address of the listener for other processes.
-func (h *Host) Peer() string { return h.options.Peer.Addr().String() }
+func (h *Host) Peer() string { return h.options.PeerListener.Addr().String() }
 
 // Name returns the host's name.
 func (h *Host) Name() string { return string(h.options.Host) }
@@ -179,7 +179,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return h.transport.Serve(h.options.Peer) })
+	group.Go(func() error { return h.transport.Serve(h.options.PeerListener) })
 	group.Go(func() error { h.manager.Run(ctx); return nil })
 	group.Go(func() error { return h.openAndRun(ctx) })
 	group.Go(func() error { return h.serveOperators() })
--- a/internal/controlhost/host_test.go
+++ b/internal/controlhost/host_test.go
@@ -90,7 +90,7 @@
 		DataCentre:     "hall",
 		Cluster:        testCluster,
 		Data:           filepath.Join(g.dir, string(name)),
-		Peer:           peers,
+		PeerListener:   peers,
 		Operators:      operators,
 		Control:        g.peers,
 		OperatorURLs:   g.urls,
--- a/internal/controlhost/options.go
+++ b/internal/controlhost/options.go
@@ -39,8 +39,8 @@
 	Cluster string
 	// Data is the folder of the replicated state.
 	Data string
-	// Peer is the listener for the other processes.
-	Peer net.Listener
+	// PeerListener is the listener for the other processes.
+	PeerListener net.Listener
 	// Operators is the listener for operators; nil for none.
 	Operators net.Listener
 	// OperatorsTLS are the operators' listener's certificate and key files.
@@ -80,7 +80,7 @@
 		return errors.New("controlhost: host, data centre and cluster are required")
 	case o.Data == "":
 		return errors.New("controlhost: a data folder is required")
-	case o.Peer == nil:
+	case o.PeerListener == nil:
 		return errors.New("controlhost: a listener for peers is required")
 	case o.Control[o.Host] == "":
 		return errors.New("controlhost: control: must list this host itself")
