--- a/cmd/lovage-control/main.go
+++ b/cmd/lovage-control/main.go
@@ -48,13 +48,13 @@
 	if options.PeerListener, err = net.Listen("tcp", s.Listen.Peer.String()); err != nil {
 		return eris.Wrap(err, "listen for peers")
 	}
-	if options.Operators, err = net.Listen("tcp", s.Listen.Operators.String()); err != nil {
+	if options.OperatorListener, err = net.Listen("tcp", s.Listen.Operators.String()); err != nil {
 		return errors.Join(eris.Wrap(err, "listen for operators"), options.PeerListener.Close())
 	}
 	host, err := controlhost.New(options)
 	if err != nil {
-		return errors.Join(err, options.PeerListener.Close(), options.Operators.Close())
+		return errors.Join(err, options.PeerListener.Close(), options.OperatorListener.Close())
 	}
-	env.Log.Info("started", "host", s.Host, "peer", options.PeerListener.Addr(), "operators", options.Operators.Addr(), "data", s.Data)
+	env.Log.Info("started", "host", s.Host, "peer", options.PeerListener.Addr(), "operators", options.OperatorListener.Addr(), "data", s.Data)
 	return host.Run(ctx, env.Drain)
 }
--- a/cmd/lovage-dev/controls.go
+++ b/cmd/lovage-dev/controls.go
@@ -48,17 +48,17 @@
 	}
 	for i := range count {
 		host, err := controlhost.New(controlhost.Options{
-			Host:           controlName(i),
-			DataCentre:     centres[i%len(centres)],
-			Cluster:        cluster,
-			Data:           filepath.Join(folder, string(controlName(i))),
-			PeerListener:   peerListeners[i],
-			Operators:      operatorListeners[i],
-			Control:        c.peers,
-			OperatorURLs:   urls,
-			OperatorTokens: map[config.TokenDigest]string{config.DigestToken(operatorToken): "lovage-dev"},
-			PeerKey:        key,
-			Log:            logger.With("host", controlName(i)),
+			Host:             controlName(i),
+			DataCentre:       centres[i%len(centres)],
+			Cluster:          cluster,
+			Data:             filepath.Join(folder, string(controlName(i))),
+			PeerListener:     peerListeners[i],
+			OperatorListener: operatorListeners[i],
+			Control:          c.peers,
+			OperatorURLs:     urls,
+			OperatorTokens:   map[config.TokenDigest]string{config.DigestToken(operatorToken): "lovage-dev"},
+			PeerKey:          key,
+			Log:              logger.With("host", controlName(i)),
 		})
 		if err != nil {
 			return nil, err
--- a/internal/controlhost/host_test.go
+++ b/internal/controlhost/host_test.go
@@ -86,18 +86,18 @@
 func (g *group) run(name ident.Host, peers, operators net.Listener) {
 	g.t.Helper()
 	host, err := New(Options{
-		Host:           name,
-		DataCentre:     "hall",
-		Cluster:        testCluster,
-		Data:           filepath.Join(g.dir, string(name)),
-		PeerListener:   peers,
-		Operators:      operators,
-		Control:        g.peers,
-		OperatorURLs:   g.urls,
-		OperatorTokens: map[config.TokenDigest]string{config.DigestToken(testToken): "ana"},
-		LedgerGroups:   2,
-		PeerKey:        testKey,
-		Log:            quiet,
+		Host:             name,
+		DataCentre:       "hall",
+		Cluster:          testCluster,
+		Data:             filepath.Join(g.dir, string(name)),
+		PeerListener:     peers,
+		OperatorListener: operators,
+		Control:          g.peers,
+		OperatorURLs:     g.urls,
+		OperatorTokens:   map[config.TokenDigest]string{config.DigestToken(testToken): "ana"},
+		LedgerGroups:     2,
+		PeerKey:          testKey,
+		Log:              quiet,
 	})
 	if err != nil {
 		g.t.Fatal(err)
--- a/internal/controlhost/listeners.go
+++ b/internal/controlhost/listeners.go
@@ -36,7 +36,7 @@
 			return err
 		}
 	}
-	if h.options.Operators == nil {
+	if h.options.OperatorListener == nil {
 		return nil
 	}
 	handler, err := operators.Handler(operators.Options{
@@ -77,9 +77,9 @@
 	}
 	var err error
 	if files := h.options.OperatorsTLS; files != nil {
-		err = h.operators.ServeTLS(h.options.Operators, files.Certificate, files.Key)
+		err = h.operators.ServeTLS(h.options.OperatorListener, files.Certificate, files.Key)
 	} else {
-		err = h.operators.Serve(h.options.Operators)
+		err = h.operators.Serve(h.options.OperatorListener)
 	}
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/internal/controlhost/options.go
+++ b/internal/controlhost/options.go
@@ -41,8 +41,8 @@
 	Data string
 	// PeerListener is the listener for the other processes.
 	PeerListener net.Listener
-	// Operators is the listener for operators; nil for none.
-	Operators net.Listener
+	// OperatorListener is the listener for operators; nil for none.
+	OperatorListener net.Listener
 	// OperatorsTLS are the operators' listener's certificate and key files.
 	OperatorsTLS *CertificateFiles
 	// Telemetry is the address of the listener for metrics and dumps; empty
@@ -86,7 +86,7 @@
 		return errors.New("controlhost: control: must list this host itself")
 	case o.LedgerGroups < 0 || o.LedgerGroups > config.MaxLedgerShards:
 		return errors.New("controlhost: ledger groups: out of range")
-	case o.Operators != nil && len(o.OperatorTokens) == 0:
+	case o.OperatorListener != nil && len(o.OperatorTokens) == 0:
 		return errors.New("controlhost: operators: the listener needs at least one operator's token digest")
 	case o.Log == nil:
 		return errors.New("controlhost: no log")
