--- a/cmd/lovage-dev/print.go
+++ b/cmd/lovage-dev/print.go
@@ -12,7 +12,7 @@
 // a command of operators that work.
 func printAddresses(out io.Writer, d *deployment, tokenFile string) {
 	for i, host := range d.controls.hosts {
-		fmt.Fprintf(out, "control  %-12s peers %s  operators %s\n", host.Name(), host.Peer(), d.controls.operators[i])
+		fmt.Fprintf(out, "control  %-12s peers %s  operators %s\n", host.Name(), host.PeerAddress(), d.controls.operators[i])
 	}
 	for i, host := range d.entries {
 		fmt.Fprintf(out, "entry    %-12s callers %s  upstreams %s  operators %s\n",
--- a/internal/controlhost/host.go
+++ b/internal/controlhost/host.go
@@ -163,8 +163,8 @@
 // Orders returns the orderer's counts.
 func (h *Host) Orders() control.OrderStatus { return h.orderer.Status() }
 
-// Peer returns the address of the listener for other processes.
-func (h *Host) Peer() string { return h.options.PeerListener.Addr().String() }
+// PeerAddress returns the address of the listener for other processes.
+func (h *Host) PeerAddress() string { return h.options.PeerListener.Addr().String() }
 
 // Name returns the host's name.
 func (h *Host) Name() string { return string(h.options.Host) }
