--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -152,9 +152,9 @@
 	return status
 }
 
-// Detail returns what the consensus of a group knows, for dumps: its peers,
+// QuorumStatus returns what the consensus of a group knows, for dumps: its peers,
 // how far each has synced, and disks that were replaced or rolled back.
-func (m *Manager) Detail(id groupID) (quorum.Status, error) {
+func (m *Manager) QuorumStatus(id groupID) (quorum.Status, error) {
 	g, err := m.find(id)
 	if err != nil {
 		return quorum.Status{}, err
--- a/internal/steward/formation.go
+++ b/internal/steward/formation.go
@@ -189,7 +189,7 @@
 // step makes at most one change.
 func (m *members) step(ctx context.Context, now time.Time) error {
 	s := m.steward
-	detail, err := s.manager.Detail(group)
+	detail, err := s.manager.QuorumStatus(group)
 	if err != nil || detail.Role != quorum.RoleLeader {
 		return err
 	}
--- a/internal/steward/reach.go
+++ b/internal/steward/reach.go
@@ -86,7 +86,7 @@
 
 func (w *reachWatch) run(ctx context.Context) {
 	for wait.For(ctx, reachEvery) {
-		detail, err := w.steward.manager.Detail(group)
+		detail, err := w.steward.manager.QuorumStatus(group)
 		if err != nil {
 			continue
 		}
--- a/internal/steward/retire.go
+++ b/internal/steward/retire.go
@@ -150,7 +150,7 @@
 		s.options.Log.Info("parts not freed", "store", address, "cause", err)
 		return
 	}
-	detail, err := s.manager.Detail(group)
+	detail, err := s.manager.QuorumStatus(group)
 	if err != nil || detail.Role != quorum.RoleLeader || detail.Term != o.leadership.elected {
 		s.options.Log.Info("parts not freed", "store", address, "cause", "leadership not certain", "err", err)
 		return
--- a/internal/steward/troubles_test.go
+++ b/internal/steward/troubles_test.go
@@ -256,7 +256,7 @@
 		if s == nil || s.replica() == nil || s.leading.Load() == nil {
 			continue
 		}
-		detail, err := s.manager.Detail(group)
+		detail, err := s.manager.QuorumStatus(group)
 		if err != nil || len(detail.Members.Voters) != len(g.hosts) || len(detail.Peers) != len(g.hosts)-1 {
 			return false
 		}
@@ -279,7 +279,7 @@
 			fmt.Fprintf(&b, "%s: no group open\n", h.name)
 			continue
 		}
-		detail, _ := s.manager.Detail(group)
+		detail, _ := s.manager.QuorumStatus(group)
 		fmt.Fprintf(&b, "%s: leading %v, suspended %q, %+v\n", h.name, s.leading.Load() != nil, s.replica().Status().Suspended, detail)
 	}
 	return b.String()
