--- a/internal/ledger/do.go
+++ b/internal/ledger/do.go
@@ -57,7 +57,7 @@
 	}
 	last, err := c.claim(ctx, claim)
 	result := last.result
-	if last.doubtful && (err != nil || result.Status != once.StatusWon) {
+	if last.doubtful && (err != nil || result.Status != once.StatusGranted) {
 		// A copy of the claim may win the key yet, and nobody would use it.
 		c.settleLater(releaseOf(last.group, claim, outcome.ReasonLedgerDown))
 	}
@@ -65,7 +65,7 @@
 		return Result{}, unavailable(err)
 	}
 	switch result.Status {
-	case once.StatusWon:
+	case once.StatusGranted:
 		return c.sendClaimed(ctx, last.group, claim, send)
 	case once.StatusInFlight:
 		return Result{}, &outcome.Unknown{Reason: outcome.ReasonTimeout, Detail: "the first call under this key is still in flight"}
--- a/internal/ledger/do_test.go
+++ b/internal/ledger/do_test.go
@@ -188,7 +188,7 @@
 		key := once.Key{Team: "t", Service: "s", Text: "k"}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		if last, err := dying.claim(ctx, once.Claim{Key: key, Owner: dying.options.Self(), ID: newClaimID()}); err != nil || last.result.Status != once.StatusWon {
+		if last, err := dying.claim(ctx, once.Claim{Key: key, Owner: dying.options.Self(), ID: newClaimID()}); err != nil || last.result.Status != once.StatusGranted {
 			t.Fatal(last, err)
 		}
 		dying.kill()
@@ -233,7 +233,7 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		if last, err := leaving.claim(ctx, once.Claim{Key: callOf("b", 2).Key, Owner: leaving.options.Self(), ID: newClaimID()}); err != nil || last.result.Status != once.StatusWon {
+		if last, err := leaving.claim(ctx, once.Claim{Key: callOf("b", 2).Key, Owner: leaving.options.Self(), ID: newClaimID()}); err != nil || last.result.Status != once.StatusGranted {
 			t.Fatal(last, err)
 		}
 		kinds := make(chan outcome.Kind, 2)
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -94,9 +94,9 @@
 		return s, ledgerOut{status: once.StatusReleased}
 	case !s.seen, s.released:
 		won := keyState{claim: op.claim, digest: op.digest, seen: true, inFlight: true, dead: s.dead}
-		return won, ledgerOut{status: once.StatusWon}
+		return won, ledgerOut{status: once.StatusGranted}
 	case s.inFlight && s.claim == op.claim:
-		return s, ledgerOut{status: once.StatusWon}
+		return s, ledgerOut{status: once.StatusGranted}
 	case s.inFlight:
 		return s, ledgerOut{status: once.StatusInFlight}
 	}
@@ -143,7 +143,7 @@
 func (h *history) do(client int, entry *fakeEntry, op ledgerOp) ledgerOut {
 	called := time.Since(h.start)
 	out, doubtful := h.call(client, entry, op)
-	if op.kind == MethodClaim && doubtful && out.status != once.StatusWon {
+	if op.kind == MethodClaim && doubtful && out.status != once.StatusGranted {
 		release := op
 		release.kind = MethodRelease
 		returned := time.Duration(math.MaxInt64)
@@ -212,7 +212,7 @@
 				time.Sleep(time.Duration(random.IntN(200)) * time.Millisecond)
 				op := ledgerOp{key: fmt.Sprint(random.IntN(historyKeys)), kind: MethodClaim, digest: byte(random.IntN(8) / 7)}
 				op.claim = once.ClaimID{byte(client + 1), byte(round)}
-				if h.do(client, entry, op).status != once.StatusWon {
+				if h.do(client, entry, op).status != once.StatusGranted {
 					continue
 				}
 				time.Sleep(time.Duration(random.IntN(200)) * time.Millisecond)
--- a/once/bounds_test.go
+++ b/once/bounds_test.go
@@ -39,7 +39,7 @@
 	for i := range 4 {
 		c := testClaim(fmt.Sprint(i), byte(i))
 		claims = append(claims, c)
-		l.must(t, StatusWon, Command{Claim: &c})
+		l.must(t, StatusGranted, Command{Claim: &c})
 	}
 	more := testClaim("more", 9)
 	full := l.must(t, StatusFull, Command{Claim: &more})
@@ -48,7 +48,7 @@
 	}
 	other := more
 	other.Key.Team = "growers"
-	l.must(t, StatusWon, Command{Claim: &other})
+	l.must(t, StatusGranted, Command{Claim: &other})
 	for _, c := range claims {
 		r := c.done("a long body that has no room any more")
 		got := l.must(t, StatusAnswered, Command{Record: &r})
@@ -66,7 +66,7 @@
 	l := configured(t, func(o *Options) { o.MaxBody = 8 })
 	for i, body := range []string{"short", "longer than eight"} {
 		c := testClaim(fmt.Sprint(i), byte(i))
-		l.must(t, StatusWon, Command{Claim: &c})
+		l.must(t, StatusGranted, Command{Claim: &c})
 		r := c.done(body)
 		l.must(t, StatusAnswered, Command{Record: &r})
 		got := l.must(t, StatusAnswered, Command{Claim: &c}).Answer
@@ -108,7 +108,7 @@
 		won := 0
 		for _, s := range statuses {
 			switch s {
-			case StatusWon:
+			case StatusGranted:
 				won++
 			case StatusMoved:
 				moved++
@@ -234,7 +234,7 @@
 func checkHolder(t *testing.T, holders map[string]ClaimID, command Command, result Result) {
 	t.Helper()
 	switch {
-	case command.Claim != nil && result.Status == StatusWon:
+	case command.Claim != nil && result.Status == StatusGranted:
 		text := command.Claim.Key.Text
 		if holder, held := holders[text]; held && holder != command.Claim.ID {
 			t.Fatalf("key %q is won by %x while %x holds it", text, command.Claim.ID[0], holder[0])
@@ -341,7 +341,7 @@
 	l := New()
 	c := testClaim("k", 1)
 	r := c.done("x")
-	l.must(f, StatusWon, Command{Claim: &c})
+	l.must(f, StatusGranted, Command{Claim: &c})
 	l.must(f, StatusAnswered, Command{Record: &r})
 	data, err := l.Snapshot()
 	if err != nil {
--- a/once/claim.go
+++ b/once/claim.go
@@ -31,7 +31,7 @@
 	switch {
 	case rec.phase == phaseClaimed && rec.claim == c.ID:
 		// The same claim, resent after a lost answer.
-		return Result{Status: StatusWon}
+		return Result{Status: StatusGranted}
 	case rec.isDead(c.ID):
 		return Result{Status: StatusReleased, Reason: rec.reason}
 	case rec.phase == phaseReleased:
@@ -54,7 +54,7 @@
 	rec := l.insert(id, c.Key, c.Digest, c.Owner, c.ID)
 	rec.request = c.Request
 	l.grant(id, rec, c)
-	return Result{Status: StatusWon}
+	return Result{Status: StatusGranted}
 }
 
 // reclaim lets another claim have a key that was given back: nothing ran.
@@ -64,7 +64,7 @@
 	rec.request = c.Request
 	rec.reason = ""
 	l.grant(id, rec, c)
-	return Result{Status: StatusWon}
+	return Result{Status: StatusGranted}
 }
 
 func (l *Ledger) grant(id KeyID, rec *record, c Claim) {
--- a/once/command.go
+++ b/once/command.go
@@ -133,8 +133,8 @@
 // The answers. The zero value is invalid.
 const (
 	StatusInvalid Status = iota
-	// StatusWon gives the claimant the right to send, once.
-	StatusWon
+	// StatusGranted gives the claimant the right to send, once.
+	StatusGranted
 	// StatusInFlight tells that another claim holds the key.
 	StatusInFlight
 	// StatusAnswered carries the recorded outcome.
@@ -188,7 +188,7 @@
 // It is nil for StatusWon, StatusInFlight and an answer that is done.
 func (r Result) Err() error {
 	switch r.Status {
-	case StatusWon, StatusInFlight, StatusOK:
+	case StatusGranted, StatusInFlight, StatusOK:
 		return nil
 	case StatusAnswered:
 		return r.Answer.Err()
