--- a/internal/ledger/server.go
+++ b/internal/ledger/server.go
@@ -101,7 +101,7 @@
 	case method == MethodRecord && req.Record != nil:
 		return group.propose(ctx, once.Command{NowMillis: now, Record: req.Record})
 	case method == MethodLost && req.Lost != nil:
-		return group.propose(ctx, once.Command{NowMillis: now, Lost: req.Lost})
+		return group.propose(ctx, once.Command{NowMillis: now, LostOwner: req.Lost})
 	case method == MethodTrace && req.Trace != nil:
 		return group.traced(ctx, now, *req.Trace)
 	case method == MethodQuery && req.Query != nil:
@@ -248,7 +248,7 @@
 	for _, group := range s.groups {
 		if group.Replica.Status().IsLeader {
 			// A failure needs no repeat: claims end by their hold as well.
-			group.propose(ctx, once.Command{NowMillis: now, Lost: &owner})
+			group.propose(ctx, once.Command{NowMillis: now, LostOwner: &owner})
 		}
 	}
 }
--- a/once/bounds_test.go
+++ b/once/bounds_test.go
@@ -202,7 +202,7 @@
 			c := testClaim(text, byte(random.IntN(4)))
 			c.Owner = Owner{Host: ident.Host(fmt.Sprint("e", random.IntN(3))), Incarnation: ident.Incarnation(1 + i/500)}
 			release, record := c.release(), c.done("x")
-			command := [...]Command{{Claim: &c}, {Claim: &c}, {Release: &release}, {Record: &record}, {Lost: &c.Owner}, {}}[random.IntN(6)]
+			command := [...]Command{{Claim: &c}, {Claim: &c}, {Release: &release}, {Record: &record}, {LostOwner: &c.Owner}, {}}[random.IntN(6)]
 			if random.IntN(100) == 0 {
 				command = Command{Configure: &options}
 			}
--- a/once/command.go
+++ b/once/command.go
@@ -107,9 +107,9 @@
 	Claim     *Claim   `cbor:"2,keyasint,omitempty"`
 	Release   *Release `cbor:"3,keyasint,omitempty"`
 	Record    *Record  `cbor:"4,keyasint,omitempty"`
-	// Lost declares every claim of an owner, and of its earlier incarnations,
+	// LostOwner declares every claim of an owner, and of its earlier incarnations,
 	// without hope of an outcome.
-	Lost *Owner `cbor:"5,keyasint,omitempty"`
+	LostOwner *Owner `cbor:"5,keyasint,omitempty"`
 	// Configure sets the ledger's options.
 	Configure *Options `cbor:"6,keyasint,omitempty"`
 	// Reshard is committed when the number of shards grows.
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -124,8 +124,8 @@
 		return l.release(*c.Release)
 	case c.Record != nil:
 		return l.record(*c.Record)
-	case c.Lost != nil:
-		l.loseIncarnations(c.Lost.Host, c.Lost.Incarnation)
+	case c.LostOwner != nil:
+		l.loseIncarnations(c.LostOwner.Host, c.LostOwner.Incarnation)
 		return Result{Status: StatusOK}
 	case c.Configure != nil:
 		return l.configure(*c.Configure)
--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -150,7 +150,7 @@
 		}},
 		{"owner declared lost", []step{
 			claimStep(first, StatusGranted),
-			{command: Command{Lost: &Owner{Host: "e1", Incarnation: 1}}, want: StatusOK},
+			{command: Command{LostOwner: &Owner{Host: "e1", Incarnation: 1}}, want: StatusOK},
 			claimStep(second, StatusAnswered).because(outcome.ReasonOwnerLost),
 		}},
 		{"a later incarnation of the owner ends the claims of the earlier", []step{
