--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -186,7 +186,7 @@
 		d.Services = append(d.Services, catalog.Service{Name: store.address, Store: &catalog.Store{
 			Address: store.address, DataCentre: store.zone, CapacityTokens: store.capacity, LinkMbps: store.mbps, FirstByte: store.first, Managed: true,
 		}})
-		states = append(states, steward.ShelfState{Address: store.address, Life: 1, Open: true})
+		states = append(states, steward.ShelfState{Address: store.address, Incarnation: 1, Open: true})
 	}
 	view := &steward.RosterView{Revision: 1}
 	for i := range f.shape.runners {
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -18,7 +18,7 @@
 func relayingAnswer(term uint64) *WatchAnswer {
 	return &WatchAnswer{
 		Term: term, Leader: "c1", Relaying: true, EntryCount: 20,
-		States: []ShelfState{{Address: "store:1", Life: 1, Open: true}},
+		States: []ShelfState{{Address: "store:1", Incarnation: 1, Open: true}},
 		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Batches: []cacheindex.Sheet{
 			{Address: "store:1", Cleared: true, Incarnation: 1, Parts: []string{"p"}, Tokens: []int{9}, Next: 1},
 		}},
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -143,9 +143,9 @@
 
 // ShelfState is whether one store may be used.
 type ShelfState struct {
-	Address string `cbor:"1,keyasint"`
-	Life    uint64 `cbor:"2,keyasint"`
-	Open    bool   `cbor:"3,keyasint"`
+	Address     string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Open        bool   `cbor:"3,keyasint"`
 }
 
 // WatchAnswer is what the caller lacked.
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -107,7 +107,7 @@
 		shelf := b.book.Shelf(address)
 		// A store that was never listed would look open and empty: entries that have
 		// just started would take that for the first word on it.
-		states = append(states, ShelfState{Address: address, Life: shelf.Life(), Open: shelf.Life() != 0 && shelf.Open(now)})
+		states = append(states, ShelfState{Address: address, Incarnation: shelf.Life(), Open: shelf.Life() != 0 && shelf.Open(now)})
 	}
 	return states
 }
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -229,7 +229,7 @@
 		return lead.watch(context.Background(), entryPeer("e1"), request)
 	}
 	open := func(a *WatchAnswer, life uint64) bool {
-		return len(a.States) == 1 && a.States[0].Open && a.States[0].Life == life
+		return len(a.States) == 1 && a.States[0].Open && a.States[0].Incarnation == life
 	}
 	f.await("the store is open", func() bool { a := watch(); return open(a, 1) && parts(a) == 1 })
 	f.stores.mu.Lock()
