--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -73,10 +73,10 @@
 	More bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Book holds the shelves of all sources, and the journal by which readers keep
+// Index holds the shelves of all sources, and the journal by which readers keep
 // theirs alike. The leader's book is written by the sources' events, and every
 // other from another book. It is not safe for concurrent use.
-type Book struct {
+type Index struct {
 	shelves map[string]*page
 	at      Position
 	// complete tells that the book stands for a moment of the leader's.
@@ -110,8 +110,8 @@
 }
 
 // NewBook returns an empty book. One that is read by others keeps a journal.
-func NewBook(keepsJournal bool) *Book {
-	b := &Book{shelves: make(map[string]*page), floors: make(map[string]uint64), paged: PageRecords}
+func NewBook(keepsJournal bool) *Index {
+	b := &Index{shelves: make(map[string]*page), floors: make(map[string]uint64), paged: PageRecords}
 	if keepsJournal {
 		b.kept = journalLength
 	}
@@ -119,13 +119,13 @@
 }
 
 // Lead begins a term in which this book is the one that others follow.
-func (b *Book) Lead(term uint64) {
+func (b *Index) Lead(term uint64) {
 	b.at.Term, b.aligned = term, b.at.Next
 	b.complete, b.touched = true, false
 }
 
 // Shelf returns the shelf of a source, an empty one if it is not known.
-func (b *Book) Shelf(address string) *Shelf {
+func (b *Index) Shelf(address string) *Shelf {
 	if p := b.shelves[address]; p != nil {
 		return p.shelf
 	}
@@ -134,7 +134,7 @@
 
 // Whole returns the tokens of a part that a source holds whole, 0 when it does
 // not.
-func (b *Book) Whole(address string, key Key) int {
+func (b *Index) Whole(address string, key Key) int {
 	if p := b.shelves[address]; p != nil {
 		return p.shelf.Whole(key)
 	}
@@ -142,13 +142,13 @@
 }
 
 // Retired reports whether a part is about to be freed at a source.
-func (b *Book) Retired(address string, key Key) bool {
+func (b *Index) Retired(address string, key Key) bool {
 	p := b.shelves[address]
 	return p != nil && p.shelf.Retired(key)
 }
 
 // Next returns how far a source's events are followed, and whether they are.
-func (b *Book) Next(address string) (uint64, bool) {
+func (b *Index) Next(address string) (uint64, bool) {
 	p := b.shelves[address]
 	if p == nil || p.shelf.Life() == 0 {
 		return 0, false
@@ -157,10 +157,10 @@
 }
 
 // Addresses lists the sources in order.
-func (b *Book) Addresses() []string { return slices.Sorted(maps.Keys(b.shelves)) }
+func (b *Index) Addresses() []string { return slices.Sorted(maps.Keys(b.shelves)) }
 
 // Write takes in a batch of records of a source.
-func (b *Book) Write(records ...Record) {
+func (b *Index) Write(records ...Record) {
 	for _, record := range records {
 		b.apply(record)
 		b.log(record)
@@ -170,20 +170,20 @@
 
 // Advance notes that a source's events are followed up to next, and that those
 // since the last record change nothing.
-func (b *Book) Advance(address string, next uint64) {
+func (b *Index) Advance(address string, next uint64) {
 	if p := b.shelves[address]; p != nil {
 		p.next = next
 	}
 }
 
 // Forget drops a source.
-func (b *Book) Forget(address string) {
+func (b *Index) Forget(address string) {
 	if b.shelves[address] != nil {
 		b.Write(Record{Address: address, Cleared: true})
 	}
 }
 
-func (b *Book) apply(record Record) {
+func (b *Index) apply(record Record) {
 	if record.Cleared && record.Incarnation == 0 {
 		delete(b.shelves, record.Address)
 		return
@@ -205,7 +205,7 @@
 	}
 }
 
-func (b *Book) log(record Record) {
+func (b *Index) log(record Record) {
 	b.at.Next++
 	b.logged++
 	if p := b.shelves[record.Address]; p != nil {
@@ -222,7 +222,7 @@
 
 // trim drops the oldest records. What they covered of each source counts as its
 // floor: a reader that holds less is told the shelf whole.
-func (b *Book) trim() {
+func (b *Index) trim() {
 	if len(b.journal) <= 2*b.kept {
 		return
 	}
@@ -248,7 +248,7 @@
 }
 
 // Ask returns the question for what this book lacks.
-func (b *Book) Ask() Question {
+func (b *Index) Ask() Question {
 	if b.at.Term != 0 {
 		return Question{At: b.at}
 	}
@@ -262,7 +262,7 @@
 
 // Take takes in the answer to a question of this book and reports whether the
 // book now stands for a moment of the leader's.
-func (b *Book) Take(u *Update) bool {
+func (b *Index) Take(u *Update) bool {
 	for _, record := range unfold(u.Batches) {
 		b.apply(record)
 		b.log(record)
@@ -286,16 +286,16 @@
 
 // Mixed reports whether records of later moments were added to a book that
 // stood for one: nothing in it may be relied on until it is complete again.
-func (b *Book) Mixed() bool { return !b.complete && b.touched }
+func (b *Index) Mixed() bool { return !b.complete && b.touched }
 
 // Complete reports whether the book stands for a moment of the leader's.
-func (b *Book) Complete() bool { return b.complete }
+func (b *Index) Complete() bool { return b.complete }
 
 // At returns the position up to which the book is complete.
-func (b *Book) At() Position { return b.at }
+func (b *Index) At() Position { return b.at }
 
 // Answer returns what the asker lacks.
-func (b *Book) Answer(q *Question) Update {
+func (b *Index) Answer(q *Question) Update {
 	if !b.complete {
 		return Update{At: q.At, More: true}
 	}
@@ -318,7 +318,7 @@
 
 // pageEnd is the end of the batch with which a page is full. A reader that has
 // a part of a batch could not say how far it holds the source.
-func (b *Book) pageEnd(records []Record) int {
+func (b *Index) pageEnd(records []Record) int {
 	for end := b.paged; end < len(records); end++ {
 		if records[end-1].Next != 0 {
 			return end
@@ -329,7 +329,7 @@
 
 // beyond returns what is missing beyond what a reader holds, a shelf at least
 // and no further one after a page.
-func (b *Book) beyond(held []Progress) Update {
+func (b *Index) beyond(held []Progress) Update {
 	var sheets []Sheet
 	told, behind := 0, false
 	tell := func(records []Record) {
@@ -372,7 +372,7 @@
 
 // list makes the listing of a shelf anew unless the one at hand can be told: it is of
 // the present life, and the journal holds what came after it.
-func (b *Book) list(address string, p *page) {
+func (b *Index) list(address string, p *page) {
 	young := b.kept > 0 && len(p.listing) > 0 && p.listing[0].Incarnation == p.shelf.Life() && b.logged-p.listed <= listingKept
 	if young && (p.changed <= p.listed || p.listingNext > 0 && p.listingNext >= b.floors[address]) {
 		return
@@ -382,7 +382,7 @@
 
 // retired lists the retired parts of a source. Retiring is no event of the
 // source, so that its numbers don't tell whether a reader knows of it.
-func (b *Book) retired(address string) []Record {
+func (b *Index) retired(address string) []Record {
 	p := b.shelves[address]
 	if p.shelf.retired == 0 {
 		return nil
@@ -402,7 +402,7 @@
 // since lists the journal's records of a source beyond next. After an election
 // every reader asks by source and most lack little; a look through the whole
 // journal for each would keep the leader busy beyond its heartbeats.
-func (b *Book) since(address string, next uint64) []Record {
+func (b *Index) since(address string, next uint64) []Record {
 	if b.shelves[address].logged <= next {
 		return nil
 	}
@@ -440,7 +440,7 @@
 
 // whole lists everything that a shelf holds, by salt: those of one salt make one
 // sheet.
-func (b *Book) whole(address string) []Record {
+func (b *Index) whole(address string) []Record {
 	p := b.shelves[address]
 	bySalt := make(map[string][]Change)
 	for key, tokens := range p.shelf.parts {
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -32,7 +32,7 @@
 }
 
 // poll brings a leader's book up to date with a source.
-func poll(b *Book, address string, s *source) {
+func poll(b *Index, address string, s *source) {
 	next, known := b.Next(address)
 	var records []Record
 	if !known || b.Shelf(address).Life() != s.life {
@@ -73,14 +73,14 @@
 			for _, address := range addresses {
 				sources[address] = &source{life: 1, parts: make(map[Key]int)}
 			}
-			hosts := []*Book{NewBook(true), NewBook(true), NewBook(true)}
-			entries := []*Book{NewBook(false), NewBook(false), NewBook(false), NewBook(false)}
+			hosts := []*Index{NewBook(true), NewBook(true), NewBook(true)}
+			entries := []*Index{NewBook(false), NewBook(false), NewBook(false), NewBook(false)}
 			for _, host := range hosts {
 				host.kept, host.paged = 20+int(seed)*5, 4+int(seed)
 			}
 			// moments are the shelves of the leader by position.
 			moments := make(map[Position]map[string]map[Key]int)
-			note := func(b *Book) {
+			note := func(b *Index) {
 				held := make(map[string]map[Key]int)
 				for _, address := range b.Addresses() {
 					held[address] = partsOf(b.Shelf(address))
@@ -90,7 +90,7 @@
 			leader, term := 0, uint64(1)
 			hosts[0].Lead(term)
 			note(hosts[0])
-			check := func(b *Book) {
+			check := func(b *Index) {
 				held := moments[b.At()]
 				if held == nil {
 					t.Fatalf("complete at %v, which no leader was at", b.At())
@@ -101,7 +101,7 @@
 					}
 				}
 			}
-			follow := func(reader, from *Book) {
+			follow := func(reader, from *Index) {
 				question := reader.Ask()
 				update := from.Answer(&question)
 				if reader.Take(&update) {
@@ -151,7 +151,7 @@
 	}
 }
 
-func settle(t *testing.T, reader, from *Book, check func(*Book)) {
+func settle(t *testing.T, reader, from *Index, check func(*Index)) {
 	t.Helper()
 	for range 100 {
 		question := reader.Ask()
@@ -175,8 +175,8 @@
 	}
 	records[5000].Next = 5000
 	first.Write(records...)
-	settle(t, second, first, func(*Book) {})
-	settle(t, entry, first, func(*Book) {})
+	settle(t, second, first, func(*Index) {})
+	settle(t, entry, first, func(*Index) {})
 	second.Lead(2)
 	second.Write(Record{Address: "a", Change: Change{Key: Key{Part: "new"}, Tokens: 1}, Next: 5001})
 	question := entry.Ask()
@@ -260,7 +260,7 @@
 
 // restarted is the book of a leader that has listed its stores since its start,
 // while a reader from before knows their lives and not their last events.
-func restarted(stores, parts, salts int) (*Book, Question) {
+func restarted(stores, parts, salts int) (*Index, Question) {
 	book := NewBook(true)
 	book.Lead(2)
 	question := Question{Listed: true}
--- a/cacheindex/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -6,7 +6,7 @@
 )
 
 // fullBook leads 34 sources of 500 parts each.
-func fullBook() *Book {
+func fullBook() *Index {
 	w := NewBook(true)
 	w.Lead(1)
 	for s := range 34 {
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -106,7 +106,7 @@
 	gateways []*Gateway
 	runners  map[string]*modelRunner
 	stores   map[string]*modelStore
-	book     *cacheindex.Book
+	book     *cacheindex.Index
 	mu       sync.Mutex
 	loads    []map[string]steward.Load
 	seen     map[string]bool
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -80,7 +80,7 @@
 	stores  map[string]*storeState
 	// book holds the shelves. It stood for a moment after shelvesAt, when it was
 	// last complete.
-	book      *cacheindex.Book
+	book      *cacheindex.Index
 	shelvesAt time.Time
 	term      uint64
 	// laden are the upstreams with work of others under way, or ordered to load weights.
--- a/internal/steward/behind_test.go
+++ b/internal/steward/behind_test.go
@@ -59,7 +59,7 @@
 	change := func(part string) []cacheindex.Change {
 		return []cacheindex.Change{{Key: cacheindex.Key{Salt: "m.2", Part: part}, Tokens: 5000}}
 	}
-	follow := func(book *cacheindex.Book, from *sharedBook) {
+	follow := func(book *cacheindex.Index, from *sharedBook) {
 		for range 20 {
 			question := book.Ask()
 			if update, _ := from.answer(&question); update != nil {
--- a/internal/steward/relaying_test.go
+++ b/internal/steward/relaying_test.go
@@ -18,7 +18,7 @@
 // followingEntry is an entry's side of the watches, on a real connection.
 type followingEntry struct {
 	mu       sync.Mutex
-	book     *cacheindex.Book
+	book     *cacheindex.Index
 	document catalog.Version
 	parts    int
 	complete bool
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -123,7 +123,7 @@
 
 // simHost is a control host; it believes that it leads until it is told.
 type simHost struct {
-	book    *cacheindex.Book
+	book    *cacheindex.Index
 	leads   bool
 	elected uint64
 	retirer *retirer
@@ -132,7 +132,7 @@
 }
 
 type simEntry struct {
-	book *cacheindex.Book
+	book *cacheindex.Index
 	at   time.Time
 	term uint64
 	// asking tells that a question is under way; an entry asks one at a time.
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -12,7 +12,7 @@
 // on from what it holds, so that an election makes nobody read listings again.
 type sharedBook struct {
 	mu   sync.Mutex
-	book *cacheindex.Book
+	book *cacheindex.Index
 	// leads tells that this host writes the book from the sources. An answer of
 	// a leader before, or of a source to a leadership that ended, comes too late.
 	leads bool
