--- a/internal/controlhost/lost.go
+++ b/internal/controlhost/lost.go
@@ -28,7 +28,7 @@
 			if address == "" {
 				continue
 			}
-			body := wire.MustMarshal(ledger.Request{Group: id, Lost: &owner})
+			body := wire.MustMarshal(ledger.Request{Group: id, LostOwner: &owner})
 			if _, err := h.transport.Call(ctx, address, ledger.MethodLost, body); err != nil {
 				h.options.Log.Debug("loss of an entry not told", "group", uint32(id), "err", err)
 			}
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -33,13 +33,13 @@
 // Request is the body of every message to a Server. The field that goes with
 // the method is set.
 type Request struct {
-	Group   port.GroupID        `cbor:"1,keyasint"`
-	Claim   *once.Claim         `cbor:"2,keyasint,omitempty"`
-	Release *once.Release       `cbor:"3,keyasint,omitempty"`
-	Record  *once.Record        `cbor:"4,keyasint,omitempty"`
-	Trace   *audit.TraceCommand `cbor:"5,keyasint,omitempty"`
-	Query   *audit.Query        `cbor:"6,keyasint,omitempty"`
-	Lost    *once.Owner         `cbor:"7,keyasint,omitempty"`
+	Group     port.GroupID        `cbor:"1,keyasint"`
+	Claim     *once.Claim         `cbor:"2,keyasint,omitempty"`
+	Release   *once.Release       `cbor:"3,keyasint,omitempty"`
+	Record    *once.Record        `cbor:"4,keyasint,omitempty"`
+	Trace     *audit.TraceCommand `cbor:"5,keyasint,omitempty"`
+	Query     *audit.Query        `cbor:"6,keyasint,omitempty"`
+	LostOwner *once.Owner         `cbor:"7,keyasint,omitempty"`
 	// WaitMillis is how long a duplicate's claim may wait for the outcome of
 	// the call in flight before it is answered.
 	WaitMillis int64 `cbor:"8,keyasint,omitempty"`
--- a/internal/ledger/server.go
+++ b/internal/ledger/server.go
@@ -80,8 +80,8 @@
 		return req.Release.Owner.Host == from.Host
 	case req.Trace != nil:
 		return req.Trace.Source.Host == from.Host
-	case req.Lost != nil:
-		return req.Lost.Host == from.Host || from.Role == roleControl
+	case req.LostOwner != nil:
+		return req.LostOwner.Host == from.Host || from.Role == roleControl
 	default:
 		return true
 	}
@@ -100,8 +100,8 @@
 		return group.propose(ctx, once.Command{NowMillis: now, Release: req.Release})
 	case method == MethodRecord && req.Record != nil:
 		return group.propose(ctx, once.Command{NowMillis: now, Record: req.Record})
-	case method == MethodLost && req.Lost != nil:
-		return group.propose(ctx, once.Command{NowMillis: now, LostOwner: req.Lost})
+	case method == MethodLost && req.LostOwner != nil:
+		return group.propose(ctx, once.Command{NowMillis: now, LostOwner: req.LostOwner})
 	case method == MethodTrace && req.Trace != nil:
 		return group.traced(ctx, now, *req.Trace)
 	case method == MethodQuery && req.Query != nil:
--- a/internal/ledger/settle.go
+++ b/internal/ledger/settle.go
@@ -85,7 +85,7 @@
 	told := 0
 	for {
 		for _, group := range c.groups()[told:] {
-			if _, _, err := c.call(ctx, MethodLost, Request{Group: group, Lost: &earlier}); err != nil {
+			if _, _, err := c.call(ctx, MethodLost, Request{Group: group, LostOwner: &earlier}); err != nil {
 				return
 			}
 			told++
@@ -130,7 +130,7 @@
 		return
 	}
 	for _, group := range c.groups() {
-		if _, _, err := c.call(ctx, MethodLost, Request{Group: group, Lost: &self}); err != nil {
+		if _, _, err := c.call(ctx, MethodLost, Request{Group: group, LostOwner: &self}); err != nil {
 			return
 		}
 	}
