--- a/upstream/summary.go
+++ b/upstream/summary.go
@@ -5,8 +5,8 @@
 // Summary is what other processes need to know of a pool: one line for each
 // cell instead of one for each upstream.
 type Summary struct {
-	// Offered is how many upstreams get work, SetAside how many are ejected.
-	Offered, SetAside int
+	// Offered is how many upstreams get work, Ejected how many are ejected.
+	Offered, Ejected int
 	// Slots is how many requests the offered run at once, weighted by slow
 	// start and probation; Requests what they are estimated to have.
 	Slots        float64
@@ -26,8 +26,8 @@
 		return Summary{}
 	}
 	sum := Summary{
-		Offered:  len(p.lists[offered]),
-		SetAside: len(p.lists[setAside]),
+		Offered: len(p.lists[offered]),
+		Ejected: len(p.lists[setAside]),
 	}
 	for _, i := range p.lists[offered] {
 		s := &r.slots[i]
