--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -297,8 +297,8 @@
 		{"fresh", func(*steward.WatchAnswer) time.Time { return time.Now() }, true},
 		{"old", func(*steward.WatchAnswer) time.Time { return time.Now().Add(-steward.ShelfTrust) }, false},
 		{"newer parts beside the old word", func(a *steward.WatchAnswer) time.Time { a.Shelves.More = true; return time.Now() }, false},
-		{"closed", func(a *steward.WatchAnswer) time.Time { a.States[0].Open = false; return time.Now() }, false},
-		{"no state told", func(a *steward.WatchAnswer) time.Time { a.States = nil; return time.Now() }, false},
+		{"closed", func(a *steward.WatchAnswer) time.Time { a.StoreStates[0].Open = false; return time.Now() }, false},
+		{"no state told", func(a *steward.WatchAnswer) time.Time { a.StoreStates = nil; return time.Now() }, false},
 	}
 	for _, c := range cases {
 		g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -132,7 +132,7 @@
 	for _, store := range s.stores {
 		store.open = false
 	}
-	for _, told := range answer.States {
+	for _, told := range answer.StoreStates {
 		s.store(told.Address).open = told.Open
 	}
 }
--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -132,7 +132,7 @@
 	defer b.mu.Unlock()
 	asked := shelvesAsked.Add(answer.Age)
 	if answer.Shelves != nil && b.book.take(answer.Shelves) {
-		b.states, b.shelvesAsked = answer.States, shelvesAsked
+		b.states, b.shelvesAsked = answer.StoreStates, shelvesAsked
 	}
 	b.takeGrants(answer, asked)
 	steady := time.Now()
@@ -224,7 +224,7 @@
 	defer b.mu.Unlock()
 	var found bool
 	answer.Shelves, found = b.book.answer(request.Shelves)
-	answer.States = b.states
+	answer.StoreStates = b.states
 	// Told with the shelves, under one lock: taken later it could be that of the
 	// next word, and make this one look younger than it is.
 	answer.Age = b.now().Sub(b.shelvesAsked)
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -18,7 +18,7 @@
 func relayingAnswer(term uint64) *WatchAnswer {
 	return &WatchAnswer{
 		Term: term, Leader: "c1", Relaying: true, EntryCount: 20,
-		States: []ShelfState{{Address: "store:1", Incarnation: 1, Open: true}},
+		StoreStates: []ShelfState{{Address: "store:1", Incarnation: 1, Open: true}},
 		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Batches: []cacheindex.Sheet{
 			{Address: "store:1", Cleared: true, Incarnation: 1, Parts: []string{"p"}, Tokens: []int{9}, Next: 1},
 		}},
@@ -83,7 +83,7 @@
 		return answer
 	}
 	none := func() {}
-	if a := ask(50*time.Millisecond, none); a.Age != 50*time.Millisecond || a.Shelves.More || len(a.Shelves.Batches) != 1 || !a.States[0].Open {
+	if a := ask(50*time.Millisecond, none); a.Age != 50*time.Millisecond || a.Shelves.More || len(a.Shelves.Batches) != 1 || !a.StoreStates[0].Open {
 		t.Fatalf("told %+v, shelves %+v", a, a.Shelves)
 	}
 	// The next word comes while this one is put together.
@@ -94,7 +94,7 @@
 	}
 	// A part of the next records has come, and with it no moment to stand for.
 	part := relayingAnswer(3)
-	part.States[0].Open = false
+	part.StoreStates[0].Open = false
 	part.Shelves = &cacheindex.Update{At: cacheindex.Position{Term: 3, Next: 3}, More: true, Batches: []cacheindex.Sheet{
 		{Address: "store:1", Parts: []string{"q"}, Tokens: []int{9}, Next: 2},
 	}}
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -171,8 +171,8 @@
 	Loading []string `cbor:"16,keyasint,omitempty"`
 	// Shelves is what the caller lacked of the shelves, and States which stores
 	// may be used once the shelves are complete.
-	Shelves *cacheindex.Update `cbor:"9,keyasint,omitempty"`
-	States  []ShelfState       `cbor:"11,keyasint,omitempty"`
+	Shelves     *cacheindex.Update `cbor:"9,keyasint,omitempty"`
+	StoreStates []ShelfState       `cbor:"11,keyasint,omitempty"`
 	// Clock is the upstreams' clock in milliseconds, at the earliest; zero
 	// while unknown.
 	Clock int64 `cbor:"13,keyasint,omitempty"`
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -229,13 +229,13 @@
 		return lead.watch(context.Background(), entryPeer("e1"), request)
 	}
 	open := func(a *WatchAnswer, life uint64) bool {
-		return len(a.States) == 1 && a.States[0].Open && a.States[0].Incarnation == life
+		return len(a.StoreStates) == 1 && a.StoreStates[0].Open && a.StoreStates[0].Incarnation == life
 	}
 	f.await("the store is open", func() bool { a := watch(); return open(a, 1) && parts(a) == 1 })
 	f.stores.mu.Lock()
 	f.stores.life, f.stores.events = 2, nil
 	f.stores.mu.Unlock()
-	f.await("the store is closed", func() bool { a := watch(); return len(a.States) == 1 && !a.States[0].Open })
+	f.await("the store is closed", func() bool { a := watch(); return len(a.StoreStates) == 1 && !a.StoreStates[0].Open })
 	lead := f.leader()
 	f.await("the new life is known", func() bool { return lead.machine.lifeOf("store:1") == 2 })
 	lead.book.mu.Lock()
