--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -109,8 +109,8 @@
 	listed, listingNext uint64
 }
 
-// NewBook returns an empty book. One that is read by others keeps a journal.
-func NewBook(keepsJournal bool) *Index {
+// NewIndex returns an empty book. One that is read by others keeps a journal.
+func NewIndex(keepsJournal bool) *Index {
 	b := &Index{shelves: make(map[string]*page), floors: make(map[string]uint64), paged: PageRecords}
 	if keepsJournal {
 		b.kept = journalLength
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -73,8 +73,8 @@
 			for _, address := range addresses {
 				sources[address] = &source{life: 1, parts: make(map[Key]int)}
 			}
-			hosts := []*Index{NewBook(true), NewBook(true), NewBook(true)}
-			entries := []*Index{NewBook(false), NewBook(false), NewBook(false), NewBook(false)}
+			hosts := []*Index{NewIndex(true), NewIndex(true), NewIndex(true)}
+			entries := []*Index{NewIndex(false), NewIndex(false), NewIndex(false), NewIndex(false)}
 			for _, host := range hosts {
 				host.kept, host.paged = 20+int(seed)*5, 4+int(seed)
 			}
@@ -167,7 +167,7 @@
 // An election must not make every entry read every listing again: a reader that
 // lacks one change is told one change by the next leader.
 func TestNextLeaderTellsOnlyWhatIsMissing(t *testing.T) {
-	first, second, entry := NewBook(true), NewBook(true), NewBook(false)
+	first, second, entry := NewIndex(true), NewIndex(true), NewIndex(false)
 	first.Lead(1)
 	records := []Record{{Address: "a", Cleared: true, Incarnation: 9}}
 	for i := range 5000 {
@@ -195,7 +195,7 @@
 // A listing larger than an entry's link carries before it gives up would be
 // asked for again for ever.
 func TestLargeListingsComeInPages(t *testing.T) {
-	book, entry := NewBook(true), NewBook(false)
+	book, entry := NewIndex(true), NewIndex(false)
 	book.Lead(1)
 	for s := range 12 {
 		address := fmt.Sprint("store", s)
@@ -225,7 +225,7 @@
 	}
 	// The journal holds less than all of them: a reader that lagged beyond it
 	// must not be told the tail for the whole.
-	late := NewBook(false)
+	late := NewIndex(false)
 	question := Question{Listed: true, Progress: []Progress{{Address: "store0", Incarnation: 1, Next: 10}}}
 	update := book.Answer(&question)
 	late.Take(&update)
@@ -261,7 +261,7 @@
 // restarted is the book of a leader that has listed its stores since its start,
 // while a reader from before knows their lives and not their last events.
 func restarted(stores, parts, salts int) (*Index, Question) {
-	book := NewBook(true)
+	book := NewIndex(true)
 	book.Lead(2)
 	question := Question{Listed: true}
 	for s := range stores {
--- a/cacheindex/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -7,7 +7,7 @@
 
 // fullBook leads 34 sources of 500 parts each.
 func fullBook() *Index {
-	w := NewBook(true)
+	w := NewIndex(true)
 	w.Lead(1)
 	for s := range 34 {
 		address := fmt.Sprintf("10.1.0.%d:8080", s)
@@ -29,7 +29,7 @@
 	step := uint64(500)
 	made := make(map[*string]bool)
 	for reader := range 70 {
-		r := NewBook(false)
+		r := NewIndex(false)
 		for asked := 0; ; asked++ {
 			step++
 			for s := range 3 {
@@ -85,7 +85,7 @@
 // as a page, they would end it before the sources that come after them, each time, and
 // callers would get nothing from stores until the parts are freed.
 func TestRetiredPartsDoNotEndAPage(t *testing.T) {
-	w := NewBook(true)
+	w := NewIndex(true)
 	w.Lead(1)
 	for _, address := range []string{"a", "b"} {
 		w.Write(Record{Address: address, Cleared: true, Incarnation: 7})
@@ -93,7 +93,7 @@
 			w.Write(Record{Address: address, Change: Change{Key: Key{Salt: "m.1", Part: fmt.Sprint(p)}, Tokens: 10}, Next: uint64(p + 1)})
 		}
 	}
-	r := NewBook(false)
+	r := NewIndex(false)
 	ask := func(most int) {
 		t.Helper()
 		for range most {
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -129,7 +129,7 @@
 	t.Helper()
 	f := &modelFleet{
 		shape: shape, runners: make(map[string]*modelRunner), stores: make(map[string]*modelStore),
-		book: cacheindex.NewBook(false), seen: make(map[string]bool),
+		book: cacheindex.NewIndex(false), seen: make(map[string]bool),
 	}
 	seconds := int(shape.length/time.Second) + 1
 	f.result = fleetResult{
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -151,7 +151,7 @@
 		engaged:   make(map[string]*upstreamState),
 		serving:   make(map[string][]*upstreamState),
 		stores:    make(map[string]*storeState),
-		book:      cacheindex.NewBook(false),
+		book:      cacheindex.NewIndex(false),
 		recent:    newRecentParts(),
 		budgets:   newBudgets(),
 		allowance: warmup.NewAllowance(time.Now()),
--- a/internal/steward/behind_test.go
+++ b/internal/steward/behind_test.go
@@ -74,7 +74,7 @@
 	former.replace("a:1", StoreEvents{Life: 1, Next: 100, Changes: change("q")})
 	follow(s.book.book, former)
 	former.add(dead, StoreEvents{Life: 1, Next: 120, Changes: change("r")})
-	entry := cacheindex.NewBook(false)
+	entry := cacheindex.NewIndex(false)
 	follow(entry, former)
 	if !entry.Complete() || !s.book.book.Complete() {
 		t.Fatal("the books are not complete before")
--- a/internal/steward/relaying_test.go
+++ b/internal/steward/relaying_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	e := &followingEntry{book: cacheindex.NewBook(false)}
+	e := &followingEntry{book: cacheindex.NewIndex(false)}
 	go follower.Run(ctx, func() *WatchRequest {
 		e.mu.Lock()
 		defer e.mu.Unlock()
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -371,10 +371,10 @@
 		}
 		w.restart()
 		for range 3 {
-			w.hosts = append(w.hosts, &simHost{book: cacheindex.NewBook(true)})
+			w.hosts = append(w.hosts, &simHost{book: cacheindex.NewIndex(true)})
 		}
 		for i := range w.entries {
-			w.entries[i] = &simEntry{book: cacheindex.NewBook(false), saving: make(map[cacheindex.Key]time.Time)}
+			w.entries[i] = &simEntry{book: cacheindex.NewIndex(false), saving: make(map[cacheindex.Key]time.Time)}
 		}
 		w.elect(0)
 		w.play(40 * time.Second)
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -21,7 +21,7 @@
 }
 
 func newSharedBook() *sharedBook {
-	return &sharedBook{book: cacheindex.NewBook(true), changed: make(chan struct{})}
+	return &sharedBook{book: cacheindex.NewIndex(true), changed: make(chan struct{})}
 }
 
 // notify wakes those who wait for a change. The caller holds the lock.
