--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -32,9 +32,9 @@
 	Now func() time.Time
 	// Timeout bounds one message to a control host; zero means one second.
 	Timeout time.Duration
-	// SettleWait bounds how long a caller's answer is held back until its
+	// RecordWait bounds how long a caller's answer is held back until its
 	// outcome is recorded; zero means two seconds.
-	SettleWait time.Duration
+	RecordWait time.Duration
 	// MaxPending bounds the outcomes that wait for the ledger in the
 	// background; zero means 1024.
 	MaxPending int
@@ -57,8 +57,8 @@
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
 	}
-	if o.SettleWait <= 0 {
-		o.SettleWait = defaultSettleWait
+	if o.RecordWait <= 0 {
+		o.RecordWait = defaultSettleWait
 	}
 	if o.MaxPending <= 0 {
 		o.MaxPending = defaultMaxPending
--- a/internal/ledger/settle.go
+++ b/internal/ledger/settle.go
@@ -27,7 +27,7 @@
 // committed it, or after SettleWait with the rest left to the background. A
 // caller that has gone doesn't end it.
 func (c *Client) settle(ctx context.Context, s settlement) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.options.SettleWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.options.RecordWait)
 	defer cancel()
 	if !c.commit(ctx, s) {
 		c.settleLater(s)
