--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -15,7 +15,7 @@
 // spreadOver places the test's upstreams in two data centres, by turns.
 func spreadOver(g *Gateway) {
 	answer := testAnswer()
-	answer.Shelves, answer.StoreStates = nil, nil
+	answer.Inventories, answer.StoreStates = nil, nil
 	for i := range answer.Roster.Upstreams {
 		answer.Roster.Upstreams[i].DataCentre = []string{"north", "south"}[i%2]
 	}
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -202,7 +202,7 @@
 	}
 	return &steward.WatchAnswer{
 		Term: 1, Document: d, Weights: &steward.WeightsView{Revision: 1}, Roster: view, StoreStates: states,
-		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: 1}}, Clock: 1000, EntryCount: f.shape.entries,
+		Inventories: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: 1}}, Clock: 1000, EntryCount: f.shape.entries,
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -206,13 +206,13 @@
 	now := testAnswer()
 	now.Term, now.Document, now.Silent = 2, nil, []string{"a1"}
 	now.Loads = []steward.Load{{Upstream: "a2", Requests: 3}}
-	now.Shelves = nil
+	now.Inventories = nil
 	g.Told(now, time.Now())
 	late := testAnswer()
-	late.Partial, late.Document.Version, late.Shelves = true, 8, nil
+	late.Partial, late.Document.Version, late.Inventories = true, 8, nil
 	g.Told(late, time.Now())
 	old := testAnswer()
-	old.Partial, old.Document.Version, old.Shelves = true, 7, nil
+	old.Partial, old.Document.Version, old.Inventories = true, 7, nil
 	g.Told(old, time.Now())
 	s := g.state
 	if v := g.Index().Version(); v != 8 || s.term != 2 || !s.members["a1"].silent || s.members["a2"].others.Requests != 3 {
@@ -275,7 +275,7 @@
 		t.Fatalf("an isolated team fetches what others made: %+v", walled.Fetch)
 	}
 	swapped := testAnswer()
-	swapped.Document, swapped.Shelves.Batches = nil, nil
+	swapped.Document, swapped.Inventories.Batches = nil, nil
 	swapped.Roster.Revision = 2
 	for i := range swapped.Roster.Upstreams {
 		swapped.Roster.Upstreams[i].Loaded = []roster.Loaded{{Model: "m", Version: 2}}
@@ -296,7 +296,7 @@
 	}{
 		{"fresh", func(*steward.WatchAnswer) time.Time { return time.Now() }, true},
 		{"old", func(*steward.WatchAnswer) time.Time { return time.Now().Add(-steward.ShelfTrust) }, false},
-		{"newer parts beside the old word", func(a *steward.WatchAnswer) time.Time { a.Shelves.More = true; return time.Now() }, false},
+		{"newer parts beside the old word", func(a *steward.WatchAnswer) time.Time { a.Inventories.More = true; return time.Now() }, false},
 		{"closed", func(a *steward.WatchAnswer) time.Time { a.StoreStates[0].Open = false; return time.Now() }, false},
 		{"no state told", func(a *steward.WatchAnswer) time.Time { a.StoreStates = nil; return time.Now() }, false},
 	}
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -17,7 +17,7 @@
 // the hosts have known since revision.
 func tell(g *Gateway, revision, born uint64, others ...roster.Upstream) {
 	answer := testAnswer()
-	answer.Shelves, answer.StoreStates = nil, nil
+	answer.Inventories, answer.StoreStates = nil, nil
 	answer.Roster = &steward.RosterView{Revision: revision, Upstreams: append(others, roster.Upstream{
 		ID: "l1", Service: "llm", Address: "l1:1", State: roster.Serving, Slots: 4, Born: born, Loaded: []roster.Loaded{{Model: "m", Version: 1}},
 	})}
@@ -89,7 +89,7 @@
 	sheet := cacheindex.Sheet{Address: "l1:1", Cleared: true, Incarnation: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
 	shelves := func(next uint64) {
 		g.Told(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: 1000, StoreStates: testAnswer().StoreStates,
-			Shelves: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Batches: []cacheindex.Sheet{sheet}}}, time.Now())
+			Inventories: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Batches: []cacheindex.Sheet{sheet}}}, time.Now())
 	}
 	shelves(3)
 	s.recent.note(key, s.members["l1"].life(), time.Now())
--- a/internal/gateway/meter_test.go
+++ b/internal/gateway/meter_test.go
@@ -64,7 +64,7 @@
 	unsafe := request("/unsafe/x")
 	serve(g, unsafe)
 	told := testAnswer()
-	told.Document, told.Roster, told.Shelves = nil, nil, nil
+	told.Document, told.Roster, told.Inventories = nil, nil, nil
 	told.Silent, told.Loads = []string{"l1"}, []steward.Load{{Upstream: "l2", Requests: 3}}
 	g.Told(told, time.Now())
 	d := g.Dump()
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -70,7 +70,7 @@
 		full := testAnswer()
 		g.state = newState(placement.DefaultRates().ReadPerMs)
 		bare := testAnswer()
-		bare.Shelves = nil
+		bare.Inventories = nil
 		g.Told(bare, time.Now())
 		go func() {
 			time.Sleep(200 * time.Millisecond)
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -106,11 +106,11 @@
 }
 
 func (s *state) noteShelves(answer *steward.WatchAnswer, sent time.Time) {
-	if answer.Shelves == nil {
+	if answer.Inventories == nil {
 		return
 	}
-	for i := range answer.Shelves.Batches {
-		sheet := &answer.Shelves.Batches[i]
+	for i := range answer.Inventories.Batches {
+		sheet := &answer.Inventories.Batches[i]
 		if sheet.Cleared {
 			s.list(sheet.Address)
 		}
@@ -119,7 +119,7 @@
 			delete(pending, cacheindex.Key{Salt: sheet.Salt, Part: part})
 		}
 	}
-	if !s.book.Take(answer.Shelves) {
+	if !s.book.Take(answer.Inventories) {
 		return
 	}
 	s.shelvesAt = sent
--- a/internal/gateway/versions_test.go
+++ b/internal/gateway/versions_test.go
@@ -20,7 +20,7 @@
 func TestPromptsDoNotBeginOnWeightsPastTheirBound(t *testing.T) {
 	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
 	word := testAnswer()
-	word.Document, word.Shelves = nil, nil
+	word.Document, word.Inventories = nil, nil
 	word.Roster.Upstreams[3].Loaded = []roster.Loaded{{Model: "m", Version: 2}}
 	word.Floor = []roster.Loaded{{Model: "m", Version: 2}}
 	g.Told(word, time.Now())
@@ -88,7 +88,7 @@
 func TestTheFloorConcernsNoUpstreamsWithoutModels(t *testing.T) {
 	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
 	word := testAnswer()
-	word.Document, word.Shelves = nil, nil
+	word.Document, word.Inventories = nil, nil
 	for i := range word.Roster.Upstreams {
 		if word.Roster.Upstreams[i].Service == "app" {
 			word.Roster.Upstreams[i].Loaded = nil
--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -131,7 +131,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	asked := shelvesAsked.Add(answer.Age)
-	if answer.Shelves != nil && b.book.take(answer.Shelves) {
+	if answer.Inventories != nil && b.book.take(answer.Inventories) {
 		b.states, b.shelvesAsked = answer.StoreStates, shelvesAsked
 	}
 	b.takeGrants(answer, asked)
@@ -146,7 +146,7 @@
 	if answer.SilentAt == before.SilentAt && answer.Term == before.Term {
 		b.told.Silent = before.Silent
 	}
-	b.told.Shelves, b.told.Document, b.told.Weights, b.told.Roster = nil, nil, nil, nil
+	b.told.Inventories, b.told.Document, b.told.Weights, b.told.Roster = nil, nil, nil, nil
 	b.told.Quarantine, b.told.Evacuation, b.told.Grants = nil, nil, nil
 }
 
@@ -223,7 +223,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var found bool
-	answer.Shelves, found = b.book.answer(request.Shelves)
+	answer.Inventories, found = b.book.answer(request.Shelves)
 	answer.StoreStates = b.states
 	// Told with the shelves, under one lock: taken later it could be that of the
 	// next word, and make this one look younger than it is.
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -19,7 +19,7 @@
 	return &WatchAnswer{
 		Term: term, Leader: "c1", Relaying: true, EntryCount: 20,
 		StoreStates: []ShelfState{{Address: "store:1", Incarnation: 1, Open: true}},
-		Shelves: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Batches: []cacheindex.Sheet{
+		Inventories: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Batches: []cacheindex.Sheet{
 			{Address: "store:1", Cleared: true, Incarnation: 1, Parts: []string{"p"}, Tokens: []int{9}, Next: 1},
 		}},
 	}
@@ -83,24 +83,24 @@
 		return answer
 	}
 	none := func() {}
-	if a := ask(50*time.Millisecond, none); a.Age != 50*time.Millisecond || a.Shelves.More || len(a.Shelves.Batches) != 1 || !a.StoreStates[0].Open {
-		t.Fatalf("told %+v, shelves %+v", a, a.Shelves)
+	if a := ask(50*time.Millisecond, none); a.Age != 50*time.Millisecond || a.Inventories.More || len(a.Inventories.Batches) != 1 || !a.StoreStates[0].Open {
+		t.Fatalf("told %+v, shelves %+v", a, a.Inventories)
 	}
 	// The next word comes while this one is put together.
 	same := relayingAnswer(3)
-	same.Shelves.Batches = nil
+	same.Inventories.Batches = nil
 	if a := ask(70*time.Millisecond, func() { b.take(same, asked.Add(60*time.Millisecond), time.Now()) }); a.Age != 70*time.Millisecond {
 		t.Fatalf("the word of the start is told as %v old after 70 ms", a.Age)
 	}
 	// A part of the next records has come, and with it no moment to stand for.
 	part := relayingAnswer(3)
 	part.StoreStates[0].Open = false
-	part.Shelves = &cacheindex.Update{At: cacheindex.Position{Term: 3, Next: 3}, More: true, Batches: []cacheindex.Sheet{
+	part.Inventories = &cacheindex.Update{At: cacheindex.Position{Term: 3, Next: 3}, More: true, Batches: []cacheindex.Sheet{
 		{Address: "store:1", Parts: []string{"q"}, Tokens: []int{9}, Next: 2},
 	}}
 	b.take(part, asked.Add(80*time.Millisecond), asked.Add(90*time.Millisecond))
-	if a := ask(100*time.Millisecond, none); !a.Shelves.More || len(a.Shelves.Batches) != 0 {
-		t.Fatalf("an incomplete book is passed on: %+v", a.Shelves)
+	if a := ask(100*time.Millisecond, none); !a.Inventories.More || len(a.Inventories.Batches) != 0 {
+		t.Fatalf("an incomplete book is passed on: %+v", a.Inventories)
 	}
 }
 
@@ -123,7 +123,7 @@
 		}
 		// Kept open for 120 ms; the leader is asked anew after 30 of them.
 		again := relayingAnswer(3)
-		again.Shelves = nil
+		again.Inventories = nil
 		time.AfterFunc(50*time.Millisecond, func() { s.branch.take(again, asked.Add(130*time.Millisecond), time.Now()) })
 		if a := watch(3); a.Elsewhere || a.Heard != 90*time.Millisecond {
 			t.Fatalf("told %+v 90 ms after the leader was asked", a)
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -169,9 +169,9 @@
 	SilentAt uint64   `cbor:"30,keyasint,omitempty"`
 	// Loading are the runners that are being ordered to load weights.
 	Loading []string `cbor:"16,keyasint,omitempty"`
-	// Shelves is what the caller lacked of the shelves, and States which stores
+	// Inventories is what the caller lacked of the shelves, and States which stores
 	// may be used once the shelves are complete.
-	Shelves     *cacheindex.Update `cbor:"9,keyasint,omitempty"`
+	Inventories *cacheindex.Update `cbor:"9,keyasint,omitempty"`
 	StoreStates []ShelfState       `cbor:"11,keyasint,omitempty"`
 	// Clock is the upstreams' clock in milliseconds, at the earliest; zero
 	// while unknown.
--- a/internal/steward/meter.go
+++ b/internal/steward/meter.go
@@ -105,11 +105,11 @@
 	} else {
 		m.asRelay.Inc()
 	}
-	if answer.Shelves == nil {
+	if answer.Inventories == nil {
 		return
 	}
-	for i := range answer.Shelves.Batches {
-		m.told.Add(len(answer.Shelves.Batches[i].Parts))
+	for i := range answer.Inventories.Batches {
+		m.told.Add(len(answer.Inventories.Batches[i].Parts))
 	}
 }
 
--- a/internal/steward/relaying_test.go
+++ b/internal/steward/relaying_test.go
@@ -47,8 +47,8 @@
 		if answer.Document != nil {
 			e.document = max(e.document, answer.Document.Version)
 		}
-		if answer.Shelves != nil {
-			e.complete = e.book.Take(answer.Shelves)
+		if answer.Inventories != nil {
+			e.complete = e.book.Take(answer.Inventories)
 		}
 		e.parts = e.book.Shelf("store:1").Len()
 		e.through = follower.asked
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -46,7 +46,7 @@
 		for i := range 10 {
 			name := fmt.Sprint("e", i)
 			answer := l.steward.watch(t.Context(), entryPeer(name), askOf(name, 64, everything))
-			if !answer.Elsewhere || answer.Document != nil || answer.Shelves != nil || answer.Pause != redirectPause {
+			if !answer.Elsewhere || answer.Document != nil || answer.Inventories != nil || answer.Pause != redirectPause {
 				t.Fatalf("entry %d of 64 is told %+v", i, answer)
 			}
 		}
@@ -56,8 +56,8 @@
 		// Those who do not call in time are no longer there.
 		time.Sleep(relaysWithin)
 		answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", 64, everything))
-		if answer.Shelves == nil || answer.Relaying || answer.EntryCount != 1 {
-			t.Fatalf("the last entry is told shelves %v, relaying %v, %d entries", answer.Shelves, answer.Relaying, answer.EntryCount)
+		if answer.Inventories == nil || answer.Relaying || answer.EntryCount != 1 {
+			t.Fatalf("the last entry is told shelves %v, relaying %v, %d entries", answer.Inventories, answer.Relaying, answer.EntryCount)
 		}
 	})
 }
@@ -70,11 +70,11 @@
 		l := restartedLeader()
 		request := askOf("e1", 64, cacheindex.Question{Listed: true})
 		request.Direct = true
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Shelves != nil || answer.Document == nil {
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories != nil || answer.Document == nil {
 			t.Fatalf("told %+v", answer)
 		}
 		time.Sleep(relaysWithin)
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Shelves == nil {
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories == nil {
 			t.Fatalf("told %+v later", answer)
 		}
 	})
@@ -96,11 +96,11 @@
 		l.follow(controlPeer("c2"), &WatchRequest{Relay: true}, now)
 		request := askOf("e1", 64, cacheindex.Question{Listed: true})
 		request.Overdue = true
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Shelves != nil || answer.Document == nil {
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories != nil || answer.Document == nil {
 			t.Fatalf("told %+v", answer)
 		}
 		time.Sleep(relayKept + time.Millisecond)
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Shelves == nil {
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories == nil {
 			t.Fatalf("told %+v while nobody else can", answer)
 		}
 	})
@@ -113,8 +113,8 @@
 		for _, others := range []int{0, 1, entriesAlone} {
 			l := restartedLeader()
 			answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", others, cacheindex.Question{Listed: true}))
-			if answer.Shelves == nil || len(answer.Shelves.Batches) == 0 || answer.Relaying {
-				t.Errorf("with %d entries before: shelves %v, relaying %v", others, answer.Shelves, answer.Relaying)
+			if answer.Inventories == nil || len(answer.Inventories.Batches) == 0 || answer.Relaying {
+				t.Errorf("with %d entries before: shelves %v, relaying %v", others, answer.Inventories, answer.Relaying)
 			}
 		}
 	})
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -423,6 +423,6 @@
 	stores := slices.Sorted(maps.Keys(k.byStore))
 	k.mu.Unlock()
 	var found bool
-	answer.Shelves, found, answer.StoreStates = k.book.answerWithStates(request.Shelves, stores, time.Now())
+	answer.Inventories, found, answer.StoreStates = k.book.answerWithStates(request.Shelves, stores, time.Now())
 	return found
 }
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -216,7 +216,7 @@
 	request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Shelves: &cacheindex.Question{Listed: true}}
 	parts := func(a *WatchAnswer) int {
 		n := 0
-		for _, sheet := range a.Shelves.Batches {
+		for _, sheet := range a.Inventories.Batches {
 			n += len(sheet.Parts)
 		}
 		return n
--- a/internal/steward/watch.go
+++ b/internal/steward/watch.go
@@ -133,7 +133,7 @@
 	answer := &WatchAnswer{}
 	machineNews, orderNews, shelfNews := s.machine.news(), s.machine.orders(), s.book.news()
 	heard, found := s.fill(b, request, answer)
-	if answer.Shelves == nil || request.Idle {
+	if answer.Inventories == nil || request.Idle {
 		// Who is not told the shelves is not woken by them: a leader that lists all
 		// stores would answer every watch at each listing. An entry without requests
 		// is told them when it asks.
@@ -175,7 +175,7 @@
 		return usual
 	case answer.Roster != nil && answer.Roster.More:
 		return 0
-	case answer.Shelves != nil && answer.Shelves.More && len(answer.Shelves.Batches) > 0:
+	case answer.Inventories != nil && answer.Inventories.More && len(answer.Inventories.Batches) > 0:
 		return 0
 	}
 	return usual
