--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -181,7 +181,7 @@
 		request.Term = 0
 	}
 	question := s.book.Ask()
-	request.Shelves = &question
+	request.Inventories = &question
 	if s.index != nil {
 		request.Document = s.index.Version()
 	}
--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -102,7 +102,7 @@
 	request.Relay = true
 	b.listBelow(request, now)
 	request.Loads = b.watchers.loads()
-	request.Shelves = b.book.ask()
+	request.Inventories = b.book.ask()
 	return request
 }
 
@@ -217,13 +217,13 @@
 
 // fill implements bulletin.
 func (b *branch) fill(request *WatchRequest, answer *WatchAnswer) bool {
-	if request.Shelves == nil {
+	if request.Inventories == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var found bool
-	answer.Inventories, found = b.book.answer(request.Shelves)
+	answer.Inventories, found = b.book.answer(request.Inventories)
 	answer.StoreStates = b.states
 	// Told with the shelves, under one lock: taken later it could be that of the
 	// next word, and make this one look younger than it is.
--- a/internal/steward/relaying_test.go
+++ b/internal/steward/relaying_test.go
@@ -39,7 +39,7 @@
 		defer e.mu.Unlock()
 		question := e.book.Ask()
 		return &WatchRequest{
-			Entry: &EntryView{Host: name, Ready: true}, Document: e.document, Shelves: &question, Term: follower.term,
+			Entry: &EntryView{Host: name, Ready: true}, Document: e.document, Inventories: &question, Term: follower.term,
 		}
 	}, func(answer *WatchAnswer, _ time.Time) {
 		e.mu.Lock()
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -31,7 +31,7 @@
 
 // askOf is the question of an entry that was told of others before.
 func askOf(entry string, others int, held cacheindex.Question) *WatchRequest {
-	return &WatchRequest{Entry: &EntryView{Host: entry, Ready: true}, Shelves: &held, Entries: others}
+	return &WatchRequest{Entry: &EntryView{Host: entry, Ready: true}, Inventories: &held, Entries: others}
 }
 
 // Callers get no answer for seconds after a restart of all control hosts. All entries
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -416,13 +416,13 @@
 // fill adds what a watcher lacks of the shelves and reports whether that is
 // anything.
 func (k *shelves) fill(request *WatchRequest, answer *WatchAnswer) bool {
-	if request.Shelves == nil {
+	if request.Inventories == nil {
 		return false
 	}
 	k.mu.Lock()
 	stores := slices.Sorted(maps.Keys(k.byStore))
 	k.mu.Unlock()
 	var found bool
-	answer.Inventories, found, answer.StoreStates = k.book.answerWithStates(request.Shelves, stores, time.Now())
+	answer.Inventories, found, answer.StoreStates = k.book.answerWithStates(request.Inventories, stores, time.Now())
 	return found
 }
--- a/internal/steward/virtualnet_test.go
+++ b/internal/steward/virtualnet_test.go
@@ -311,7 +311,7 @@
 	defer e.mu.Unlock()
 	return &WatchRequest{
 		Entry: &EntryView{Host: string(e.host.name), Ready: true}, Document: e.version,
-		Shelves: &cacheindex.Question{}, Term: e.follower.term,
+		Inventories: &cacheindex.Question{}, Term: e.follower.term,
 	}
 }
 
