--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -98,7 +98,7 @@
 }
 
 type page struct {
-	shelf *Shelf
+	shelf *Inventory
 	next  uint64
 	// logged is how far the source's events are followed with its latest record, and
 	// changed the count of all records at that one.
@@ -125,7 +125,7 @@
 }
 
 // Shelf returns the shelf of a source, an empty one if it is not known.
-func (b *Index) Shelf(address string) *Shelf {
+func (b *Index) Shelf(address string) *Inventory {
 	if p := b.shelves[address]; p != nil {
 		return p.shelf
 	}
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -52,7 +52,7 @@
 	b.Write(records...)
 }
 
-func partsOf(s *Shelf) map[Key]int {
+func partsOf(s *Inventory) map[Key]int {
 	parts := make(map[Key]int)
 	for _, change := range s.All() {
 		parts[change.Key] = change.Tokens
--- a/cacheindex/holdings.go
+++ b/cacheindex/holdings.go
@@ -43,8 +43,8 @@
 // shelf stays under 16 MB.
 const MaxParts = 1 << 17
 
-// Shelf is what one store is known to hold. It is not safe for concurrent use.
-type Shelf struct {
+// Inventory is what one store is known to hold. It is not safe for concurrent use.
+type Inventory struct {
 	life   uint64
 	parts  map[Key]int
 	tokens int
@@ -55,22 +55,22 @@
 }
 
 // NewShelf returns a closed shelf of a store that was not asked yet.
-func NewShelf() *Shelf {
-	return &Shelf{parts: make(map[Key]int), closed: true}
+func NewShelf() *Inventory {
+	return &Inventory{parts: make(map[Key]int), closed: true}
 }
 
 // Life returns the life of the store that the shelf describes.
-func (s *Shelf) Life() uint64 { return s.life }
+func (s *Inventory) Life() uint64 { return s.life }
 
 // Tokens returns the tokens of the parts that take room in the store.
-func (s *Shelf) Tokens() int { return s.tokens }
+func (s *Inventory) Tokens() int { return s.tokens }
 
 // Len returns the number of parts known to be whole.
-func (s *Shelf) Len() int { return len(s.parts) }
+func (s *Inventory) Len() int { return len(s.parts) }
 
 // Begin replaces all that is known by a listing of the store's present life.
 // The shelf opens pause later.
-func (s *Shelf) Begin(life uint64, held []Change, now time.Time, pause time.Duration) {
+func (s *Inventory) Begin(life uint64, held []Change, now time.Time, pause time.Duration) {
 	s.life = life
 	s.parts = make(map[Key]int, len(held))
 	s.tokens, s.retired = 0, 0
@@ -82,19 +82,19 @@
 }
 
 // Clear empties the shelf for another life of its store and closes it.
-func (s *Shelf) Clear(life uint64) {
-	*s = Shelf{life: life, parts: make(map[Key]int), closed: true}
+func (s *Inventory) Clear(life uint64) {
+	*s = Inventory{life: life, parts: make(map[Key]int), closed: true}
 }
 
 // Reopen opens a closed shelf again, pause later, when its store is found in
 // the same life and nothing was missed of it.
-func (s *Shelf) Reopen(now time.Time, pause time.Duration) {
+func (s *Inventory) Reopen(now time.Time, pause time.Duration) {
 	s.closed = false
 	s.opens = now.Add(pause)
 }
 
 // Apply takes in one change.
-func (s *Shelf) Apply(change Change) {
+func (s *Inventory) Apply(change Change) {
 	held, known := s.parts[change.Key]
 	switch {
 	case change.Tokens == 0:
@@ -123,29 +123,29 @@
 }
 
 // Close marks a store that can't be asked. A later Begin opens it again.
-func (s *Shelf) Close() { s.closed = true }
+func (s *Inventory) Close() { s.closed = true }
 
 // Open reports whether the store may be read from and written to.
-func (s *Shelf) Open(now time.Time) bool {
+func (s *Inventory) Open(now time.Time) bool {
 	return !s.closed && !now.Before(s.opens)
 }
 
 // Closed reports whether the store can't be asked.
-func (s *Shelf) Closed() bool { return s.closed }
+func (s *Inventory) Closed() bool { return s.closed }
 
 // Whole returns the tokens of a part that stands whole and may be read, 0 when
 // it does not.
-func (s *Shelf) Whole(key Key) int { return max(s.parts[key], 0) }
+func (s *Inventory) Whole(key Key) int { return max(s.parts[key], 0) }
 
 // Holds reports whether a part stands in the store, retired or not.
-func (s *Shelf) Holds(key Key) bool { return s.parts[key] != 0 }
+func (s *Inventory) Holds(key Key) bool { return s.parts[key] != 0 }
 
 // Retired reports whether a part is about to be freed.
-func (s *Shelf) Retired(key Key) bool { return s.parts[key] < 0 }
+func (s *Inventory) Retired(key Key) bool { return s.parts[key] < 0 }
 
 // All lists the parts, in no order; those that are retired with their tokens
 // below zero.
-func (s *Shelf) All() []Change {
+func (s *Inventory) All() []Change {
 	all := make([]Change, 0, len(s.parts))
 	for key, tokens := range s.parts {
 		all = append(all, Change{Key: key, Tokens: tokens})
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -183,7 +183,7 @@
 // with: a new leader begins with its oldest events, and an entry that knows later
 // ones would get no answer on any shelf before the leader knows them too.
 func (k *shelves) followRunner(ctx context.Context, address string) {
-	var behind *cacheindex.Shelf
+	var behind *cacheindex.Inventory
 	var from uint64
 	for wait.For(ctx, runnerPause) {
 		next, life := k.book.place(address)
