--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -129,7 +129,7 @@
 	if p := b.shelves[address]; p != nil {
 		return p.shelf
 	}
-	return NewShelf()
+	return NewInventory()
 }
 
 // Whole returns the tokens of a part that a source holds whole, 0 when it does
@@ -190,7 +190,7 @@
 	}
 	p := b.shelves[record.Address]
 	if p == nil {
-		p = &page{shelf: NewShelf()}
+		p = &page{shelf: NewInventory()}
 		b.shelves[record.Address] = p
 	}
 	if record.Cleared {
--- a/cacheindex/holdings.go
+++ b/cacheindex/holdings.go
@@ -54,8 +54,8 @@
 	closed  bool
 }
 
-// NewShelf returns a closed shelf of a store that was not asked yet.
-func NewShelf() *Inventory {
+// NewInventory returns a closed shelf of a store that was not asked yet.
+func NewInventory() *Inventory {
 	return &Inventory{parts: make(map[Key]int), closed: true}
 }
 
--- a/cacheindex/holdings_test.go
+++ b/cacheindex/holdings_test.go
@@ -8,7 +8,7 @@
 var start = time.Unix(1000, 0)
 
 func TestShelfFollowsChanges(t *testing.T) {
-	s := NewShelf()
+	s := NewInventory()
 	s.Begin(1, []Change{{Key{"v1", "a"}, 100}}, start, 0)
 	s.Apply(Change{Key{"v1", "b"}, 50})
 	s.Apply(Change{Key{"v1", "a"}, 120})
@@ -29,7 +29,7 @@
 // one entry knows and writes the part anew, another still believes it whole.
 // The shelf stays closed until the other can no longer act on its belief.
 func TestAnotherLifeOpensAfterThePause(t *testing.T) {
-	s := NewShelf()
+	s := NewInventory()
 	if s.Open(start) {
 		t.Fatal("a store that was never asked is open")
 	}
@@ -54,7 +54,7 @@
 }
 
 func TestShelfIsBounded(t *testing.T) {
-	s := NewShelf()
+	s := NewInventory()
 	s.Begin(1, nil, start, 0)
 	for i := range MaxParts + 10 {
 		s.Apply(Change{Key{"v1", string(rune(i))}, 1})
@@ -68,7 +68,7 @@
 // of it comes: an entry would send a runner to fetch it while it is freed.
 func TestRetiredPartsStayRetired(t *testing.T) {
 	key := Key{Salt: "m.1", Part: "p"}
-	s := NewShelf()
+	s := NewInventory()
 	for _, step := range []struct {
 		what           string
 		tokens         int
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -204,7 +204,7 @@
 		caughtUp := events.caughtUp()
 		events.Changes = large(events.Changes)
 		if events.Lost || events.Life != life {
-			behind = cacheindex.NewShelf()
+			behind = cacheindex.NewInventory()
 			behind.Clear(events.Life)
 		}
 		if behind == nil {
