--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -124,8 +124,8 @@
 	b.complete, b.touched = true, false
 }
 
-// Shelf returns the shelf of a source, an empty one if it is not known.
-func (b *Index) Shelf(address string) *Inventory {
+// Inventory returns the shelf of a source, an empty one if it is not known.
+func (b *Index) Inventory(address string) *Inventory {
 	if p := b.shelves[address]; p != nil {
 		return p.shelf
 	}
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -35,7 +35,7 @@
 func poll(b *Index, address string, s *source) {
 	next, known := b.Next(address)
 	var records []Record
-	if !known || b.Shelf(address).Life() != s.life {
+	if !known || b.Inventory(address).Life() != s.life {
 		records = append(records, Record{Address: address, Cleared: true, Incarnation: s.life})
 		for key, tokens := range s.parts {
 			records = append(records, Record{Address: address, Change: Change{Key: key, Tokens: tokens}})
@@ -83,7 +83,7 @@
 			note := func(b *Index) {
 				held := make(map[string]map[Key]int)
 				for _, address := range b.Addresses() {
-					held[address] = partsOf(b.Shelf(address))
+					held[address] = partsOf(b.Inventory(address))
 				}
 				moments[b.At()] = held
 			}
@@ -96,7 +96,7 @@
 					t.Fatalf("complete at %v, which no leader was at", b.At())
 				}
 				for _, address := range b.Addresses() {
-					if got := partsOf(b.Shelf(address)); !maps.Equal(got, held[address]) {
+					if got := partsOf(b.Inventory(address)); !maps.Equal(got, held[address]) {
 						t.Fatalf("at %v %s holds %v, the leader held %v", b.At(), address, got, held[address])
 					}
 				}
@@ -187,7 +187,7 @@
 	}
 	question = entry.Ask()
 	update := second.Answer(&question)
-	if len(unfold(update.Batches)) != 1 || !entry.Take(&update) || entry.Shelf("a").Whole(Key{Part: "new"}) != 1 {
+	if len(unfold(update.Batches)) != 1 || !entry.Take(&update) || entry.Inventory("a").Whole(Key{Part: "new"}) != 1 {
 		t.Fatalf("told %d records", len(unfold(update.Batches)))
 	}
 }
@@ -220,7 +220,7 @@
 			t.Fatal("the listing does not end")
 		}
 	}
-	if entry.Shelf("store11").Len() != 1500 {
+	if entry.Inventory("store11").Len() != 1500 {
 		t.Fatal("the last store is not held whole")
 	}
 	// The journal holds less than all of them: a reader that lagged beyond it
@@ -229,8 +229,8 @@
 	question := Question{Listed: true, Progress: []Progress{{Address: "store0", Incarnation: 1, Next: 10}}}
 	update := book.Answer(&question)
 	late.Take(&update)
-	if late.Shelf("store0").Len() != 1500 {
-		t.Fatalf("store0 is told with %d parts", late.Shelf("store0").Len())
+	if late.Inventory("store0").Len() != 1500 {
+		t.Fatalf("store0 is told with %d parts", late.Inventory("store0").Len())
 	}
 }
 
--- a/cacheindex/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 		for _, address := range w.Addresses() {
-			held, want := r.Shelf(address), w.Shelf(address)
+			held, want := r.Inventory(address), w.Inventory(address)
 			if held.Len() != want.Len() || held.Tokens() != want.Tokens() || held.retired != want.retired {
 				t.Fatalf("reader %d holds %d parts, %d retired, of %s; the host %d and %d", reader, held.Len(), held.retired, address, want.Len(), want.retired)
 			}
@@ -112,7 +112,7 @@
 	w.Write(Record{Address: "b", Change: Change{Key: Key{Salt: "m.2", Part: "later"}, Tokens: 10}, Next: 3001})
 	r.at = Position{}
 	ask(2)
-	if r.Shelf("a").retired != 3000 || r.Whole("b", Key{Salt: "m.2", Part: "later"}) != 10 {
-		t.Errorf("holds %d retired parts, and %d tokens of the later one", r.Shelf("a").retired, r.Whole("b", Key{Salt: "m.2", Part: "later"}))
+	if r.Inventory("a").retired != 3000 || r.Whole("b", Key{Salt: "m.2", Part: "later"}) != 10 {
+		t.Errorf("holds %d retired parts, and %d tokens of the later one", r.Inventory("a").retired, r.Whole("b", Key{Salt: "m.2", Part: "later"}))
 	}
 }
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -52,7 +52,7 @@
 func (s *state) cachesTold(candidates []*upstreamState) bool {
 	told := 0
 	for _, u := range candidates {
-		if s.book.Shelf(u.record.Address).Len() > 0 {
+		if s.book.Inventory(u.record.Address).Len() > 0 {
 			told++
 		}
 	}
@@ -73,14 +73,14 @@
 		stores = append(stores, placement.Store{
 			Address: service.Store.Address, DataCentre: service.Store.DataCentre, LinkMbps: service.Store.LinkMbps,
 			FirstByte: service.Store.FirstByte, Capacity: service.Store.CapacityTokens,
-			Used: s.book.Shelf(service.Store.Address).Tokens() + known.pendingTokens(now), Open: trusted && known.open,
+			Used: s.book.Inventory(service.Store.Address).Tokens() + known.pendingTokens(now), Open: trusted && known.open,
 			Queued: known.own + known.others,
 		})
 		addresses = append(addresses, service.Store.Address)
 	}
 	for _, u := range runners {
 		known := s.stores[u.record.Address]
-		if known == nil || now.Before(u.unlisted) || s.book.Shelf(u.record.Address).Len() == 0 {
+		if known == nil || now.Before(u.unlisted) || s.book.Inventory(u.record.Address).Len() == 0 {
 			continue
 		}
 		stores = append(stores, placement.Store{
--- a/internal/steward/relaying_test.go
+++ b/internal/steward/relaying_test.go
@@ -50,7 +50,7 @@
 		if answer.Inventories != nil {
 			e.complete = e.book.Take(answer.Inventories)
 		}
-		e.parts = e.book.Shelf("store:1").Len()
+		e.parts = e.book.Inventory("store:1").Len()
 		e.through = follower.asked
 	})
 	return e
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -88,7 +88,7 @@
 	b.leads = true
 	b.book.Lead(term)
 	for _, address := range b.book.Addresses() {
-		b.book.Shelf(address).Close()
+		b.book.Inventory(address).Close()
 	}
 	b.notify()
 }
@@ -104,7 +104,7 @@
 func (b *sharedBook) states(stores []string, now time.Time) []ShelfState {
 	states := make([]ShelfState, 0, len(stores))
 	for _, address := range stores {
-		shelf := b.book.Shelf(address)
+		shelf := b.book.Inventory(address)
 		// A store that was never listed would look open and empty: entries that have
 		// just started would take that for the first word on it.
 		states = append(states, ShelfState{Address: address, Incarnation: shelf.Life(), Open: shelf.Life() != 0 && shelf.Open(now)})
@@ -121,7 +121,7 @@
 	if !known {
 		return 0, 0
 	}
-	return next, b.book.Shelf(address).Life()
+	return next, b.book.Inventory(address).Life()
 }
 
 // add takes in the latest events of a source.
@@ -142,7 +142,7 @@
 	if !b.leads {
 		return
 	}
-	shelf := b.book.Shelf(address)
+	shelf := b.book.Inventory(address)
 	if listing.Life == 0 || listing.Life != shelf.Life() {
 		b.write(address, listing.Changes, listing.Next, []cacheindex.Record{{Address: address, Cleared: true, Incarnation: listing.Life}})
 		return
@@ -166,7 +166,7 @@
 // write adds changes to records and writes them all, up to next. The end of a
 // part that is not held is left out. The caller holds the lock.
 func (b *sharedBook) write(address string, changes []cacheindex.Change, next uint64, records []cacheindex.Record) {
-	shelf := b.book.Shelf(address)
+	shelf := b.book.Inventory(address)
 	told := make(map[cacheindex.Key]bool)
 	for _, change := range changes {
 		if change.Tokens == 0 && !shelf.Holds(change.Key) && !told[change.Key] {
@@ -188,14 +188,14 @@
 func (b *sharedBook) closed(address string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.Shelf(address).Closed()
+	return b.book.Inventory(address).Closed()
 }
 
 // close closes a store's shelf and reports whether it was not closed before.
 func (b *sharedBook) close(address string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	shelf := b.book.Shelf(address)
+	shelf := b.book.Inventory(address)
 	if !b.leads || shelf.Closed() {
 		return false
 	}
@@ -209,7 +209,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.leads {
-		b.book.Shelf(address).Reopen(now, pause)
+		b.book.Inventory(address).Reopen(now, pause)
 		b.notify()
 	}
 }
@@ -236,7 +236,7 @@
 func (b *sharedBook) list(address string) (parts []cacheindex.Change, life uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	shelf := b.book.Shelf(address)
+	shelf := b.book.Inventory(address)
 	if !b.leads || shelf.Closed() {
 		return nil, 0
 	}
