--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -64,7 +64,7 @@
 type Update struct {
 	// At is the reader's position after Sheets.
 	At      Position `cbor:"1,keyasint"`
-	Batches []Sheet  `cbor:"2,keyasint,omitempty"`
+	Batches []Batch  `cbor:"2,keyasint,omitempty"`
 	// Unknown tells that the position asked for means nothing here; the next
 	// question must be Listed.
 	Unknown bool `cbor:"3,keyasint,omitempty"`
@@ -105,7 +105,7 @@
 	logged, changed uint64
 	// listing is everything that the shelf held when the book had taken in listed
 	// records, and listingNext how far the source's events were followed then.
-	listing             []Sheet
+	listing             []Batch
 	listed, listingNext uint64
 }
 
@@ -330,7 +330,7 @@
 // beyond returns what is missing beyond what a reader holds, a shelf at least
 // and no further one after a page.
 func (b *Index) beyond(held []Progress) Update {
-	var sheets []Sheet
+	var sheets []Batch
 	told, behind := 0, false
 	tell := func(records []Record) {
 		sheets = append(sheets, fold(records)...)
--- a/cacheindex/sheet.go
+++ b/cacheindex/sheet.go
@@ -1,8 +1,8 @@
 package cacheindex
 
-// Sheet is a run of records of one source and one salt, as they are sent: what
+// Batch is a run of records of one source and one salt, as they are sent: what
 // they have in common stands once.
-type Sheet struct {
+type Batch struct {
 	Address string `cbor:"1,keyasint"`
 	// Cleared tells that the shelf is empty and in another life, Life, before
 	// the parts.
@@ -17,15 +17,15 @@
 }
 
 // fold gathers records into sheets.
-func fold(records []Record) []Sheet {
-	var sheets []Sheet
+func fold(records []Record) []Batch {
+	var sheets []Batch
 	for _, record := range records {
 		salt, part := record.Change.Key.Salt, record.Change.Key.Part
 		last := len(sheets) - 1
 		joins := last >= 0 && !record.Cleared && sheets[last].Next == 0 && sheets[last].Address == record.Address &&
 			(len(sheets[last].Parts) == 0 || part == "" || sheets[last].Salt == salt)
 		if !joins {
-			sheets = append(sheets, Sheet{Address: record.Address, Cleared: record.Cleared, Incarnation: record.Incarnation})
+			sheets = append(sheets, Batch{Address: record.Address, Cleared: record.Cleared, Incarnation: record.Incarnation})
 			last++
 		}
 		sheet := &sheets[last]
@@ -40,7 +40,7 @@
 }
 
 // unfold returns the records of sheets.
-func unfold(sheets []Sheet) []Record {
+func unfold(sheets []Batch) []Record {
 	var records []Record
 	for i := range sheets {
 		sheet := &sheets[i]
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -86,10 +86,10 @@
 	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
 	tell(g, 2, 1000)
 	s, key := g.state, cacheindex.Key{Salt: "m.1", Part: "p"}
-	sheet := cacheindex.Sheet{Address: "l1:1", Cleared: true, Incarnation: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
+	sheet := cacheindex.Batch{Address: "l1:1", Cleared: true, Incarnation: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
 	shelves := func(next uint64) {
 		g.Told(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: 1000, StoreStates: testAnswer().StoreStates,
-			Inventories: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Batches: []cacheindex.Sheet{sheet}}}, time.Now())
+			Inventories: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Batches: []cacheindex.Batch{sheet}}}, time.Now())
 	}
 	shelves(3)
 	s.recent.note(key, s.members["l1"].life(), time.Now())
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -19,7 +19,7 @@
 	return &WatchAnswer{
 		Term: term, Leader: "c1", Relaying: true, EntryCount: 20,
 		StoreStates: []ShelfState{{Address: "store:1", Incarnation: 1, Open: true}},
-		Inventories: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Batches: []cacheindex.Sheet{
+		Inventories: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Batches: []cacheindex.Batch{
 			{Address: "store:1", Cleared: true, Incarnation: 1, Parts: []string{"p"}, Tokens: []int{9}, Next: 1},
 		}},
 	}
@@ -95,7 +95,7 @@
 	// A part of the next records has come, and with it no moment to stand for.
 	part := relayingAnswer(3)
 	part.StoreStates[0].Open = false
-	part.Inventories = &cacheindex.Update{At: cacheindex.Position{Term: 3, Next: 3}, More: true, Batches: []cacheindex.Sheet{
+	part.Inventories = &cacheindex.Update{At: cacheindex.Position{Term: 3, Next: 3}, More: true, Batches: []cacheindex.Batch{
 		{Address: "store:1", Parts: []string{"q"}, Tokens: []int{9}, Next: 2},
 	}}
 	b.take(part, asked.Add(80*time.Millisecond), asked.Add(90*time.Millisecond))
