--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -150,7 +150,7 @@
 // Next returns how far a source's events are followed, and whether they are.
 func (b *Index) Next(address string) (uint64, bool) {
 	p := b.shelves[address]
-	if p == nil || p.shelf.Life() == 0 {
+	if p == nil || p.shelf.Incarnation() == 0 {
 		return 0, false
 	}
 	return p.next, true
@@ -255,7 +255,7 @@
 	question := Question{Listed: true}
 	for _, address := range b.Addresses() {
 		p := b.shelves[address]
-		question.Progress = append(question.Progress, Progress{Address: address, Incarnation: p.shelf.Life(), Next: p.next})
+		question.Progress = append(question.Progress, Progress{Address: address, Incarnation: p.shelf.Incarnation(), Next: p.next})
 	}
 	return question
 }
@@ -349,9 +349,9 @@
 		}
 		h, holds := known[address]
 		switch p := b.shelves[address]; {
-		case holds && h.Incarnation == p.shelf.Life() && h.Next > p.next:
+		case holds && h.Incarnation == p.shelf.Incarnation() && h.Next > p.next:
 			return Update{Batches: sheets, More: true}
-		case holds && h.Incarnation == p.shelf.Life() && h.Next >= b.floors[address] && h.Next > 0:
+		case holds && h.Incarnation == p.shelf.Incarnation() && h.Next >= b.floors[address] && h.Next > 0:
 			tell(b.since(address, h.Next))
 			// Told at each question, and so not counted: a reader would come to the
 			// same end of a page each time, and never be told of the sources after it.
@@ -373,7 +373,7 @@
 // list makes the listing of a shelf anew unless the one at hand can be told: it is of
 // the present life, and the journal holds what came after it.
 func (b *Index) list(address string, p *page) {
-	young := b.kept > 0 && len(p.listing) > 0 && p.listing[0].Incarnation == p.shelf.Life() && b.logged-p.listed <= listingKept
+	young := b.kept > 0 && len(p.listing) > 0 && p.listing[0].Incarnation == p.shelf.Incarnation() && b.logged-p.listed <= listingKept
 	if young && (p.changed <= p.listed || p.listingNext > 0 && p.listingNext >= b.floors[address]) {
 		return
 	}
@@ -447,7 +447,7 @@
 		bySalt[key.Salt] = append(bySalt[key.Salt], Change{Key: key, Tokens: tokens})
 	}
 	records := make([]Record, 0, 1+p.shelf.Len())
-	records = append(records, Record{Address: address, Cleared: true, Incarnation: p.shelf.Life()})
+	records = append(records, Record{Address: address, Cleared: true, Incarnation: p.shelf.Incarnation()})
 	for _, salt := range slices.Sorted(maps.Keys(bySalt)) {
 		for _, change := range bySalt[salt] {
 			records = append(records, Record{Address: address, Change: change})
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -35,7 +35,7 @@
 func poll(b *Index, address string, s *source) {
 	next, known := b.Next(address)
 	var records []Record
-	if !known || b.Inventory(address).Life() != s.life {
+	if !known || b.Inventory(address).Incarnation() != s.life {
 		records = append(records, Record{Address: address, Cleared: true, Incarnation: s.life})
 		for key, tokens := range s.parts {
 			records = append(records, Record{Address: address, Change: Change{Key: key, Tokens: tokens}})
--- a/cacheindex/holdings.go
+++ b/cacheindex/holdings.go
@@ -59,8 +59,8 @@
 	return &Inventory{parts: make(map[Key]int), closed: true}
 }
 
-// Life returns the life of the store that the shelf describes.
-func (s *Inventory) Life() uint64 { return s.life }
+// Incarnation returns the life of the store that the shelf describes.
+func (s *Inventory) Incarnation() uint64 { return s.life }
 
 // Tokens returns the tokens of the parts that take room in the store.
 func (s *Inventory) Tokens() int { return s.tokens }
--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -95,7 +95,7 @@
 	for _, address := range slices.Sorted(maps.Keys(s.stores)) {
 		store, shelf := s.stores[address], s.book.Inventory(address)
 		d.Stores = append(d.Stores, DumpedStore{
-			Address: address, Open: store.open, Life: shelf.Life(), Parts: shelf.Len(), Tokens: shelf.Tokens(),
+			Address: address, Open: store.open, Life: shelf.Incarnation(), Parts: shelf.Len(), Tokens: shelf.Tokens(),
 			Queued: store.own + store.others, Slowness: store.pace.slowness(now),
 		})
 	}
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -174,7 +174,7 @@
 func (w *interleaving) poll(h *simHost) {
 	next, known := h.book.Next("s")
 	var records []cacheindex.Record
-	if !known || h.book.Inventory("s").Life() != w.life {
+	if !known || h.book.Inventory("s").Incarnation() != w.life {
 		records = []cacheindex.Record{{Address: "s", Cleared: true, Incarnation: w.life}}
 		for key := range w.whole {
 			records = append(records, cacheindex.Record{Address: "s", Change: cacheindex.Change{Key: key, Tokens: 1}})
@@ -198,7 +198,7 @@
 	if len(due) > 0 && host == w.leader {
 		// The commit proves the leadership as of now; the order takes effect
 		// later or never.
-		life, until := h.book.Inventory("s").Life(), w.now.Add(freeWithin)
+		life, until := h.book.Inventory("s").Incarnation(), w.now.Add(freeWithin)
 		w.after(w.upTo(2*freeWithin), func() { w.free(due, life, until) })
 	}
 	var records []cacheindex.Record
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -107,7 +107,7 @@
 		shelf := b.book.Inventory(address)
 		// A store that was never listed would look open and empty: entries that have
 		// just started would take that for the first word on it.
-		states = append(states, ShelfState{Address: address, Incarnation: shelf.Life(), Open: shelf.Life() != 0 && shelf.Open(now)})
+		states = append(states, ShelfState{Address: address, Incarnation: shelf.Incarnation(), Open: shelf.Incarnation() != 0 && shelf.Open(now)})
 	}
 	return states
 }
@@ -121,7 +121,7 @@
 	if !known {
 		return 0, 0
 	}
-	return next, b.book.Inventory(address).Life()
+	return next, b.book.Inventory(address).Incarnation()
 }
 
 // add takes in the latest events of a source.
@@ -143,7 +143,7 @@
 		return
 	}
 	shelf := b.book.Inventory(address)
-	if listing.Life == 0 || listing.Life != shelf.Life() {
+	if listing.Life == 0 || listing.Life != shelf.Incarnation() {
 		b.write(address, listing.Changes, listing.Next, []cacheindex.Record{{Address: address, Cleared: true, Incarnation: listing.Life}})
 		return
 	}
@@ -240,7 +240,7 @@
 	if !b.leads || shelf.Closed() {
 		return nil, 0
 	}
-	return shelf.All(), shelf.Life()
+	return shelf.All(), shelf.Incarnation()
 }
 
 // retire marks parts of a store that are about to be freed.
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -188,7 +188,7 @@
 	for wait.For(ctx, runnerPause) {
 		next, life := k.book.place(address)
 		if behind != nil {
-			next, life = from, behind.Life()
+			next, life = from, behind.Incarnation()
 		}
 		events, err := k.ask(ctx, func(ctx context.Context) (StoreEvents, error) {
 			return k.stores().Events(ctx, address, next, storeWait)
