--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -53,8 +53,8 @@
 	Next        uint64 `cbor:"3,keyasint"`
 }
 
-// Question asks for what a reader lacks: after At or, if Listed, beyond Held.
-type Question struct {
+// Query asks for what a reader lacks: after At or, if Listed, beyond Held.
+type Query struct {
 	At       Position   `cbor:"1,keyasint"`
 	Listed   bool       `cbor:"2,keyasint,omitempty"`
 	Progress []Progress `cbor:"3,keyasint,omitempty"`
@@ -248,11 +248,11 @@
 }
 
 // Ask returns the question for what this book lacks.
-func (b *Index) Ask() Question {
+func (b *Index) Ask() Query {
 	if b.at.Term != 0 {
-		return Question{At: b.at}
+		return Query{At: b.at}
 	}
-	question := Question{Listed: true}
+	question := Query{Listed: true}
 	for _, address := range b.Addresses() {
 		p := b.shelves[address]
 		question.Progress = append(question.Progress, Progress{Address: address, Incarnation: p.shelf.Incarnation(), Next: p.next})
@@ -295,7 +295,7 @@
 func (b *Index) At() Position { return b.at }
 
 // Answer returns what the asker lacks.
-func (b *Index) Answer(q *Question) Update {
+func (b *Index) Answer(q *Query) Update {
 	if !b.complete {
 		return Update{At: q.At, More: true}
 	}
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -226,7 +226,7 @@
 	// The journal holds less than all of them: a reader that lagged beyond it
 	// must not be told the tail for the whole.
 	late := NewIndex(false)
-	question := Question{Listed: true, Progress: []Progress{{Address: "store0", Incarnation: 1, Next: 10}}}
+	question := Query{Listed: true, Progress: []Progress{{Address: "store0", Incarnation: 1, Next: 10}}}
 	update := book.Answer(&question)
 	late.Take(&update)
 	if late.Inventory("store0").Len() != 1500 {
@@ -260,10 +260,10 @@
 
 // restarted is the book of a leader that has listed its stores since its start,
 // while a reader from before knows their lives and not their last events.
-func restarted(stores, parts, salts int) (*Index, Question) {
+func restarted(stores, parts, salts int) (*Index, Query) {
 	book := NewIndex(true)
 	book.Lead(2)
-	question := Question{Listed: true}
+	question := Query{Listed: true}
 	for s := range stores {
 		address := fmt.Sprint("store", s)
 		records := []Record{{Address: address, Cleared: true, Incarnation: 7}}
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -75,7 +75,7 @@
 	ask := func(at time.Duration, meanwhile func()) *WatchAnswer {
 		time.Sleep(time.Until(asked.Add(at)))
 		request := entryRequest("e1", true)
-		request.Inventories = &cacheindex.Question{Listed: true}
+		request.Inventories = &cacheindex.Query{Listed: true}
 		answer := &WatchAnswer{}
 		b.fill(request, answer)
 		meanwhile()
--- a/internal/steward/clock_test.go
+++ b/internal/steward/clock_test.go
@@ -28,7 +28,7 @@
 
 // toldOpen reports whether an entry that asks now is told that the store is open.
 func toldOpen(b *sharedBook) bool {
-	_, _, states := b.answerWithStates(&cacheindex.Question{}, []string{"store:1"}, time.Now())
+	_, _, states := b.answerWithStates(&cacheindex.Query{}, []string{"store:1"}, time.Now())
 	return states[0].Open
 }
 
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -60,8 +60,8 @@
 	Weights  uint64          `cbor:"3,keyasint"`
 	Roster   uint64          `cbor:"4,keyasint"`
 	// Inventories asks for what the caller lacks of the shelves, nil for nothing.
-	Inventories *cacheindex.Question `cbor:"5,keyasint,omitempty"`
-	Loads       []Load               `cbor:"6,keyasint,omitempty"`
+	Inventories *cacheindex.Query `cbor:"5,keyasint,omitempty"`
+	Loads       []Load            `cbor:"6,keyasint,omitempty"`
 	// Term is that of the answer before, zero for the first call.
 	Term uint64 `cbor:"7,keyasint"`
 	// Relay tells that the caller is a control host that answers watches itself,
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -30,7 +30,7 @@
 }
 
 // askOf is the question of an entry that was told of others before.
-func askOf(entry string, others int, held cacheindex.Question) *WatchRequest {
+func askOf(entry string, others int, held cacheindex.Query) *WatchRequest {
 	return &WatchRequest{Entry: &EntryView{Host: entry, Ready: true}, Inventories: &held, Entries: others}
 }
 
@@ -42,7 +42,7 @@
 func TestTheFirstEntriesAfterARestartOfAllAreNotTakenForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
-		everything := cacheindex.Question{Listed: true}
+		everything := cacheindex.Query{Listed: true}
 		for i := range 10 {
 			name := fmt.Sprint("e", i)
 			answer := l.steward.watch(t.Context(), entryPeer(name), askOf(name, 64, everything))
@@ -68,7 +68,7 @@
 func TestEntriesThatFoundAllRelaysSilentAreNotToldTheShelvesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
-		request := askOf("e1", 64, cacheindex.Question{Listed: true})
+		request := askOf("e1", 64, cacheindex.Query{Listed: true})
 		request.Direct = true
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories != nil || answer.Document == nil {
 			t.Fatalf("told %+v", answer)
@@ -91,10 +91,10 @@
 		time.Sleep(relaysWithin)
 		now := time.Now()
 		for i := range entriesAlone + 1 {
-			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, cacheindex.Question{}), now)
+			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, cacheindex.Query{}), now)
 		}
 		l.follow(controlPeer("c2"), &WatchRequest{Relay: true}, now)
-		request := askOf("e1", 64, cacheindex.Question{Listed: true})
+		request := askOf("e1", 64, cacheindex.Query{Listed: true})
 		request.Overdue = true
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories != nil || answer.Document == nil {
 			t.Fatalf("told %+v", answer)
@@ -112,7 +112,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, others := range []int{0, 1, entriesAlone} {
 			l := restartedLeader()
-			answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", others, cacheindex.Question{Listed: true}))
+			answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", others, cacheindex.Query{Listed: true}))
 			if answer.Inventories == nil || len(answer.Inventories.Batches) == 0 || answer.Relaying {
 				t.Errorf("with %d entries before: shelves %v, relaying %v", others, answer.Inventories, answer.Relaying)
 			}
@@ -126,9 +126,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
 		for i := range entriesAlone + 1 {
-			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, cacheindex.Question{}), time.Now())
+			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, cacheindex.Query{}), time.Now())
 		}
-		request := askOf("e1", 64, cacheindex.Question{Listed: true})
+		request := askOf("e1", 64, cacheindex.Query{Listed: true})
 		request.Document, request.Weights, request.Roster = 1, 99, 99
 		request.Term = l.elected
 		go func() {
@@ -196,7 +196,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.shelves.run(ctx)
 			time.Sleep(100 * time.Millisecond)
-			l.steward.watch(ctx, entryPeer("e1"), askOf("e1", entries, cacheindex.Question{Listed: true}))
+			l.steward.watch(ctx, entryPeer("e1"), askOf("e1", entries, cacheindex.Query{Listed: true}))
 			time.Sleep(700 * time.Millisecond)
 			sources.mu.Lock()
 			if small := entries <= cacheWatchers; (sources.asked["a:1"] > 0) != small || sources.asked["store:1"] == 0 {
@@ -234,7 +234,7 @@
 					for ; time.Since(began) < relaysWithin+time.Second; time.Sleep(watchWait) {
 						// Those that were answered tell how many they were told of.
 						sent := time.Now()
-						request := askOf(name, 0, cacheindex.Question{Listed: true})
+						request := askOf(name, 0, cacheindex.Query{Listed: true})
 						follower.describe(request, "c1", sent)
 						if answer := l.steward.watch(ctx, entryPeer(name), request); !answer.Elsewhere {
 							follower.take(&watched{answer: *answer, sent: sent}, func(*WatchAnswer, time.Time) {})
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -37,7 +37,7 @@
 	return b.changed
 }
 
-func (b *sharedBook) ask() *cacheindex.Question {
+func (b *sharedBook) ask() *cacheindex.Query {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	question := b.book.Ask()
@@ -59,7 +59,7 @@
 }
 
 // answer returns what a watcher lacks, and whether that is anything.
-func (b *sharedBook) answer(question *cacheindex.Question) (*cacheindex.Update, bool) {
+func (b *sharedBook) answer(question *cacheindex.Query) (*cacheindex.Update, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lacking(question)
@@ -67,7 +67,7 @@
 
 // answerWithStates also tells which of the stores may be used at the moment that
 // the answer stands for.
-func (b *sharedBook) answerWithStates(question *cacheindex.Question, stores []string, now time.Time) (*cacheindex.Update, bool, []ShelfState) {
+func (b *sharedBook) answerWithStates(question *cacheindex.Query, stores []string, now time.Time) (*cacheindex.Update, bool, []ShelfState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	update, found := b.lacking(question)
@@ -75,7 +75,7 @@
 }
 
 // lacking is answer for a caller that holds the lock.
-func (b *sharedBook) lacking(question *cacheindex.Question) (*cacheindex.Update, bool) {
+func (b *sharedBook) lacking(question *cacheindex.Query) (*cacheindex.Update, bool) {
 	update := b.book.Answer(question)
 	return &update, len(update.Batches) > 0 || update.Unknown
 }
--- a/internal/steward/suspended_test.go
+++ b/internal/steward/suspended_test.go
@@ -77,7 +77,7 @@
 		l.steward.opened.Store(&replica)
 		for _, past := range []time.Duration{0, 400 * time.Millisecond} {
 			time.Sleep(time.Until(replica.Status().LeaseEnd.Add(past)))
-			request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Direct: true, Inventories: &cacheindex.Question{}}
+			request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Direct: true, Inventories: &cacheindex.Query{}}
 			answer := l.steward.watch(t.Context(), entryPeer("e1"), request)
 			if answer.Elsewhere || answer.Age != past || answer.Heard != past {
 				t.Errorf("%v past its lease: shelves %v old, the rest %v", past, answer.Age, answer.Heard)
--- a/internal/steward/virtualnet_test.go
+++ b/internal/steward/virtualnet_test.go
@@ -311,7 +311,7 @@
 	defer e.mu.Unlock()
 	return &WatchRequest{
 		Entry: &EntryView{Host: string(e.host.name), Ready: true}, Document: e.version,
-		Inventories: &cacheindex.Question{}, Term: e.follower.term,
+		Inventories: &cacheindex.Query{}, Term: e.follower.term,
 	}
 }
 
