--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -260,9 +260,9 @@
 	return question
 }
 
-// Take takes in the answer to a question of this book and reports whether the
+// Apply takes in the answer to a question of this book and reports whether the
 // book now stands for a moment of the leader's.
-func (b *Index) Take(u *Update) bool {
+func (b *Index) Apply(u *Update) bool {
 	for _, record := range unfold(u.Batches) {
 		b.apply(record)
 		b.log(record)
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -104,7 +104,7 @@
 			follow := func(reader, from *Index) {
 				question := reader.Ask()
 				update := from.Answer(&question)
-				if reader.Take(&update) {
+				if reader.Apply(&update) {
 					check(reader)
 				}
 			}
@@ -156,7 +156,7 @@
 	for range 100 {
 		question := reader.Ask()
 		update := from.Answer(&question)
-		if reader.Take(&update) {
+		if reader.Apply(&update) {
 			check(reader)
 			return
 		}
@@ -183,11 +183,11 @@
 	if update := second.Answer(&question); !update.Unknown {
 		t.Fatalf("a position of another term was taken for one of this: %+v", update)
 	} else {
-		entry.Take(&update)
+		entry.Apply(&update)
 	}
 	question = entry.Ask()
 	update := second.Answer(&question)
-	if len(unfold(update.Batches)) != 1 || !entry.Take(&update) || entry.Inventory("a").Whole(Key{Part: "new"}) != 1 {
+	if len(unfold(update.Batches)) != 1 || !entry.Apply(&update) || entry.Inventory("a").Whole(Key{Part: "new"}) != 1 {
 		t.Fatalf("told %d records", len(unfold(update.Batches)))
 	}
 }
@@ -210,7 +210,7 @@
 		if len(unfold(update.Batches)) > PageRecords+1501 {
 			t.Fatalf("a page of %d records", len(unfold(update.Batches)))
 		}
-		if entry.Take(&update) {
+		if entry.Apply(&update) {
 			break
 		}
 		if !entry.Mixed() {
@@ -228,7 +228,7 @@
 	late := NewIndex(false)
 	question := Query{Listed: true, Progress: []Progress{{Address: "store0", Incarnation: 1, Next: 10}}}
 	update := book.Answer(&question)
-	late.Take(&update)
+	late.Apply(&update)
 	if late.Inventory("store0").Len() != 1500 {
 		t.Fatalf("store0 is told with %d parts", late.Inventory("store0").Len())
 	}
--- a/cacheindex/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -45,7 +45,7 @@
 					made[&u.Batches[i].Parts[0]] = true
 				}
 			}
-			if r.Take(&u) {
+			if r.Apply(&u) {
 				break
 			}
 			if asked > 30 {
@@ -98,7 +98,7 @@
 		t.Helper()
 		for range most {
 			q := r.Ask()
-			if u := w.Answer(&q); r.Take(&u) {
+			if u := w.Answer(&q); r.Apply(&u) {
 				return
 			}
 		}
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -119,7 +119,7 @@
 			delete(pending, cacheindex.Key{Salt: sheet.Salt, Part: part})
 		}
 	}
-	if !s.book.Take(answer.Inventories) {
+	if !s.book.Apply(answer.Inventories) {
 		return
 	}
 	s.shelvesAt = sent
--- a/internal/steward/behind_test.go
+++ b/internal/steward/behind_test.go
@@ -63,7 +63,7 @@
 		for range 20 {
 			question := book.Ask()
 			if update, _ := from.answer(&question); update != nil {
-				book.Take(update)
+				book.Apply(update)
 			}
 		}
 	}
--- a/internal/steward/relaying_test.go
+++ b/internal/steward/relaying_test.go
@@ -48,7 +48,7 @@
 			e.document = max(e.document, answer.Document.Version)
 		}
 		if answer.Inventories != nil {
-			e.complete = e.book.Take(answer.Inventories)
+			e.complete = e.book.Apply(answer.Inventories)
 		}
 		e.parts = e.book.Inventory("store:1").Len()
 		e.through = follower.asked
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -264,7 +264,7 @@
 				return
 			}
 			e.term = term
-			if e.book.Take(&update) {
+			if e.book.Apply(&update) {
 				e.at = sent.Add(-age)
 			}
 		})
@@ -329,7 +329,7 @@
 			case !h.leads && tick%7 == i && w.hosts[w.leader].leads:
 				question := h.book.Ask()
 				update := w.hosts[w.leader].book.Answer(&question)
-				if h.book.Take(&update) {
+				if h.book.Apply(&update) {
 					h.asked = w.now
 				}
 			}
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -51,7 +51,7 @@
 	if b.leads {
 		return false
 	}
-	complete := b.book.Take(update)
+	complete := b.book.Apply(update)
 	if len(update.Batches) > 0 || !complete {
 		b.notify()
 	}
