--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -118,8 +118,8 @@
 	return b
 }
 
-// Lead begins a term in which this book is the one that others follow.
-func (b *Index) Lead(term uint64) {
+// StartTerm begins a term in which this book is the one that others follow.
+func (b *Index) StartTerm(term uint64) {
 	b.at.Term, b.aligned = term, b.at.Next
 	b.complete, b.touched = true, false
 }
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -88,7 +88,7 @@
 				moments[b.At()] = held
 			}
 			leader, term := 0, uint64(1)
-			hosts[0].Lead(term)
+			hosts[0].StartTerm(term)
 			note(hosts[0])
 			check := func(b *Index) {
 				held := moments[b.At()]
@@ -125,7 +125,7 @@
 				case n < 99:
 					leader = r.IntN(3)
 					term++
-					hosts[leader].Lead(term)
+					hosts[leader].StartTerm(term)
 					note(hosts[leader])
 				default:
 					hosts[leader].Forget(addresses[r.IntN(3)])
@@ -168,7 +168,7 @@
 // lacks one change is told one change by the next leader.
 func TestNextLeaderTellsOnlyWhatIsMissing(t *testing.T) {
 	first, second, entry := NewIndex(true), NewIndex(true), NewIndex(false)
-	first.Lead(1)
+	first.StartTerm(1)
 	records := []Record{{Address: "a", Cleared: true, Incarnation: 9}}
 	for i := range 5000 {
 		records = append(records, Record{Address: "a", Change: Change{Key: Key{Part: fmt.Sprint(i)}, Tokens: 1}})
@@ -177,7 +177,7 @@
 	first.Write(records...)
 	settle(t, second, first, func(*Index) {})
 	settle(t, entry, first, func(*Index) {})
-	second.Lead(2)
+	second.StartTerm(2)
 	second.Write(Record{Address: "a", Change: Change{Key: Key{Part: "new"}, Tokens: 1}, Next: 5001})
 	question := entry.Ask()
 	if update := second.Answer(&question); !update.Unknown {
@@ -196,7 +196,7 @@
 // asked for again for ever.
 func TestLargeListingsComeInPages(t *testing.T) {
 	book, entry := NewIndex(true), NewIndex(false)
-	book.Lead(1)
+	book.StartTerm(1)
 	for s := range 12 {
 		address := fmt.Sprint("store", s)
 		book.Write(Record{Address: address, Cleared: true, Incarnation: 1})
@@ -262,7 +262,7 @@
 // while a reader from before knows their lives and not their last events.
 func restarted(stores, parts, salts int) (*Index, Query) {
 	book := NewIndex(true)
-	book.Lead(2)
+	book.StartTerm(2)
 	question := Query{Listed: true}
 	for s := range stores {
 		address := fmt.Sprint("store", s)
--- a/cacheindex/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -8,7 +8,7 @@
 // fullBook leads 34 sources of 500 parts each.
 func fullBook() *Index {
 	w := NewIndex(true)
-	w.Lead(1)
+	w.StartTerm(1)
 	for s := range 34 {
 		address := fmt.Sprintf("10.1.0.%d:8080", s)
 		w.Write(Record{Address: address, Cleared: true, Incarnation: 7})
@@ -86,7 +86,7 @@
 // callers would get nothing from stores until the parts are freed.
 func TestRetiredPartsDoNotEndAPage(t *testing.T) {
 	w := NewIndex(true)
-	w.Lead(1)
+	w.StartTerm(1)
 	for _, address := range []string{"a", "b"} {
 		w.Write(Record{Address: address, Cleared: true, Incarnation: 7})
 		for p := range 3000 {
@@ -108,7 +108,7 @@
 	for p := range 3000 {
 		w.Write(Record{Address: "a", Change: Change{Key: Key{Salt: "m.1", Part: fmt.Sprint(p)}, Tokens: -10}, Next: 3000})
 	}
-	w.Lead(2)
+	w.StartTerm(2)
 	w.Write(Record{Address: "b", Change: Change{Key: Key{Salt: "m.2", Part: "later"}, Tokens: 10}, Next: 3001})
 	r.at = Position{}
 	ask(2)
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -137,7 +137,7 @@
 		inTimeBySecond: make([]int, seconds), askedBySecond: make([]int, seconds),
 	}
 	answer := f.describe()
-	f.book.Lead(1)
+	f.book.StartTerm(1)
 	for address := range f.stores {
 		f.book.Write(cacheindex.Record{Address: address, Cleared: true, Incarnation: 1, Next: 1})
 	}
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -167,7 +167,7 @@
 	w.leader = host
 	h := w.hosts[host]
 	h.leads, h.elected, h.retirer = true, w.term, newRetirer(nil)
-	h.book.Lead(w.term)
+	h.book.StartTerm(w.term)
 }
 
 // poll brings a leading host's book up to the store.
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -86,7 +86,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leads = true
-	b.book.Lead(term)
+	b.book.StartTerm(term)
 	for _, address := range b.book.Addresses() {
 		b.book.Inventory(address).Close()
 	}
