--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -132,9 +132,9 @@
 	return NewInventory()
 }
 
-// Whole returns the tokens of a part that a source holds whole, 0 when it does
+// ReadableTokens returns the tokens of a part that a source holds whole, 0 when it does
 // not.
-func (b *Index) Whole(address string, key Key) int {
+func (b *Index) ReadableTokens(address string, key Key) int {
 	if p := b.shelves[address]; p != nil {
 		return p.shelf.Whole(key)
 	}
--- a/cacheindex/listing_test.go
+++ b/cacheindex/listing_test.go
@@ -112,7 +112,7 @@
 	w.Write(Record{Address: "b", Change: Change{Key: Key{Salt: "m.2", Part: "later"}, Tokens: 10}, Next: 3001})
 	r.at = Position{}
 	ask(2)
-	if r.Inventory("a").retired != 3000 || r.Whole("b", Key{Salt: "m.2", Part: "later"}) != 10 {
-		t.Errorf("holds %d retired parts, and %d tokens of the later one", r.Inventory("a").retired, r.Whole("b", Key{Salt: "m.2", Part: "later"}))
+	if r.Inventory("a").retired != 3000 || r.ReadableTokens("b", Key{Salt: "m.2", Part: "later"}) != 10 {
+		t.Errorf("holds %d retired parts, and %d tokens of the later one", r.Inventory("a").retired, r.ReadableTokens("b", Key{Salt: "m.2", Part: "later"}))
 	}
 }
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -33,14 +33,14 @@
 	for i, part := range prompt.Parts {
 		d.keys[i] = cacheindex.Key{Salt: salt, Part: part.ID}
 		for index, address := range addresses {
-			if s.book.Whole(address, d.keys[i]) >= part.Tokens {
+			if s.book.ReadableTokens(address, d.keys[i]) >= part.Tokens {
 				d.prompt.Whole[i] = append(d.prompt.Whole[i], index)
 			}
 		}
 	}
 	d.prompt.Cached = func(runner, part int) bool {
 		u := candidates[runner]
-		if now.After(u.unlisted) && s.book.Whole(u.record.Address, d.keys[part]) >= prompt.Parts[part].Tokens {
+		if now.After(u.unlisted) && s.book.ReadableTokens(u.record.Address, d.keys[part]) >= prompt.Parts[part].Tokens {
 			return true
 		}
 		return s.recent.at(d.keys[part], u.life(), now)
--- a/internal/steward/lives_test.go
+++ b/internal/steward/lives_test.go
@@ -124,7 +124,7 @@
 	holds := func() bool {
 		lead.book.mu.Lock()
 		defer lead.book.mu.Unlock()
-		return lead.book.book.Whole(u.Address, part.Key) > 0
+		return lead.book.book.ReadableTokens(u.Address, part.Key) > 0
 	}
 	f.await("the cache is followed", holds)
 	f.stores.mu.Lock()
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -279,7 +279,7 @@
 	}
 	permit, life := w.now.Add(FetchPermit), w.life
 	switch {
-	case e.book.Whole("s", key) > 0:
+	case e.book.ReadableTokens("s", key) > 0:
 		w.after(w.upTo(FetchPermit), func() {
 			if !w.whole[key] || w.life != life {
 				return // a miss
