--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -136,7 +136,7 @@
 // not.
 func (b *Index) ReadableTokens(address string, key Key) int {
 	if p := b.shelves[address]; p != nil {
-		return p.shelf.Whole(key)
+		return p.shelf.ReadableTokens(key)
 	}
 	return 0
 }
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -187,7 +187,7 @@
 	}
 	question = entry.Ask()
 	update := second.Answer(&question)
-	if len(unfold(update.Batches)) != 1 || !entry.Apply(&update) || entry.Inventory("a").Whole(Key{Part: "new"}) != 1 {
+	if len(unfold(update.Batches)) != 1 || !entry.Apply(&update) || entry.Inventory("a").ReadableTokens(Key{Part: "new"}) != 1 {
 		t.Fatalf("told %d records", len(unfold(update.Batches)))
 	}
 }
--- a/cacheindex/holdings.go
+++ b/cacheindex/holdings.go
@@ -133,9 +133,9 @@
 // Closed reports whether the store can't be asked.
 func (s *Inventory) Closed() bool { return s.closed }
 
-// Whole returns the tokens of a part that stands whole and may be read, 0 when
+// ReadableTokens returns the tokens of a part that stands whole and may be read, 0 when
 // it does not.
-func (s *Inventory) Whole(key Key) int { return max(s.parts[key], 0) }
+func (s *Inventory) ReadableTokens(key Key) int { return max(s.parts[key], 0) }
 
 // Holds reports whether a part stands in the store, retired or not.
 func (s *Inventory) Holds(key Key) bool { return s.parts[key] != 0 }
--- a/cacheindex/holdings_test.go
+++ b/cacheindex/holdings_test.go
@@ -12,15 +12,15 @@
 	s.Begin(1, []Change{{Key{"v1", "a"}, 100}}, start, 0)
 	s.Apply(Change{Key{"v1", "b"}, 50})
 	s.Apply(Change{Key{"v1", "a"}, 120})
-	if s.Whole(Key{"v1", "a"}) != 120 || s.Tokens() != 170 || s.Len() != 2 {
-		t.Fatalf("holds %d of a, %d in all, %d parts", s.Whole(Key{"v1", "a"}), s.Tokens(), s.Len())
+	if s.ReadableTokens(Key{"v1", "a"}) != 120 || s.Tokens() != 170 || s.Len() != 2 {
+		t.Fatalf("holds %d of a, %d in all, %d parts", s.ReadableTokens(Key{"v1", "a"}), s.Tokens(), s.Len())
 	}
 	s.Apply(Change{Key{"v1", "a"}, 0})
 	s.Apply(Change{Key{"v1", "never"}, 0})
-	if s.Whole(Key{"v1", "a"}) != 0 || s.Tokens() != 50 {
-		t.Fatalf("after its end a is %d, %d in all", s.Whole(Key{"v1", "a"}), s.Tokens())
+	if s.ReadableTokens(Key{"v1", "a"}) != 0 || s.Tokens() != 50 {
+		t.Fatalf("after its end a is %d, %d in all", s.ReadableTokens(Key{"v1", "a"}), s.Tokens())
 	}
-	if s.Whole(Key{"v2", "b"}) != 0 {
+	if s.ReadableTokens(Key{"v2", "b"}) != 0 {
 		t.Fatal("a part of one weight version is found under another")
 	}
 }
@@ -42,7 +42,7 @@
 		t.Fatal("a store that does not answer is open")
 	}
 	s.Begin(2, nil, start, 3*time.Second)
-	if s.Whole(Key{"v1", "a"}) != 0 || s.Tokens() != 0 {
+	if s.ReadableTokens(Key{"v1", "a"}) != 0 || s.Tokens() != 0 {
 		t.Fatal("parts of the former life are still known")
 	}
 	if s.Open(start.Add(3*time.Second - 1)) {
@@ -82,8 +82,8 @@
 		{"kept again", 7, 7, 7, true, false},
 	} {
 		s.Apply(Change{Key: key, Tokens: step.tokens})
-		if s.Whole(key) != step.whole || s.Tokens() != step.room || s.Holds(key) != step.holds || s.Retired(key) != step.retired {
-			t.Errorf("%s: whole %d, room %d, holds %v, retired %v", step.what, s.Whole(key), s.Tokens(), s.Holds(key), s.Retired(key))
+		if s.ReadableTokens(key) != step.whole || s.Tokens() != step.room || s.Holds(key) != step.holds || s.Retired(key) != step.retired {
+			t.Errorf("%s: whole %d, room %d, holds %v, retired %v", step.what, s.ReadableTokens(key), s.Tokens(), s.Holds(key), s.Retired(key))
 		}
 	}
 }
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -151,7 +151,7 @@
 	var differences []cacheindex.Change
 	for _, change := range listing.Changes {
 		listed[change.Key] = true
-		if shelf.Whole(change.Key) != change.Tokens && !shelf.Retired(change.Key) {
+		if shelf.ReadableTokens(change.Key) != change.Tokens && !shelf.Retired(change.Key) {
 			differences = append(differences, change)
 		}
 	}
