--- a/cacheindex/book.go
+++ b/cacheindex/book.go
@@ -284,9 +284,9 @@
 	return b.complete
 }
 
-// Mixed reports whether records of later moments were added to a book that
+// Inconsistent reports whether records of later moments were added to a book that
 // stood for one: nothing in it may be relied on until it is complete again.
-func (b *Index) Mixed() bool { return !b.complete && b.touched }
+func (b *Index) Inconsistent() bool { return !b.complete && b.touched }
 
 // Complete reports whether the book stands for a moment of the leader's.
 func (b *Index) Complete() bool { return b.complete }
--- a/cacheindex/book_test.go
+++ b/cacheindex/book_test.go
@@ -213,7 +213,7 @@
 		if entry.Apply(&update) {
 			break
 		}
-		if !entry.Mixed() {
+		if !entry.Inconsistent() {
 			t.Fatal("a part of the shelves passed for all")
 		}
 		if pages > 12 {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -218,7 +218,7 @@
 // not while newer parts stand beside an older word on which stores are open: a
 // part may be half written in the next life of a store.
 func (s *state) shelvesTrusted(now time.Time) bool {
-	return !s.book.Mixed() && now.Sub(s.shelvesAt) < steward.ShelfTrust
+	return !s.book.Inconsistent() && now.Sub(s.shelvesAt) < steward.ShelfTrust
 }
 
 // upstreamsClock is the earliest that the upstreams' clock can show.
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -274,7 +274,7 @@
 // use has an entry send a prompt that fetches or keeps a part.
 func (w *interleaving) use(e *simEntry) {
 	key := cacheindex.Key{Salt: cacheindex.Salt("m", w.version-uint64(w.r.IntN(2)), ""), Part: fmt.Sprint(w.r.IntN(12))}
-	if w.now.Sub(e.at) >= ShelfTrust || e.book.Mixed() {
+	if w.now.Sub(e.at) >= ShelfTrust || e.book.Inconsistent() {
 		return
 	}
 	permit, life := w.now.Add(FetchPermit), w.life
