--- a/cacheindex/holdings.go
+++ b/cacheindex/holdings.go
@@ -68,9 +68,9 @@
 // Len returns the number of parts known to be whole.
 func (s *Inventory) Len() int { return len(s.parts) }
 
-// Begin replaces all that is known by a listing of the store's present life.
+// Replace replaces all that is known by a listing of the store's present life.
 // The shelf opens pause later.
-func (s *Inventory) Begin(life uint64, held []Change, now time.Time, pause time.Duration) {
+func (s *Inventory) Replace(life uint64, held []Change, now time.Time, pause time.Duration) {
 	s.life = life
 	s.parts = make(map[Key]int, len(held))
 	s.tokens, s.retired = 0, 0
--- a/cacheindex/holdings_test.go
+++ b/cacheindex/holdings_test.go
@@ -9,7 +9,7 @@
 
 func TestShelfFollowsChanges(t *testing.T) {
 	s := NewInventory()
-	s.Begin(1, []Change{{Key{"v1", "a"}, 100}}, start, 0)
+	s.Replace(1, []Change{{Key{"v1", "a"}, 100}}, start, 0)
 	s.Apply(Change{Key{"v1", "b"}, 50})
 	s.Apply(Change{Key{"v1", "a"}, 120})
 	if s.ReadableTokens(Key{"v1", "a"}) != 120 || s.Tokens() != 170 || s.Len() != 2 {
@@ -33,7 +33,7 @@
 	if s.Open(start) {
 		t.Fatal("a store that was never asked is open")
 	}
-	s.Begin(1, []Change{{Key{"v1", "a"}, 100}}, start, 0)
+	s.Replace(1, []Change{{Key{"v1", "a"}, 100}}, start, 0)
 	if !s.Open(start) {
 		t.Fatal("a known life is closed")
 	}
@@ -41,7 +41,7 @@
 	if s.Open(start.Add(time.Hour)) {
 		t.Fatal("a store that does not answer is open")
 	}
-	s.Begin(2, nil, start, 3*time.Second)
+	s.Replace(2, nil, start, 3*time.Second)
 	if s.ReadableTokens(Key{"v1", "a"}) != 0 || s.Tokens() != 0 {
 		t.Fatal("parts of the former life are still known")
 	}
@@ -55,7 +55,7 @@
 
 func TestShelfIsBounded(t *testing.T) {
 	s := NewInventory()
-	s.Begin(1, nil, start, 0)
+	s.Replace(1, nil, start, 0)
 	for i := range MaxParts + 10 {
 		s.Apply(Change{Key{"v1", string(rune(i))}, 1})
 	}
