--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -46,7 +46,7 @@
 // ends is what this entry knows of requests that end upstreams. Each entry judges by
 // itself, by the same ends.
 type ends struct {
-	ledger *quarantine.Ledger
+	ledger *quarantine.Tracker
 	lost   quarantine.Lost
 	served quarantine.Served
 	// seen tells when each end was seen, as far as this entry knows.
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -62,7 +62,7 @@
 	lives   map[string]uint64
 	// quarantine holds the requests that end upstreams, and seen when this host learnt
 	// of each end: like namings, each host's own.
-	quarantine *quarantine.Ledger
+	quarantine *quarantine.Tracker
 	seen       quarantine.Seen
 	evacuation *evacuation.Ledger
 	pages      rosterPages
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -31,9 +31,9 @@
 	Prints []Fingerprint `cbor:"2,keyasint"`
 }
 
-// Ledger holds the ends of upstreams and judges by them. Two ledgers that took in the
+// Tracker holds the ends of upstreams and judges by them. Two ledgers that took in the
 // same in the same order judge alike. It is not safe for concurrent use.
-type Ledger struct {
+type Tracker struct {
 	// ends are by the order in which they were first heard of.
 	ends []*Crash
 	// counts are the ends at which each request stood.
@@ -43,17 +43,17 @@
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{counts: make(map[Fingerprint]int)} }
+func NewLedger() *Tracker { return &Tracker{counts: make(map[Fingerprint]int)} }
 
 // Ended takes in ends, or further requests that were under way at known ones.
-func (l *Ledger) Ended(ends ...Crash) {
+func (l *Tracker) Ended(ends ...Crash) {
 	for _, e := range ends {
 		l.add(e)
 	}
 	l.judge()
 }
 
-func (l *Ledger) add(e Crash) {
+func (l *Tracker) add(e Crash) {
 	known := l.find(e.Life)
 	if known == nil {
 		if len(l.ends) == MaxLives {
@@ -71,7 +71,7 @@
 }
 
 // Served clears requests that an upstream has run to a good end.
-func (l *Ledger) Served(prints ...Fingerprint) {
+func (l *Tracker) Served(prints ...Fingerprint) {
 	for _, p := range prints {
 		if l.counts[p] == 0 {
 			continue
@@ -85,7 +85,7 @@
 }
 
 // Forget drops ends.
-func (l *Ledger) Forget(lives ...Incarnation) {
+func (l *Tracker) Forget(lives ...Incarnation) {
 	for _, life := range lives {
 		if i := slices.IndexFunc(l.ends, func(e *Crash) bool { return e.Life == life }); i >= 0 {
 			l.drop(i)
@@ -95,7 +95,7 @@
 }
 
 // Lives lists the upstreams whose ends are remembered.
-func (l *Ledger) Lives() []Incarnation {
+func (l *Tracker) Lives() []Incarnation {
 	lives := make([]Incarnation, len(l.ends))
 	for i, e := range l.ends {
 		lives[i] = e.Life
@@ -104,15 +104,15 @@
 }
 
 // Held lists the requests that are to be sent to no upstream, at most MaxTold.
-func (l *Ledger) Held() []Fingerprint { return l.held }
+func (l *Tracker) Held() []Fingerprint { return l.held }
 
 // Suspects lists further requests of which one more end may decide, at most MaxTold.
-func (l *Ledger) Suspects() []Fingerprint { return l.suspects }
+func (l *Tracker) Suspects() []Fingerprint { return l.suspects }
 
 // Revision grows whenever Held or Suspects change.
-func (l *Ledger) Revision() uint64 { return l.revision }
+func (l *Tracker) Revision() uint64 { return l.revision }
 
-func (l *Ledger) find(life Incarnation) *Crash {
+func (l *Tracker) find(life Incarnation) *Crash {
 	for _, e := range l.ends {
 		if e.Life == life {
 			return e
@@ -122,7 +122,7 @@
 }
 
 // drop forgets the end at a place of the list.
-func (l *Ledger) drop(at int) {
+func (l *Tracker) drop(at int) {
 	for _, p := range l.ends[at].Prints {
 		if l.counts[p]--; l.counts[p] == 0 {
 			delete(l.counts, p)
@@ -132,7 +132,7 @@
 }
 
 // judge renews the lists.
-func (l *Ledger) judge() {
+func (l *Tracker) judge() {
 	held := l.blame()
 	suspects := l.suspect(held)
 	if slices.Equal(held, l.held) && slices.Equal(suspects, l.suspects) {
@@ -147,7 +147,7 @@
 // stood. The others are blamed for what is left, but for those that stood at just the
 // same few ends: held together, an innocent one would never be served again, and so never
 // cleared; one more end tells them apart.
-func (l *Ledger) blame() []Fingerprint {
+func (l *Tracker) blame() []Fingerprint {
 	stood := l.standing(Ends)
 	held := alone(stood)
 	explained := endsOf(held, stood)
@@ -167,7 +167,7 @@
 }
 
 // suspect lists further requests that stood at enough ends which no held one explains.
-func (l *Ledger) suspect(held []Fingerprint) []Fingerprint {
+func (l *Tracker) suspect(held []Fingerprint) []Fingerprint {
 	stood := l.standing(suspectEnds)
 	isHeld := make(map[Fingerprint]bool, len(held))
 	for _, p := range held {
@@ -191,7 +191,7 @@
 
 // standing tells for each request that stood at so many ends which these are, by their
 // places.
-func (l *Ledger) standing(least int) map[Fingerprint][]int {
+func (l *Tracker) standing(least int) map[Fingerprint][]int {
 	stood := make(map[Fingerprint][]int)
 	for i, e := range l.ends {
 		for _, p := range e.Prints {
@@ -244,7 +244,7 @@
 }
 
 // Save returns the state.
-func (l *Ledger) Save() Saved {
+func (l *Tracker) Save() Saved {
 	saved := Saved{Revision: l.revision}
 	for _, e := range l.ends {
 		saved.Ends = append(saved.Ends, Crash{Life: e.Life, Prints: slices.Clone(e.Prints)})
@@ -253,7 +253,7 @@
 }
 
 // Restore replaces the state.
-func (l *Ledger) Restore(s Saved) {
+func (l *Tracker) Restore(s Saved) {
 	*l = *NewLedger()
 	l.Ended(s.Ends...)
 	l.revision = s.Revision
