--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -34,7 +34,7 @@
 
 // quarantineOf remembers ends, under each of which other requests were running but one.
 func quarantineOf(ends int) *quarantine.Tracker {
-	l := quarantine.NewLedger()
+	l := quarantine.NewTracker()
 	for i := range ends {
 		l.Ended(endAt(i))
 	}
--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -64,7 +64,7 @@
 }
 
 func newEnds() ends {
-	return ends{ledger: quarantine.NewLedger()}
+	return ends{ledger: quarantine.NewTracker()}
 }
 
 // take takes in what this entry or another has seen, and reports whether the judgement
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -42,8 +42,8 @@
 	revision       uint64
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Tracker { return &Tracker{counts: make(map[Fingerprint]int)} }
+// NewTracker returns an empty ledger.
+func NewTracker() *Tracker { return &Tracker{counts: make(map[Fingerprint]int)} }
 
 // Ended takes in ends, or further requests that were under way at known ones.
 func (l *Tracker) Ended(ends ...Crash) {
@@ -254,7 +254,7 @@
 
 // Restore replaces the state.
 func (l *Tracker) Restore(s Saved) {
-	*l = *NewLedger()
+	*l = *NewTracker()
 	l.Ended(s.Ends...)
 	l.revision = s.Revision
 }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l := NewLedger()
+			l := NewTracker()
 			for _, e := range c.ends {
 				l.Ended(e)
 			}
@@ -63,7 +63,7 @@
 // beside them was repeated to two of each, so that it stood at more ends than any of them.
 // Blamed first it excused them all: they were sent on, and it alone was held.
 func TestOneBesideSeveralExcusesNone(t *testing.T) {
-	l := NewLedger()
+	l := NewTracker()
 	for _, e := range []Crash{
 		endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "worse", "x"), endOf("d", "worse", "x"),
 		endOf("e", "bad"), endOf("f", "worse"),
@@ -80,7 +80,7 @@
 // Two requests end the same upstreams by chance, and then others each. The ends that one
 // explains must not excuse the other: the first end that each has alone decides.
 func TestNoRequestExcusesAnotherForLong(t *testing.T) {
-	l := NewLedger()
+	l := NewTracker()
 	for i := range 3 {
 		l.Ended(endOf(fmt.Sprint("both-", i), "bad", "worse"))
 	}
@@ -103,7 +103,7 @@
 // Many callers ask the same, and three upstreams are lost with it under way: it is
 // served by the next. A request that runs to a good end ends nobody.
 func TestServedRequestsAreCleared(t *testing.T) {
-	l := NewLedger()
+	l := NewTracker()
 	for _, name := range []string{"a", "b", "c"} {
 		l.Ended(endOf(name, "poll"))
 	}
@@ -120,7 +120,7 @@
 // A request that one held request explains is no suspect, and one that stood at two
 // ends without it is.
 func TestSuspects(t *testing.T) {
-	l := NewLedger()
+	l := NewTracker()
 	for _, e := range []Crash{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad"), endOf("d", "y"), endOf("e", "y")} {
 		l.Ended(e)
 	}
@@ -132,7 +132,7 @@
 // An end that is forgotten releases who was held for it, and ledgers stay bounded
 // whatever comes.
 func TestEndsAreForgottenAndBounded(t *testing.T) {
-	l := NewLedger()
+	l := NewTracker()
 	for i := range 3 {
 		l.Ended(endOf(fmt.Sprint(i), "bad"))
 	}
@@ -160,7 +160,7 @@
 func TestRestoredLedgersJudgeAlike(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		l, restored := NewLedger(), NewLedger()
+		l, restored := NewTracker(), NewTracker()
 		for range 60 {
 			switch p := fmt.Sprint("p", r.IntN(12)); r.IntN(8) {
 			case 0:
@@ -194,7 +194,7 @@
 func BenchmarkEnded(b *testing.B) {
 	for _, size := range []struct{ lives, prints, of int }{{43, 8, 344}, {MaxLives, MaxPrints, 8192}} {
 		b.Run(fmt.Sprintf("%d ends of %d", size.lives, size.prints), func(b *testing.B) {
-			l := NewLedger()
+			l := NewTracker()
 			next := 0
 			end := func(i int) Crash {
 				e := Crash{Life: Incarnation{Upstream: fmt.Sprint(i)}}
