--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -159,7 +159,7 @@
 		return nil
 	}
 	e.counts.held.Inc()
-	return quarantine.ErrHeld
+	return quarantine.ErrQuarantined
 }
 
 // mayRepeat reports whether a request is sent again by ourselves after cause; ran is the
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -147,7 +147,7 @@
 // caller has a whole answer.
 func (r *run) attempt(ctx context.Context, respond Responder) error {
 	if r.held() {
-		return quarantine.ErrHeld
+		return quarantine.ErrQuarantined
 	}
 	p, err := r.await(ctx)
 	if err != nil {
@@ -198,7 +198,7 @@
 func (r *run) stillWanted(ctx context.Context) error {
 	switch {
 	case r.held():
-		return quarantine.ErrHeld
+		return quarantine.ErrQuarantined
 	case errors.Is(ctx.Err(), context.Canceled):
 		return errCallerGone
 	case time.Until(r.deadline) < leastWait:
--- a/quarantine/outcome.go
+++ b/quarantine/outcome.go
@@ -2,9 +2,9 @@
 
 import "github.com/lovagereach/lovagereach/outcome"
 
-// ErrHeld is the outcome of an attempt of a held request. It promises nothing, for
+// ErrQuarantined is the outcome of an attempt of a held request. It promises nothing, for
 // earlier attempts have run.
-var ErrHeld error = &outcome.Unknown{
+var ErrQuarantined error = &outcome.Unknown{
 	Reason: outcome.ReasonCrashesUpstreams,
 	Detail: "earlier attempts of this request ended the upstreams that ran them; nothing was sent now, do not repeat it as it is",
 }
