--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -122,7 +122,7 @@
 func (n *ends) decisive(now time.Time, most int) []endWord {
 	var list []endWord
 	for _, end := range slices.Backward(n.ledger.Save().Ends) {
-		end.Prints = slices.DeleteFunc(end.Prints, func(p quarantine.Fingerprint) bool { return !slices.Contains(n.ledger.Held(), p) })
+		end.Prints = slices.DeleteFunc(end.Prints, func(p quarantine.Fingerprint) bool { return !slices.Contains(n.ledger.Quarantined(), p) })
 		if len(end.Prints) > 0 && len(list) < most {
 			list = append(list, endWord{End: end, Age: n.seen.Age(end.Life, now)})
 		}
@@ -155,7 +155,7 @@
 func (e *Entry) mayRun(p quarantine.Fingerprint) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !slices.Contains(e.ends.ledger.Held(), p) || e.ends.served.Has(p, time.Now()) {
+	if !slices.Contains(e.ends.ledger.Quarantined(), p) || e.ends.served.Has(p, time.Now()) {
 		return nil
 	}
 	e.counts.held.Inc()
@@ -176,7 +176,7 @@
 func (e *Entry) judged(p quarantine.Fingerprint) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Contains(e.ends.ledger.Held(), p) || slices.Contains(e.ends.ledger.Suspects(), p)
+	return slices.Contains(e.ends.ledger.Quarantined(), p) || slices.Contains(e.ends.ledger.Suspects(), p)
 }
 
 // noteLost notes that an attempt broke off, and looks once whether its upstream has
@@ -281,13 +281,13 @@
 	e.mu.Lock()
 	var cleared endsMessage
 	if e.ends.take(now, m) {
-		for _, p := range append(slices.Clone(e.ends.ledger.Held()), e.ends.ledger.Suspects()...) {
+		for _, p := range append(slices.Clone(e.ends.ledger.Quarantined()), e.ends.ledger.Suspects()...) {
 			if e.ends.served.Has(p, now) {
 				cleared.Served = append(cleared.Served, p)
 			}
 		}
 		e.ends.take(now, cleared)
-		e.options.Log.Info("requests judged", "held", len(e.ends.ledger.Held()), "suspects", len(e.ends.ledger.Suspects()))
+		e.options.Log.Info("requests judged", "held", len(e.ends.ledger.Quarantined()), "suspects", len(e.ends.ledger.Suspects()))
 	}
 	e.mu.Unlock()
 	e.tellEnds(cleared)
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -190,7 +190,7 @@
 		if err := three.ask(t, 12, 8); err != nil {
 			t.Errorf("another prompt ends with %v", err)
 		}
-		_ = three.TakeEnds(wire.MustMarshal(endsMessage{Served: three.ends.ledger.Held()}))
+		_ = three.TakeEnds(wire.MustMarshal(endsMessage{Served: three.ends.ledger.Quarantined()}))
 		three.announceAgain(t)
 		if err := three.ask(t, 13, 7); err != nil {
 			t.Errorf("a prompt that was served elsewhere ends with %v", err)
@@ -210,7 +210,7 @@
 			time.Sleep(time.Second)
 			reborn(t, b)
 		}
-		if held := b.ends.ledger.Held(); len(held) != 0 || b.ends.lost.Len() != 0 {
+		if held := b.ends.ledger.Quarantined(); len(held) != 0 || b.ends.lost.Len() != 0 {
 			t.Fatalf("held %v without an end", held)
 		}
 		b.upstreams.ended = true
@@ -293,7 +293,7 @@
 		first.takeEnds(toldNow(seen))
 		time.Sleep(quarantine.EndKept - time.Minute)
 		tell(first, late)
-		if len(late.ends.ledger.Held()) != 1 {
+		if len(late.ends.ledger.Quarantined()) != 1 {
 			t.Fatal("the late entry was not told")
 		}
 		time.Sleep(2 * time.Minute)
@@ -301,7 +301,7 @@
 		tell(late, first)
 		first.mu.Lock()
 		defer first.mu.Unlock()
-		if held := first.ends.ledger.Held(); len(held) != 0 {
+		if held := first.ends.ledger.Quarantined(); len(held) != 0 {
 			t.Errorf("%d requests are held for ends that no longer count", len(held))
 		}
 	})
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -299,7 +299,7 @@
 		found = true
 	}
 	if m.quarantine.Revision() > request.Quarantine {
-		answer.Quarantine = &QuarantineView{Revision: m.quarantine.Revision(), Quarantined: m.quarantine.Held(), Suspects: m.quarantine.Suspects()}
+		answer.Quarantine = &QuarantineView{Revision: m.quarantine.Revision(), Quarantined: m.quarantine.Quarantined(), Suspects: m.quarantine.Suspects()}
 		found = true
 	}
 	if m.evacuation.Revision() > request.Evacuation {
--- a/internal/steward/report.go
+++ b/internal/steward/report.go
@@ -60,7 +60,7 @@
 func (m *Machine) quarantined() (held []quarantine.Fingerprint, suspects int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.quarantine.Held(), len(m.quarantine.Suspects())
+	return m.quarantine.Quarantined(), len(m.quarantine.Suspects())
 }
 
 // reportBatch are reports that share a command.
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -103,8 +103,8 @@
 	return lives
 }
 
-// Held lists the requests that are to be sent to no upstream, at most MaxTold.
-func (l *Tracker) Held() []Fingerprint { return l.held }
+// Quarantined lists the requests that are to be sent to no upstream, at most MaxTold.
+func (l *Tracker) Quarantined() []Fingerprint { return l.held }
 
 // Suspects lists further requests of which one more end may decide, at most MaxTold.
 func (l *Tracker) Suspects() []Fingerprint { return l.suspects }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -52,8 +52,8 @@
 				want = append(want, printOf(name))
 			}
 			slices.SortFunc(want, func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
-			if !slices.Equal(l.Held(), want) {
-				t.Fatalf("held %v, want %v", l.Held(), want)
+			if !slices.Equal(l.Quarantined(), want) {
+				t.Fatalf("held %v, want %v", l.Quarantined(), want)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 		l.Ended(e)
 	}
 	for name, held := range map[string]bool{"bad": true, "worse": true, "x": false} {
-		if slices.Contains(l.Held(), printOf(name)) != held {
+		if slices.Contains(l.Quarantined(), printOf(name)) != held {
 			t.Errorf("held %q: %t, want %t", name, !held, held)
 		}
 	}
@@ -87,14 +87,14 @@
 	ended := map[string]int{"bad": 3, "worse": 3}
 	for n := range 20 {
 		name := []string{"bad", "worse"}[n%2]
-		if slices.Contains(l.Held(), printOf(name)) {
+		if slices.Contains(l.Quarantined(), printOf(name)) {
 			continue
 		}
 		ended[name]++
 		l.Ended(endOf(fmt.Sprint("one-", n), name))
 	}
 	for name, ends := range ended {
-		if ends > Ends+1 || !slices.Contains(l.Held(), printOf(name)) {
+		if ends > Ends+1 || !slices.Contains(l.Quarantined(), printOf(name)) {
 			t.Errorf("%d upstreams ended under the request %q, want at most %d", ends, name, Ends+1)
 		}
 	}
@@ -107,13 +107,13 @@
 	for _, name := range []string{"a", "b", "c"} {
 		l.Ended(endOf(name, "poll"))
 	}
-	if len(l.Held()) != 1 {
+	if len(l.Quarantined()) != 1 {
 		t.Fatal("the case is not what it says")
 	}
 	before := l.Revision()
 	l.Served(printOf("poll"))
-	if len(l.Held())+len(l.Suspects()) != 0 || l.Revision() == before {
-		t.Fatalf("held %v, suspected %v, revision %d after %d", l.Held(), l.Suspects(), l.Revision(), before)
+	if len(l.Quarantined())+len(l.Suspects()) != 0 || l.Revision() == before {
+		t.Fatalf("held %v, suspected %v, revision %d after %d", l.Quarantined(), l.Suspects(), l.Revision(), before)
 	}
 }
 
@@ -124,8 +124,8 @@
 	for _, e := range []Crash{endOf("a", "bad", "x"), endOf("b", "bad", "x"), endOf("c", "bad"), endOf("d", "y"), endOf("e", "y")} {
 		l.Ended(e)
 	}
-	if !slices.Equal(l.Held(), []Fingerprint{printOf("bad")}) || !slices.Equal(l.Suspects(), []Fingerprint{printOf("y")}) {
-		t.Fatalf("held %v, suspected %v", l.Held(), l.Suspects())
+	if !slices.Equal(l.Quarantined(), []Fingerprint{printOf("bad")}) || !slices.Equal(l.Suspects(), []Fingerprint{printOf("y")}) {
+		t.Fatalf("held %v, suspected %v", l.Quarantined(), l.Suspects())
 	}
 }
 
@@ -137,8 +137,8 @@
 		l.Ended(endOf(fmt.Sprint(i), "bad"))
 	}
 	l.Forget(Incarnation{Upstream: "0"})
-	if len(l.Held()) != 0 || !slices.Equal(l.Suspects(), []Fingerprint{printOf("bad")}) {
-		t.Fatalf("held %v, suspected %v", l.Held(), l.Suspects())
+	if len(l.Quarantined()) != 0 || !slices.Equal(l.Suspects(), []Fingerprint{printOf("bad")}) {
+		t.Fatalf("held %v, suspected %v", l.Quarantined(), l.Suspects())
 	}
 	crowd := Crash{Life: Incarnation{Upstream: "crowd"}}
 	for n := range 2 * MaxPrints {
@@ -171,8 +171,8 @@
 				l.Ended(endOf(fmt.Sprint(r.IntN(20)), p, fmt.Sprint("p", r.IntN(12))))
 			}
 			restored.Restore(l.Save())
-			if !slices.Equal(l.Held(), restored.Held()) || !slices.Equal(l.Suspects(), restored.Suspects()) || l.Revision() != restored.Revision() {
-				t.Fatalf("seed %d: held %v and %v", seed, l.Held(), restored.Held())
+			if !slices.Equal(l.Quarantined(), restored.Quarantined()) || !slices.Equal(l.Suspects(), restored.Suspects()) || l.Revision() != restored.Revision() {
+				t.Fatalf("seed %d: held %v and %v", seed, l.Quarantined(), restored.Quarantined())
 			}
 			for p, n := range l.counts {
 				stood := 0
