--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -87,10 +87,10 @@
 
 // settle forgets ends that no longer count.
 func (n *ends) settle(now time.Time) {
-	n.seen.Follow(n.ledger.Lives(), now)
+	n.seen.Follow(n.ledger.Incarnations(), now)
 	if old := n.seen.Old(now); len(old) > 0 {
 		n.ledger.Forget(old...)
-		n.seen.Follow(n.ledger.Lives(), now)
+		n.seen.Follow(n.ledger.Incarnations(), now)
 	}
 	n.own = slices.DeleteFunc(n.own, func(o ownEnd) bool { return now.Sub(o.seen) >= quarantine.EndKept })
 }
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -224,7 +224,7 @@
 		}
 		time.Sleep(quarantine.EndKept)
 		b.endsDue(time.Now())
-		if len(b.ends.ledger.Lives())+len(b.ends.own)+b.ends.seen.Len() != 0 {
+		if len(b.ends.ledger.Incarnations())+len(b.ends.own)+b.ends.seen.Len() != 0 {
 			t.Fatal("old ends are kept")
 		}
 	})
--- a/internal/steward/report.go
+++ b/internal/steward/report.go
@@ -33,7 +33,7 @@
 	before := m.quarantine.Revision()
 	m.quarantine.Ended(r.Ends...)
 	m.quarantine.Served(r.Served...)
-	m.seen.Follow(m.quarantine.Lives(), time.Now())
+	m.seen.Follow(m.quarantine.Incarnations(), time.Now())
 	if m.quarantine.Revision() != before {
 		m.notifyOrder()
 	}
@@ -43,7 +43,7 @@
 func (m *Machine) applyForget(lives []quarantine.Incarnation) {
 	before := m.quarantine.Revision()
 	m.quarantine.Forget(lives...)
-	m.seen.Follow(m.quarantine.Lives(), time.Now())
+	m.seen.Follow(m.quarantine.Incarnations(), time.Now())
 	if m.quarantine.Revision() != before {
 		m.notifyOrder()
 	}
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -165,7 +165,7 @@
 		t.Fatal("a restored host does not know of the end")
 	}
 	restored.applyForget(restored.oldEnds(later))
-	if len(restored.quarantine.Lives())+restored.seen.Len() != 0 {
+	if len(restored.quarantine.Incarnations())+restored.seen.Len() != 0 {
 		t.Fatal("a forgotten end is kept")
 	}
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -94,8 +94,8 @@
 	l.judge()
 }
 
-// Lives lists the upstreams whose ends are remembered.
-func (l *Tracker) Lives() []Incarnation {
+// Incarnations lists the upstreams whose ends are remembered.
+func (l *Tracker) Incarnations() []Incarnation {
 	lives := make([]Incarnation, len(l.ends))
 	for i, e := range l.ends {
 		lives[i] = e.Life
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -151,8 +151,8 @@
 	for i := range 2 * MaxLives {
 		l.Ended(endOf(fmt.Sprint("more-", i), fmt.Sprint("x", i)))
 	}
-	if len(l.Lives()) != MaxLives || len(l.counts) != MaxLives {
-		t.Fatalf("%d ends and %d requests are remembered", len(l.Lives()), len(l.counts))
+	if len(l.Incarnations()) != MaxLives || len(l.counts) != MaxLives {
+		t.Fatalf("%d ends and %d requests are remembered", len(l.Incarnations()), len(l.counts))
 	}
 }
 
