--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -140,7 +140,7 @@
 	r := quarantine.Request{
 		Service: string(p.Model), Team: string(p.Caller.Team()), Method: "prompt", Target: string(p.Adapter), Body: body,
 	}
-	return r.Print()
+	return r.Fingerprint()
 }
 
 // printOfCall tells a call from all others.
@@ -148,7 +148,7 @@
 	r := quarantine.Request{
 		Service: string(c.Service), Team: string(c.Caller.Team()), Method: c.Method, Target: c.Path, Body: c.Body,
 	}
-	return r.Print()
+	return r.Fingerprint()
 }
 
 // mayRun refuses a request that ends the upstreams that run it.
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -16,7 +16,7 @@
 		Service: r.service, Team: r.callerName(), Method: r.request.Method,
 		Host: strings.ToLower(r.request.Host), Target: r.request.Target, Body: r.request.Body,
 	}
-	return q.Print()
+	return q.Fingerprint()
 }
 
 // callerName is the team that holds the caller's key, also on a route that asks for
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -10,7 +10,7 @@
 
 func printOf(name string) Fingerprint {
 	r := Request{Team: "growers", Target: name}
-	return r.Print()
+	return r.Fingerprint()
 }
 
 func endOf(upstream string, names ...string) Crash {
--- a/quarantine/print.go
+++ b/quarantine/print.go
@@ -31,8 +31,8 @@
 	Body   []byte
 }
 
-// Print returns the request's print.
-func (r *Request) Print() Fingerprint {
+// Fingerprint returns the request's print.
+func (r *Request) Fingerprint() Fingerprint {
 	digest := sha256.New()
 	for _, field := range []string{r.Service, r.Team, r.Method, r.Host, r.Target} {
 		writeField(digest, field)
