--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -162,7 +162,7 @@
 				_, _ = two.TakeEnds(body), three.TakeEnds(body)
 			}
 		}
-		for i := range quarantine.Ends {
+		for i := range quarantine.CrashThreshold {
 			one.engine(t, fmt.Sprint("runner-", i), step{refuse: errLost})
 			two.engine(t, fmt.Sprint("runner-", i))
 			three.engine(t, fmt.Sprint("runner-", i))
@@ -253,7 +253,7 @@
 		run(t, two)
 		bad := printOfPrompt(&Prompt{Caller: two.prompt(t, 1).Caller, Model: testModel, Tokens: two.prompt(t, 1).Tokens, MaxTokens: 5, Seed: 7})
 		var seen []quarantine.Crash
-		for i := range quarantine.Ends {
+		for i := range quarantine.CrashThreshold {
 			seen = append(seen, quarantine.Crash{
 				Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{bad, {byte(i)}},
 			})
@@ -287,7 +287,7 @@
 			}
 		}
 		var seen []quarantine.Crash
-		for i := range quarantine.Ends {
+		for i := range quarantine.CrashThreshold {
 			seen = append(seen, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
 		}
 		first.takeEnds(toldNow(seen))
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -107,7 +107,7 @@
 	}
 	bad, other := quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 	var reports sync.WaitGroup
-	for i := range quarantine.Ends {
+	for i := range quarantine.CrashThreshold {
 		reports.Go(func() {
 			life := quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}
 			entries[i].report(ctx, &Report{Ends: []quarantine.Crash{{Life: life, Prints: []quarantine.Fingerprint{bad}}}})
@@ -120,7 +120,7 @@
 	lost := f.leader().options.Self
 	f.kill(lost)
 	f.await("another host leads", func() bool { return f.leader() != nil })
-	for i := range quarantine.Ends {
+	for i := range quarantine.CrashThreshold {
 		entries[0].report(ctx, &Report{Ends: []quarantine.Crash{{Life: quarantine.Incarnation{Upstream: fmt.Sprint("later-", i)}, Prints: []quarantine.Fingerprint{other}}}})
 	}
 	allHear("all entries hold the second request", other, true)
@@ -180,7 +180,7 @@
 	defer cancel()
 	entry, bad := f.startReporting(ctx, "entry-1"), quarantine.Fingerprint{1}
 	var r Report
-	for i := range quarantine.Ends {
+	for i := range quarantine.CrashThreshold {
 		r.Ends = append(r.Ends, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{bad}})
 	}
 	entry.report(ctx, &r)
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// Ends is the number of upstreams that must end under a request before it is held.
+	// CrashThreshold is the number of upstreams that must end under a request before it is held.
 	// Fewer may end by chance while a request is repeated.
-	Ends = 3
+	CrashThreshold = 3
 	// suspectEnds is the number from which on a request is suspected: one more decides.
-	suspectEnds = Ends - 1
+	suspectEnds = CrashThreshold - 1
 	// MaxLives bounds the ends that are remembered, and MaxPrints the requests noted
 	// for each: 32,768 prints, 0.5 MB. An upstream runs fewer at a time.
 	MaxLives, MaxPrints = 256, 128
@@ -148,7 +148,7 @@
 // same few ends: held together, an innocent one would never be served again, and so never
 // cleared; one more end tells them apart.
 func (l *Tracker) blame() []Fingerprint {
-	stood := l.standing(Ends)
+	stood := l.standing(CrashThreshold)
 	held := alone(stood)
 	explained := endsOf(held, stood)
 	var rest []Fingerprint
@@ -159,7 +159,7 @@
 	}
 	for _, p := range rest {
 		same := func(other Fingerprint) bool { return other != p && slices.Equal(stood[other], stood[p]) }
-		if len(stood[p]) > Ends || !slices.ContainsFunc(rest, same) {
+		if len(stood[p]) > CrashThreshold || !slices.ContainsFunc(rest, same) {
 			held[p] = true
 		}
 	}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -94,8 +94,8 @@
 		l.Ended(endOf(fmt.Sprint("one-", n), name))
 	}
 	for name, ends := range ended {
-		if ends > Ends+1 || !slices.Contains(l.Quarantined(), printOf(name)) {
-			t.Errorf("%d upstreams ended under the request %q, want at most %d", ends, name, Ends+1)
+		if ends > CrashThreshold+1 || !slices.Contains(l.Quarantined(), printOf(name)) {
+			t.Errorf("%d upstreams ended under the request %q, want at most %d", ends, name, CrashThreshold+1)
 		}
 	}
 }
