--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -73,7 +73,7 @@
 	before := n.ledger.Revision()
 	var ended []quarantine.Crash
 	for _, word := range m.Ends {
-		if word.Age < 0 || word.Age >= quarantine.EndKept {
+		if word.Age < 0 || word.Age >= quarantine.CrashRetention {
 			continue
 		}
 		ended = append(ended, word.End)
@@ -92,7 +92,7 @@
 		n.ledger.Forget(old...)
 		n.seen.Follow(n.ledger.Incarnations(), now)
 	}
-	n.own = slices.DeleteFunc(n.own, func(o ownEnd) bool { return now.Sub(o.seen) >= quarantine.EndKept })
+	n.own = slices.DeleteFunc(n.own, func(o ownEnd) bool { return now.Sub(o.seen) >= quarantine.CrashRetention })
 }
 
 // due returns the ends that the other entries are to be told: new ones a few times, and
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -222,7 +222,7 @@
 		if !isHeld(b.ask(t, 20, 7)) {
 			t.Fatal("not held")
 		}
-		time.Sleep(quarantine.EndKept)
+		time.Sleep(quarantine.CrashRetention)
 		b.endsDue(time.Now())
 		if len(b.ends.ledger.Incarnations())+len(b.ends.own)+b.ends.seen.Len() != 0 {
 			t.Fatal("old ends are kept")
@@ -291,7 +291,7 @@
 			seen = append(seen, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
 		}
 		first.takeEnds(toldNow(seen))
-		time.Sleep(quarantine.EndKept - time.Minute)
+		time.Sleep(quarantine.CrashRetention - time.Minute)
 		tell(first, late)
 		if len(late.ends.ledger.Quarantined()) != 1 {
 			t.Fatal("the late entry was not told")
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -146,9 +146,9 @@
 func TestOldEndsAreForgotten(t *testing.T) {
 	m, now := NewMachine(), time.Now()
 	m.applyReport(&Report{Ends: []quarantine.Crash{{Life: quarantine.Incarnation{Upstream: "a"}, Prints: []quarantine.Fingerprint{{1}}}}})
-	later := now.Add(quarantine.EndKept + time.Second)
+	later := now.Add(quarantine.CrashRetention + time.Second)
 	if old := m.oldEnds(later); len(old) != 1 {
-		t.Fatalf("%d ends are old after %v", len(old), quarantine.EndKept)
+		t.Fatalf("%d ends are old after %v", len(old), quarantine.CrashRetention)
 	}
 	if old := m.oldEnds(now); len(old) != 0 {
 		t.Fatalf("%d ends are old at once", len(old))
@@ -185,7 +185,7 @@
 	}
 	entry.report(ctx, &r)
 	f.await("the entry holds the request", func() bool { return entry.holds(bad) })
-	f.leader().leading.Load().forgetEnds(ctx, time.Now().Add(quarantine.EndKept+time.Second))
+	f.leader().leading.Load().forgetEnds(ctx, time.Now().Add(quarantine.CrashRetention+time.Second))
 	f.await("the entry sends the request on", func() bool { return !entry.holds(bad) })
 }
 
--- a/quarantine/seen.go
+++ b/quarantine/seen.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// EndKept is how long an end counts against the requests that were under way. A held
+// CrashRetention is how long an end counts against the requests that were under way. A held
 // request is then tried again, for its upstreams may have been mended.
-const EndKept = 30 * time.Minute
+const CrashRetention = 30 * time.Minute
 
 // Seen are the times at which the ends of a ledger were seen, by one process's own steady
 // clock: processes have none in common. It is not safe for concurrent use.
@@ -46,7 +46,7 @@
 func (s *Seen) Old(now time.Time) []Incarnation {
 	var lives []Incarnation
 	for life := range s.at {
-		if s.Age(life, now) >= EndKept {
+		if s.Age(life, now) >= CrashRetention {
 			lives = append(lives, life)
 		}
 	}
