--- a/internal/steward/report.go
+++ b/internal/steward/report.go
@@ -22,7 +22,7 @@
 	MostReported = 64
 	// reportMost bounds the prints and ends that one command gathers, 260 KB: two of the
 	// longest reports. What comes beyond is reported again.
-	reportMost = 2 * MostReported * (quarantine.MaxPrints + 2)
+	reportMost = 2 * MostReported * (quarantine.MaxFingerprints + 2)
 	// forgetEvery is how often ends are looked for that no longer count.
 	forgetEvery = 10 * time.Second
 )
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -207,7 +207,7 @@
 func TestTheLongestReportIsTaken(t *testing.T) {
 	var longest Report
 	for range MostReported {
-		longest.Ends = append(longest.Ends, quarantine.Crash{Prints: make([]quarantine.Fingerprint, quarantine.MaxPrints)})
+		longest.Ends = append(longest.Ends, quarantine.Crash{Prints: make([]quarantine.Fingerprint, quarantine.MaxFingerprints)})
 		longest.Served = append(longest.Served, quarantine.Fingerprint{})
 	}
 	l := &leadership{reports: &reportBatch{done: make(chan struct{})}}
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -14,7 +14,7 @@
 	suspectEnds = CrashThreshold - 1
 	// MaxLives bounds the ends that are remembered, and MaxPrints the requests noted
 	// for each: 32,768 prints, 0.5 MB. An upstream runs fewer at a time.
-	MaxLives, MaxPrints = 256, 128
+	MaxLives, MaxFingerprints = 256, 128
 	// MaxTold bounds the held requests that entries are told, and the suspected ones.
 	MaxTold = 256
 )
@@ -63,7 +63,7 @@
 		l.ends = append(l.ends, known)
 	}
 	for _, p := range e.Prints {
-		if len(known.Prints) < MaxPrints && !slices.Contains(known.Prints, p) {
+		if len(known.Prints) < MaxFingerprints && !slices.Contains(known.Prints, p) {
 			known.Prints = append(known.Prints, p)
 			l.counts[p]++
 		}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -141,11 +141,11 @@
 		t.Fatalf("held %v, suspected %v", l.Quarantined(), l.Suspects())
 	}
 	crowd := Crash{Life: Incarnation{Upstream: "crowd"}}
-	for n := range 2 * MaxPrints {
+	for n := range 2 * MaxFingerprints {
 		crowd.Prints = append(crowd.Prints, printOf(fmt.Sprint("one of many ", n)))
 	}
 	l.Ended(crowd)
-	if len(l.counts) != 1+MaxPrints {
+	if len(l.counts) != 1+MaxFingerprints {
 		t.Fatalf("%d requests are remembered", len(l.counts))
 	}
 	for i := range 2 * MaxLives {
@@ -192,7 +192,7 @@
 // The cost of one end while a third of a fleet of 130 is lost with eight requests
 // each, and that of a ledger as full as it can be.
 func BenchmarkEnded(b *testing.B) {
-	for _, size := range []struct{ lives, prints, of int }{{43, 8, 344}, {MaxLives, MaxPrints, 8192}} {
+	for _, size := range []struct{ lives, prints, of int }{{43, 8, 344}, {MaxLives, MaxFingerprints, 8192}} {
 		b.Run(fmt.Sprintf("%d ends of %d", size.lives, size.prints), func(b *testing.B) {
 			l := NewTracker()
 			next := 0
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -32,7 +32,7 @@
 		l.attempts = make(map[Incarnation][]Attempt)
 	}
 	known, waiting := l.attempts[life]
-	if len(known) < MaxPrints {
+	if len(known) < MaxFingerprints {
 		l.attempts[life] = append(known, a)
 	}
 	return !waiting
