--- a/internal/capacity/bounds_test.go
+++ b/internal/capacity/bounds_test.go
@@ -163,7 +163,7 @@
 	if size := verdictBytes(); size > toldMost {
 		t.Errorf("an entry is told %d B, at most %d", size, toldMost)
 	}
-	if bytes := HeapBytes(func() any { return quarantineOf(4 * quarantine.MaxLives) }); bytes > heldMost {
+	if bytes := HeapBytes(func() any { return quarantineOf(4 * quarantine.MaxCrashes) }); bytes > heldMost {
 		t.Errorf("%.0f B are held, at most %d", bytes, heldMost)
 	}
 }
--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -8,7 +8,7 @@
 )
 
 // endSizes are numbers of upstreams whose ends are remembered, up to the bound.
-var endSizes = []int{16, 64, quarantine.MaxLives}
+var endSizes = []int{16, 64, quarantine.MaxCrashes}
 
 // endedWith is how many requests each was running.
 const endedWith = 16
@@ -18,7 +18,7 @@
 	probe := func(name string, unit Unit, measure func(int) (float64, error)) Probe {
 		return Probe{
 			Role: "control voter", Name: name, SizeName: "ends of upstreams", Unit: unit,
-			Sizes: endSizes, Target: quarantine.MaxLives, Measure: measure,
+			Sizes: endSizes, Target: quarantine.MaxCrashes, Measure: measure,
 		}
 	}
 	return []Probe{
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -12,9 +12,9 @@
 	CrashThreshold = 3
 	// suspectEnds is the number from which on a request is suspected: one more decides.
 	suspectEnds = CrashThreshold - 1
-	// MaxLives bounds the ends that are remembered, and MaxPrints the requests noted
+	// MaxCrashes bounds the ends that are remembered, and MaxPrints the requests noted
 	// for each: 32,768 prints, 0.5 MB. An upstream runs fewer at a time.
-	MaxLives, MaxFingerprints = 256, 128
+	MaxCrashes, MaxFingerprints = 256, 128
 	// MaxTold bounds the held requests that entries are told, and the suspected ones.
 	MaxTold = 256
 )
@@ -56,7 +56,7 @@
 func (l *Tracker) add(e Crash) {
 	known := l.find(e.Life)
 	if known == nil {
-		if len(l.ends) == MaxLives {
+		if len(l.ends) == MaxCrashes {
 			l.drop(0)
 		}
 		known = &Crash{Life: e.Life}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -148,10 +148,10 @@
 	if len(l.counts) != 1+MaxFingerprints {
 		t.Fatalf("%d requests are remembered", len(l.counts))
 	}
-	for i := range 2 * MaxLives {
+	for i := range 2 * MaxCrashes {
 		l.Ended(endOf(fmt.Sprint("more-", i), fmt.Sprint("x", i)))
 	}
-	if len(l.Incarnations()) != MaxLives || len(l.counts) != MaxLives {
+	if len(l.Incarnations()) != MaxCrashes || len(l.counts) != MaxCrashes {
 		t.Fatalf("%d ends and %d requests are remembered", len(l.Incarnations()), len(l.counts))
 	}
 }
@@ -192,7 +192,7 @@
 // The cost of one end while a third of a fleet of 130 is lost with eight requests
 // each, and that of a ledger as full as it can be.
 func BenchmarkEnded(b *testing.B) {
-	for _, size := range []struct{ lives, prints, of int }{{43, 8, 344}, {MaxLives, MaxFingerprints, 8192}} {
+	for _, size := range []struct{ lives, prints, of int }{{43, 8, 344}, {MaxCrashes, MaxFingerprints, 8192}} {
 		b.Run(fmt.Sprintf("%d ends of %d", size.lives, size.prints), func(b *testing.B) {
 			l := NewTracker()
 			next := 0
