--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		ended = append(ended, word.End)
-		n.seen.Note(word.End.Life, now.Add(-word.Age))
+		n.seen.Record(word.End.Life, now.Add(-word.Age))
 	}
 	n.ledger.Ended(ended...)
 	n.ledger.Served(m.Served...)
--- a/quarantine/seen.go
+++ b/quarantine/seen.go
@@ -10,8 +10,8 @@
 // clock: processes have none in common. It is not safe for concurrent use.
 type Seen struct{ at map[Incarnation]time.Time }
 
-// Note notes that an end was seen at a time, unless it is known already.
-func (s *Seen) Note(life Incarnation, at time.Time) {
+// Record notes that an end was seen at a time, unless it is known already.
+func (s *Seen) Record(life Incarnation, at time.Time) {
 	if s.at == nil {
 		s.at = make(map[Incarnation]time.Time)
 	}
