--- a/internal/entry/ends.go
+++ b/internal/entry/ends.go
@@ -245,7 +245,7 @@
 // noteServed notes that a request ran to a good end, and clears it.
 func (e *Entry) noteServed(p quarantine.Fingerprint) {
 	e.mu.Lock()
-	e.ends.served.Note(p, time.Now())
+	e.ends.served.Record(p, time.Now())
 	e.mu.Unlock()
 	if e.judged(p) {
 		cleared := endsMessage{Served: []quarantine.Fingerprint{p}}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -64,7 +64,7 @@
 	s, p := r.gateway.state, r.print
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.served.Note(p, time.Now())
+	s.served.Record(p, time.Now())
 	if s.verdicts.held[p] || s.verdicts.suspects[p] {
 		delete(s.verdicts.held, p)
 		delete(s.verdicts.suspects, p)
--- a/quarantine/served.go
+++ b/quarantine/served.go
@@ -17,8 +17,8 @@
 	turned     time.Time
 }
 
-// Note notes that a request ran to a good end.
-func (s *Served) Note(p Fingerprint, now time.Time) {
+// Record notes that a request ran to a good end.
+func (s *Served) Record(p Fingerprint, now time.Time) {
 	s.turn(now)
 	s.young[p] = true
 }
--- a/quarantine/served_test.go
+++ b/quarantine/served_test.go
@@ -11,7 +11,7 @@
 	now := time.Now()
 	numbered := func(i int) Fingerprint { return Fingerprint{byte(i), byte(i >> 8)} }
 	for i := range 3 * servedMost {
-		s.Note(numbered(i), now)
+		s.Record(numbered(i), now)
 		if len(s.young)+len(s.old) > servedMost {
 			t.Fatalf("%d are remembered", len(s.young)+len(s.old))
 		}
