--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -50,18 +50,18 @@
 // Evacuated reports whether a data centre's upstreams get no new work.
 func (v *View) Evacuated(dataCentre string) bool { return slices.Contains(v.DataCentres, dataCentre) }
 
-// Ledger holds the evacuations. It is not safe for concurrent use.
-type Ledger struct {
+// Registry holds the evacuations. It is not safe for concurrent use.
+type Registry struct {
 	evacuated map[string]bool
 	revision  uint64
 }
 
 // NewLedger returns a ledger without evacuations.
-func NewLedger() *Ledger { return &Ledger{evacuated: make(map[string]bool)} }
+func NewLedger() *Registry { return &Registry{evacuated: make(map[string]bool)} }
 
 // Apply carries an order out and reports whether it changed anything. One that would
 // take the evacuations beyond MaxEvacuated changes nothing, and Holds tells so.
-func (l *Ledger) Apply(o Order) bool {
+func (l *Registry) Apply(o Order) bool {
 	if l.Holds(o) || (!o.Withdrawn && len(l.evacuated) >= MaxEvacuated) {
 		return false
 	}
@@ -75,21 +75,21 @@
 }
 
 // Holds reports whether the ledger is as an order wants it.
-func (l *Ledger) Holds(o Order) bool { return l.evacuated[o.DataCentre] != o.Withdrawn }
+func (l *Registry) Holds(o Order) bool { return l.evacuated[o.DataCentre] != o.Withdrawn }
 
 // Evacuated reports whether a data centre is evacuated.
-func (l *Ledger) Evacuated(dataCentre string) bool { return l.evacuated[dataCentre] }
+func (l *Registry) Evacuated(dataCentre string) bool { return l.evacuated[dataCentre] }
 
 // Revision grows with each change.
-func (l *Ledger) Revision() uint64 { return l.revision }
+func (l *Registry) Revision() uint64 { return l.revision }
 
 // View returns the state, which is also what a snapshot holds.
-func (l *Ledger) View() View {
+func (l *Registry) View() View {
 	return View{Revision: l.revision, DataCentres: slices.Sorted(maps.Keys(l.evacuated))}
 }
 
 // Restore replaces the state.
-func (l *Ledger) Restore(v View) {
+func (l *Registry) Restore(v View) {
 	l.evacuated, l.revision = make(map[string]bool, len(v.DataCentres)), v.Revision
 	for _, name := range v.DataCentres {
 		l.evacuated[name] = true
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -64,7 +64,7 @@
 	// of each end: like namings, each host's own.
 	quarantine *quarantine.Tracker
 	seen       quarantine.Seen
-	evacuation *evacuation.Ledger
+	evacuation *evacuation.Registry
 	pages      rosterPages
 	// changed is closed and replaced at each change, and ordered at those of what
 	// operators want.
