--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -56,8 +56,8 @@
 	revision  uint64
 }
 
-// NewLedger returns a ledger without evacuations.
-func NewLedger() *Registry { return &Registry{evacuated: make(map[string]bool)} }
+// NewRegistry returns a ledger without evacuations.
+func NewRegistry() *Registry { return &Registry{evacuated: make(map[string]bool)} }
 
 // Apply carries an order out and reports whether it changed anything. One that would
 // take the evacuations beyond MaxEvacuated changes nothing, and Holds tells so.
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -9,7 +9,7 @@
 // Guards against an order that is sent again, after its answer was lost, being taken
 // for another one.
 func TestOrdersAreIdempotent(t *testing.T) {
-	l := NewLedger()
+	l := NewRegistry()
 	north, back := Order{DataCentre: "north"}, Order{DataCentre: "north", Withdrawn: true}
 	for i, step := range []struct {
 		order   Order
@@ -25,7 +25,7 @@
 }
 
 func TestRestoreKeepsEvacuations(t *testing.T) {
-	l, again := NewLedger(), NewLedger()
+	l, again := NewRegistry(), NewRegistry()
 	l.Apply(Order{DataCentre: "north"})
 	l.Apply(Order{DataCentre: "south"})
 	l.Apply(Order{DataCentre: "north", Withdrawn: true})
@@ -38,7 +38,7 @@
 
 // Guards against a view that grows without bound.
 func TestEvacuationsAreBounded(t *testing.T) {
-	l := NewLedger()
+	l := NewRegistry()
 	for i := range MaxEvacuated {
 		l.Apply(Order{DataCentre: fmt.Sprint(i)})
 	}
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -76,7 +76,7 @@
 	return &Machine{
 		weights: make(map[string]uint64), namings: rollout.NewNamings(), lives: make(map[string]uint64),
 		roster: roster.New(), quarantine: quarantine.NewTracker(),
-		evacuation: evacuation.NewLedger(), changed: make(chan struct{}), ordered: make(chan struct{}),
+		evacuation: evacuation.NewRegistry(), changed: make(chan struct{}), ordered: make(chan struct{}),
 	}
 }
 
