--- a/internal/gateway/candidates_test.go
+++ b/internal/gateway/candidates_test.go
@@ -63,7 +63,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	up := func(id string, state roster.State, born uint64) roster.Upstream {
-		return roster.Upstream{ID: id, Service: "llm", Address: id + ":1", State: state, Born: born}
+		return roster.Upstream{ID: id, Service: "llm", Address: id + ":1", State: state, StartedMs: born}
 	}
 	at := s.rosterR
 	tell := func(since uint64, more bool, list ...roster.Upstream) {
--- a/internal/gateway/enrol.go
+++ b/internal/gateway/enrol.go
@@ -52,7 +52,7 @@
 			s.strike(known)
 		}
 		return
-	case known != nil && known.record.Born == record.Born:
+	case known != nil && known.record.StartedMs == record.StartedMs:
 		s.renew(known, record)
 		return
 	case known != nil:
--- a/internal/gateway/fleet_cold_test.go
+++ b/internal/gateway/fleet_cold_test.go
@@ -58,7 +58,7 @@
 	cold := make([]warmup.Cold, 0, len(c.records))
 	warm := at >= c.back+c.cold
 	for _, u := range c.records {
-		u.Sequence, u.Born, u.ColdMs = 1, 2000, uint64((c.back + c.cold - at).Milliseconds())
+		u.Sequence, u.StartedMs, u.ColdMs = 1, 2000, uint64((c.back + c.cold - at).Milliseconds())
 		if warm {
 			u.Sequence, u.ColdMs = 2, 0
 		}
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -19,7 +19,7 @@
 	answer := testAnswer()
 	answer.Inventories, answer.StoreStates = nil, nil
 	answer.Roster = &steward.RosterView{Revision: revision, Upstreams: append(others, roster.Upstream{
-		ID: "l1", Service: "llm", Address: "l1:1", State: roster.Serving, Slots: 4, Born: born, Loaded: []roster.Loaded{{Model: "m", Version: 1}},
+		ID: "l1", Service: "llm", Address: "l1:1", State: roster.Serving, Slots: 4, StartedMs: born, Loaded: []roster.Loaded{{Model: "m", Version: 1}},
 	})}
 	g.Told(answer, time.Now())
 }
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -33,7 +33,7 @@
 // noteLost notes that a send broke off, and looks once whether its upstream has
 // ended. The caller holds the lock.
 func (r *run) noteLost(p *plan) {
-	life := quarantine.Incarnation{Upstream: p.upstream.record.ID, StartedMs: p.upstream.record.Born}
+	life := quarantine.Incarnation{Upstream: p.upstream.record.ID, StartedMs: p.upstream.record.StartedMs}
 	if r.gateway.state.lost.Add(life, quarantine.Attempt{Request: r.request.ID, Print: r.print}) {
 		go r.gateway.look(life, p.send)
 	}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -42,7 +42,7 @@
 }
 
 // life names what is believed of the upstream: another life knows nothing of it.
-func (u *upstreamState) life() life { return life{id: u.record.ID, born: u.record.Born} }
+func (u *upstreamState) life() life { return life{id: u.record.ID, born: u.record.StartedMs} }
 
 func (u *upstreamState) versionOf(model string) uint64 {
 	return max(u.record.VersionOf(model), u.version[model])
--- a/internal/steward/announcing_test.go
+++ b/internal/steward/announcing_test.go
@@ -69,7 +69,7 @@
 	for i := range words {
 		words[i] = roster.Upstream{
 			ID: fmt.Sprintf("i-%010x", i), Service: "llm", Address: fmt.Sprintf("10.1.%d.%d:8389", i/250, i%250), DataCentre: "north",
-			State: roster.Serving, Slots: 8, Sequence: 1, Born: 1777679230518, Loaded: []roster.Loaded{{Model: "m", Version: 1}},
+			State: roster.Serving, Slots: 8, Sequence: 1, StartedMs: 1777679230518, Loaded: []roster.Loaded{{Model: "m", Version: 1}},
 		}
 	}
 	m.applyUpstreams(words)
--- a/internal/steward/enrol.go
+++ b/internal/steward/enrol.go
@@ -179,7 +179,7 @@
 		if !follows {
 			return false, err
 		}
-		s.options.Log.Warn("earlier birth is the present life", "upstream", u.ID, "born", u.Born, "follows", u.Follows)
+		s.options.Log.Warn("earlier birth is the present life", "upstream", u.ID, "born", u.StartedMs, "follows", u.Follows)
 	case foreignWord:
 		return false, eris.Wrap(ErrForeign, u.ID)
 	}
@@ -192,6 +192,6 @@
 		return false, nil
 	}
 	s.announced.info(now, "upstream", "upstream", u.ID, "service", u.Service, "address", u.Address,
-		"state", u.State, "sequence", u.Sequence, "born", u.Born)
+		"state", u.State, "sequence", u.Sequence, "born", u.StartedMs)
 	return true, nil
 }
--- a/internal/steward/heard_test.go
+++ b/internal/steward/heard_test.go
@@ -35,7 +35,7 @@
 		}
 		return near != nil
 	})
-	u := roster.Upstream{ID: "u1", Service: "llm", Address: "10.0.0.1:80", DataCentre: "north", State: roster.Serving, Slots: 4, Sequence: 1, Born: 5}
+	u := roster.Upstream{ID: "u1", Service: "llm", Address: "10.0.0.1:80", DataCentre: "north", State: roster.Serving, Slots: 4, Sequence: 1, StartedMs: 5}
 	f.await("the first announcement", func() bool { return near.Announce(ctx, u) == nil })
 	f.await("it is known here", func() bool { return near.takesBeat(&u, time.Now()) })
 	if to := near.AnnounceTo(u.ID, "north"); to == near.Leader() {
@@ -64,7 +64,7 @@
 	if at := f.leader().machine.live(); !slices.ContainsFunc(at, func(r roster.Upstream) bool { return r.ID == u.ID && r.State == roster.Leaving }) {
 		t.Errorf("acknowledged, and the leader holds %+v", at)
 	}
-	other := roster.Upstream{ID: "u2", Service: "llm", Address: "10.0.0.2:80", DataCentre: "north", State: roster.Serving, Slots: 4, Sequence: 1, Born: 6}
+	other := roster.Upstream{ID: "u2", Service: "llm", Address: "10.0.0.2:80", DataCentre: "north", State: roster.Serving, Slots: 4, Sequence: 1, StartedMs: 6}
 	f.await("another announcement", func() bool { return near.Announce(ctx, other) == nil })
 	f.await("it is known here too", func() bool { return near.takesBeat(&other, time.Now()) })
 	if near.takesBeat(&other, time.Now().Add(2*branchFresh)) {
--- a/internal/steward/later.go
+++ b/internal/steward/later.go
@@ -66,7 +66,7 @@
 	case held == nil:
 		held = &laterWord{upstream: u, said: time.Now(), done: make(chan struct{})}
 		w.words[u.ID] = held
-	case u.Born > held.upstream.Born || u.Born == held.upstream.Born && u.Sequence > held.upstream.Sequence:
+	case u.StartedMs > held.upstream.StartedMs || u.StartedMs == held.upstream.StartedMs && u.Sequence > held.upstream.Sequence:
 		held.upstream, held.said = u, time.Now()
 	}
 	return held
--- a/internal/steward/later_test.go
+++ b/internal/steward/later_test.go
@@ -15,7 +15,7 @@
 func TestLaterWordsAreBoundedAndTheLatest(t *testing.T) {
 	var w laterWords
 	word := func(id, service string, sequence, born uint64) roster.Upstream {
-		return roster.Upstream{ID: id, Service: service, State: roster.Serving, Sequence: sequence, Born: born}
+		return roster.Upstream{ID: id, Service: service, State: roster.Serving, Sequence: sequence, StartedMs: born}
 	}
 	w.add(word("u", "llm", 5, 1))
 	for _, u := range []roster.Upstream{word("u", "llm", 4, 1), word("u", "llm", 9, 0), word("u", "llm", 7, 1)} {
--- a/internal/steward/lives_test.go
+++ b/internal/steward/lives_test.go
@@ -13,7 +13,7 @@
 
 func runner(born uint64, sequence uint64, version uint64) roster.Upstream {
 	return roster.Upstream{ID: "i-1", Service: "llm", Address: "10.0.0.1:80", DataCentre: "north", State: roster.Serving, Slots: 4,
-		Sequence: sequence, Loaded: []roster.Loaded{{Model: "m", Version: version}}, Born: born}
+		Sequence: sequence, Loaded: []roster.Loaded{{Model: "m", Version: version}}, StartedMs: born}
 }
 
 // announce tells a host of an upstream until it gives an answer that is certain.
@@ -50,8 +50,8 @@
 	f.announce(other, good)
 	unnamed, reborn, birthless := good, good, good
 	unnamed.Service, unnamed.Sequence = "nobody", 90
-	reborn.Service, reborn.Born = "nobody", 3000
-	birthless.Born, birthless.Sequence, birthless.State = 0, 91, roster.Leaving
+	reborn.Service, reborn.StartedMs = "nobody", 3000
+	birthless.StartedMs, birthless.Sequence, birthless.State = 0, 91, roster.Leaving
 	heard := time.Now()
 	for _, s := range []*Steward{lead, other} {
 		for _, bad := range []roster.Upstream{unnamed, reborn, birthless} {
@@ -61,7 +61,7 @@
 		}
 	}
 	f.known(lead, "the good runner", func(u roster.Upstream) bool {
-		return u.Service == "llm" && u.State == roster.Serving && u.Born == 2000
+		return u.Service == "llm" && u.State == roster.Serving && u.StartedMs == 2000
 	})
 	lead.leading.Load().mu.Lock()
 	if at := lead.leading.Load().beats["i-1"]; at.After(heard) {
@@ -70,7 +70,7 @@
 	lead.leading.Load().mu.Unlock()
 	early := unnamed
 	early.ID, early.Address = "i-2", "10.0.0.2:80"
-	early.Born = 9000
+	early.StartedMs = 9000
 	if f.announce(other, early) {
 		t.Error("a runner whose configuration is on its way was refused")
 	}
@@ -79,7 +79,7 @@
 	if f.announce(other, own) {
 		t.Error("a runner's own word was refused after another writer's")
 	}
-	f.await("its own word", func() bool { u, _ := lead.machine.upstream("i-2"); return u.Service == "llm" && u.Born == 2000 })
+	f.await("its own word", func() bool { u, _ := lead.machine.upstream("i-2"); return u.Service == "llm" && u.StartedMs == 2000 })
 }
 
 // A runner crashes behind a cut and starts again under its name with old weights.
@@ -92,7 +92,7 @@
 	f.await("a leader", func() bool { lead = f.leader(); return lead != nil })
 	f.announce(lead, runner(1000, 70, 5))
 	f.announce(lead, runner(2000, 1, 1))
-	f.known(lead, "the new life", func(u roster.Upstream) bool { return u.Born == 2000 && u.VersionOf("m") == 1 && u.Sequence == 1 })
+	f.known(lead, "the new life", func(u roster.Upstream) bool { return u.StartedMs == 2000 && u.VersionOf("m") == 1 && u.Sequence == 1 })
 	l := lead.leading.Load()
 	l.mu.Lock()
 	delete(l.beats, "i-1")
@@ -142,7 +142,7 @@
 	m.Apply(1, wire.MustMarshal(command{Document: testDocument(1, "one")}))
 	service := m.Document().Services[0].Name
 	announce := func(id, service string, born uint64) word {
-		u := roster.Upstream{ID: id, Service: service, Address: id + ":80", State: roster.Serving, Sequence: 1, Born: born}
+		u := roster.Upstream{ID: id, Service: service, Address: id + ":80", State: roster.Serving, Sequence: 1, StartedMs: born}
 		got := m.hear(u)
 		if got == ownWord {
 			m.Apply(2, wire.MustMarshal(command{Upstream: &u}))
--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -225,7 +225,7 @@
 // otherLife reports whether a report is of another life of a runner than the one
 // that was to load. What that one has must not be recorded for the other.
 func otherLife(u *roster.Upstream, report *RunnerReport) bool {
-	return u.Born != 0 && report.Born != 0 && u.Born != report.Born
+	return u.StartedMs != 0 && report.Born != 0 && u.StartedMs != report.Born
 }
 
 // firstCheck is how long after its order a runner is first asked.
@@ -278,7 +278,7 @@
 func (o *loader) record(ctx context.Context, u roster.Upstream, model string, version uint64) {
 	s := o.leadership.steward
 	held, known := s.machine.upstream(u.ID)
-	if !known || held.Born != u.Born {
+	if !known || held.StartedMs != u.StartedMs {
 		return
 	}
 	held.Loaded = append([]roster.Loaded(nil), held.Loaded...)
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -147,7 +147,7 @@
 	// they would be told of no shelf for as long as its one is held.
 	for _, u := range k.leadership.heard(k.leadership.steward.machine.live(), time.Now()) {
 		if engines[u.Service] {
-			runners[u.Address] = max(runners[u.Address], u.Born)
+			runners[u.Address] = max(runners[u.Address], u.StartedMs)
 		}
 	}
 	return stores, runners
--- a/internal/steward/succession_test.go
+++ b/internal/steward/succession_test.go
@@ -58,11 +58,11 @@
 			for sequence := uint64(1); time.Since(began) < 15*time.Second; sequence++ {
 				time.Sleep(DefaultAnnounceEvery)
 				takeIn(t, s, runner(4000, sequence, 1))
-				if u, _ = s.machine.upstream("i-1"); u.Born == 4000 {
+				if u, _ = s.machine.upstream("i-1"); u.StartedMs == 4000 {
 					break
 				}
 			}
-			if u.Born != 4000 || u.State != roster.Serving || u.VersionOf("m") != 1 {
+			if u.StartedMs != 4000 || u.State != roster.Serving || u.VersionOf("m") != 1 {
 				t.Fatalf("after %v, %v before: known is %+v", time.Since(began), former, u)
 			}
 			l := s.leading.Load()
@@ -75,11 +75,11 @@
 			gone.State = roster.Gone
 			s.machine.Apply(4, wire.MustMarshal(command{Upstream: &gone}))
 			takeIn(t, s, runner(9000, 72, 5))
-			if u, _ = s.machine.upstream("i-1"); u.Born != 4000 || u.State != roster.Serving {
+			if u, _ = s.machine.upstream("i-1"); u.StartedMs != 4000 || u.State != roster.Serving {
 				t.Errorf("after late words of the former life: %+v", u)
 			}
 			takeIn(t, s, runner(9500, 1, 1))
-			if u, _ = s.machine.upstream("i-1"); u.Born != 9500 {
+			if u, _ = s.machine.upstream("i-1"); u.StartedMs != 9500 {
 				t.Errorf("after its next start: %+v", u)
 			}
 		})
@@ -130,7 +130,7 @@
 		if err := s.announce(context.Background(), runner(4000, 1, 1), time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		if waiting := s.later.take(); len(waiting) != 1 || waiting[0].upstream.Born != 4000 {
+		if waiting := s.later.take(); len(waiting) != 1 || waiting[0].upstream.StartedMs != 4000 {
 			t.Errorf("%d words wait for the leader", len(waiting))
 		}
 	})
--- a/internal/steward/words.go
+++ b/internal/steward/words.go
@@ -37,9 +37,9 @@
 		return lateWord
 	case u.State == roster.Gone:
 		return ownWord
-	case u.Born == 0 && m.tellsBirths():
+	case u.StartedMs == 0 && m.tellsBirths():
 		return foreignWord
-	case displaces && (u.Born <= held.Born || !m.names(u.Service)):
+	case displaces && (u.StartedMs <= held.StartedMs || !m.names(u.Service)):
 		return foreignWord
 	}
 	return ownWord
@@ -50,7 +50,7 @@
 // have all runners refused where none tells a birth. The caller holds the lock.
 func (m *Machine) tellsBirths() bool {
 	return m.roster.TellsBirths() && slices.ContainsFunc(m.roster.Live(), func(u roster.Upstream) bool {
-		return u.Born != 0 && m.names(u.Service)
+		return u.StartedMs != 0 && m.names(u.Service)
 	})
 }
 
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -236,7 +236,7 @@
 	n := NewNamings()
 	n.Note("m", 2, start)
 	former, next := runner("a", 1), runner("a", 1)
-	former.Born, next.Born = 1000, 2000
+	former.StartedMs, next.StartedMs = 1000, 2000
 	s := testSchedule()
 	turn, at := first(s, []roster.Upstream{former}, n, start)
 	for range 5 {
@@ -244,7 +244,7 @@
 		turn, at = first(s, []roster.Upstream{former}, n, at)
 	}
 	s.options.AtOnce = 2
-	if turn, began := first(s, []roster.Upstream{next, runner("b", 1)}, n, at); turn.Upstream.Born != 2000 || began.Sub(at) > time.Second {
+	if turn, began := first(s, []roster.Upstream{next, runner("b", 1)}, n, at); turn.Upstream.StartedMs != 2000 || began.Sub(at) > time.Second {
 		t.Fatalf("%v after its start the first turn is %+v", began.Sub(at), turn)
 	}
 }
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -97,7 +97,7 @@
 	born uint64
 }
 
-func lifeOf(u *roster.Upstream) life { return life{id: u.ID, born: u.Born} }
+func lifeOf(u *roster.Upstream) life { return life{id: u.ID, born: u.StartedMs} }
 
 type avoidance struct {
 	ended, until time.Time
--- a/roster/cold_test.go
+++ b/roster/cold_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func coldWord(sequence, coldMs uint64) Upstream {
-	return Upstream{ID: "u", Service: "llm", Address: "a:1", DataCentre: "north", State: Serving, Slots: 4, Sequence: sequence, Born: 1, ColdMs: coldMs}
+	return Upstream{ID: "u", Service: "llm", Address: "a:1", DataCentre: "north", State: Serving, Slots: 4, Sequence: sequence, StartedMs: 1, ColdMs: coldMs}
 }
 
 // Guards against an upstream that counts as warm while it is cold: it turned cold again,
@@ -19,9 +19,9 @@
 		"is warm":               {[]Upstream{coldWord(1, 3000), coldWord(2, 0)}, 0},
 		"late word of a warm":   {[]Upstream{coldWord(2, 0), coldWord(4, 3000), coldWord(3, 0)}, 3000},
 		"the same word again":   {[]Upstream{coldWord(4, 3000), coldWord(4, 0)}, 3000},
-		"a later life is cold":  {[]Upstream{coldWord(9, 0), {ID: "u", Service: "llm", State: Serving, Sequence: 1, Born: 2, ColdMs: 500}}, 500},
-		"a later life is warm":  {[]Upstream{coldWord(9, 900), {ID: "u", Service: "llm", State: Serving, Sequence: 1, Born: 2}}, 0},
-		"a word of before life": {[]Upstream{{ID: "u", Service: "llm", State: Serving, Sequence: 1, Born: 2, ColdMs: 500}, coldWord(9, 0)}, 500},
+		"a later life is cold":  {[]Upstream{coldWord(9, 0), {ID: "u", Service: "llm", State: Serving, Sequence: 1, StartedMs: 2, ColdMs: 500}}, 500},
+		"a later life is warm":  {[]Upstream{coldWord(9, 900), {ID: "u", Service: "llm", State: Serving, Sequence: 1, StartedMs: 2}}, 0},
+		"a word of before life": {[]Upstream{{ID: "u", Service: "llm", State: Serving, Sequence: 1, StartedMs: 2, ColdMs: 500}, coldWord(9, 0)}, 500},
 	} {
 		r := New()
 		for _, word := range c.words {
@@ -77,7 +77,7 @@
 		t.Error("as before the upstream was presumed cold")
 	}
 	saved := r.Save()
-	r.Announce(Upstream{ID: "u", State: Gone, Born: 1})
+	r.Announce(Upstream{ID: "u", State: Gone, StartedMs: 1})
 	if len(r.Live()) != 0 {
 		t.Error("one that is gone")
 	}
--- a/roster/lives_test.go
+++ b/roster/lives_test.go
@@ -7,7 +7,7 @@
 )
 
 func born(life uint64, u Upstream) Upstream {
-	u.Born = life
+	u.StartedMs = life
 	return u
 }
 
@@ -29,7 +29,7 @@
 		if !r.Announce(next) {
 			t.Fatalf("after %v: the later life changed nothing", former)
 		}
-		if u, _ := r.Get("a"); !same(&u, &next) || u.Sequence != 1 || u.Born != 2000 || len(r.Live()) != 1 {
+		if u, _ := r.Get("a"); !same(&u, &next) || u.Sequence != 1 || u.StartedMs != 2000 || len(r.Live()) != 1 {
 			t.Fatalf("after %v: known is %+v", former, u)
 		}
 	}
@@ -52,10 +52,10 @@
 			t.Errorf("%v of the former life counts as a sign of this one", late.State)
 		}
 	}
-	if u, _ := r.Get("a"); !same(&u, &now) || u.Born != 2000 {
+	if u, _ := r.Get("a"); !same(&u, &now) || u.StartedMs != 2000 {
 		t.Fatalf("known is %+v", u)
 	}
-	if r.Outdated(now) || r.Outdated(Upstream{ID: "b", Born: 1}) {
+	if r.Outdated(now) || r.Outdated(Upstream{ID: "b", StartedMs: 1}) {
 		t.Fatal("a word of the present life counts as late")
 	}
 }
@@ -68,12 +68,12 @@
 	r.Announce(born(1000, beat("a", 4, Serving)))
 	r.Announce(Upstream{ID: "a", State: Gone})
 	r.Announce(born(1000, beat("a", 5, Serving)))
-	if u, _ := r.Get("a"); u.State != Gone || u.Born != 1000 {
+	if u, _ := r.Get("a"); u.State != Gone || u.StartedMs != 1000 {
 		t.Fatalf("after the farewell: %+v", u)
 	}
 	r.Announce(Upstream{ID: "b", State: Gone})
 	r.Announce(born(1000, beat("b", 5, Serving)))
-	if u, _ := r.Get("b"); u.State != Gone || u.Born != 1000 {
+	if u, _ := r.Get("b"); u.State != Gone || u.StartedMs != 1000 {
 		t.Fatalf("after a farewell that overtook the first word: %+v", u)
 	}
 	for _, id := range []string{"a", "b"} {
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	var read Upstream
-	if err := cbor.Unmarshal(raw, &read); err != nil || read.ID != "a" || read.Born != 0 {
+	if err := cbor.Unmarshal(raw, &read); err != nil || read.ID != "a" || read.StartedMs != 0 {
 		t.Fatalf("read %+v, %v", read, err)
 	}
 	r := New()
@@ -127,11 +127,11 @@
 	if again.Restore(r.Save()); !r.TellsBirths() || !again.TellsBirths() {
 		t.Fatal("a birth that was told is not known")
 	}
-	if u, _ := r.Get("a"); u.State != Leaving || u.Born != 1000 {
+	if u, _ := r.Get("a"); u.State != Leaving || u.StartedMs != 1000 {
 		t.Fatalf("known is %+v", u)
 	}
 	r.Announce(beat("a", 11, Serving))
-	if u, _ := r.Get("a"); u.Born != 1000 {
+	if u, _ := r.Get("a"); u.StartedMs != 1000 {
 		t.Fatalf("a word without a birth took it away: %+v", u)
 	}
 }
@@ -153,7 +153,7 @@
 		t.Fatalf("known is %+v", u)
 	}
 	r.Announce(Upstream{ID: "a", State: Gone})
-	foreign.Born = 2000
+	foreign.StartedMs = 2000
 	r.Announce(foreign)
 	if len(r.Live()) != 0 {
 		t.Fatal("another service brought a runner back from its farewell")
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -65,8 +65,8 @@
 	// Sequence is the number of the latest announcement taken in.
 	Sequence uint64   `cbor:"7,keyasint"`
 	Loaded   []Loaded `cbor:"8,keyasint,omitempty"`
-	// Born is the Unix millisecond of the start of this life, 0 if not told.
-	Born uint64 `cbor:"9,keyasint,omitempty"`
+	// StartedMs is the Unix millisecond of the start of this life, 0 if not told.
+	StartedMs uint64 `cbor:"9,keyasint,omitempty"`
 	// ColdMs is how many milliseconds the upstream stays cold from the announcement
 	// on, 0 for a warm one.
 	ColdMs uint64 `cbor:"10,keyasint,omitempty"`
@@ -155,7 +155,7 @@
 }
 
 func precedes(a Upstream, held *Upstream) bool {
-	return a.Born != 0 && (a.Born < held.Born || a.Born == held.Former)
+	return a.StartedMs != 0 && (a.StartedMs < held.StartedMs || a.StartedMs == held.Former)
 }
 
 // TellsBirths reports whether upstreams tell their births here. A word without
@@ -178,7 +178,7 @@
 	r.live = nil
 	r.noteCold(&merged)
 	r.noteChange(a.ID)
-	r.births = r.births || merged.Born != 0
+	r.births = r.births || merged.StartedMs != 0
 	switch isGone := merged.State == Gone; {
 	case isGone && !wasGone:
 		r.bury(a.ID)
@@ -193,7 +193,7 @@
 // the two is not its own word; whoever takes in a has judged which. A record
 // without a birth goes on under the first that is told.
 func replaces(held *Upstream, a Upstream) bool {
-	if held.Born != 0 && (a.Born > held.Born && a.Born != held.Former || a.Follows == held.Born) {
+	if held.StartedMs != 0 && (a.StartedMs > held.StartedMs && a.StartedMs != held.Former || a.Follows == held.StartedMs) {
 		return true
 	}
 	return held.State != Gone && a.State != Gone && held.Service != "" && a.Service != "" && held.Service != a.Service
@@ -207,9 +207,9 @@
 		held = &Upstream{}
 	}
 	merged := a
-	merged.Born = max(held.Born, a.Born)
+	merged.StartedMs = max(held.StartedMs, a.StartedMs)
 	merged.Follows, merged.Former = 0, 0
-	if former > merged.Born {
+	if former > merged.StartedMs {
 		merged.Former = former
 	}
 	merged.State = max(held.State, a.State)
@@ -242,7 +242,7 @@
 
 func same(a, b *Upstream) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre &&
-		a.State == b.State && a.Slots == b.Slots && a.Born == b.Born && slices.Equal(a.Loaded, b.Loaded) &&
+		a.State == b.State && a.Slots == b.Slots && a.StartedMs == b.StartedMs && slices.Equal(a.Loaded, b.Loaded) &&
 		a.ColdMs == b.ColdMs && a.Doubts == b.Doubts && (b.ColdMs == 0 || a.Sequence == b.Sequence)
 }
 
@@ -323,7 +323,7 @@
 		u := s.Upstreams[i]
 		r.upstreams[u.ID] = &u
 		r.noteCold(&u)
-		r.births = r.births || u.Born != 0
+		r.births = r.births || u.StartedMs != 0
 	}
 	r.gone = slices.Clone(s.Gone)
 	r.revision = s.Revision
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -119,7 +119,7 @@
 	for step := range 1000 {
 		r.Announce(Upstream{
 			ID: fmt.Sprint("u", random.IntN(30)), Service: "s", Address: fmt.Sprint("a", random.IntN(9)),
-			State: State(1 + random.IntN(3)), Sequence: uint64(step), Born: uint64(1 + step/50),
+			State: State(1 + random.IntN(3)), Sequence: uint64(step), StartedMs: uint64(1 + step/50),
 		})
 		if step%300 == 299 {
 			saved := r.Save()
--- a/roster/succession.go
+++ b/roster/succession.go
@@ -55,18 +55,18 @@
 	case a.Service != held.Service && a.State != Gone:
 		return false
 	case a.State == Gone:
-		if c != nil && c.born == a.Born {
+		if c != nil && c.born == a.StartedMs {
 			c.state, c.last = Gone, now
 		}
 		return false
-	case c != nil && c.over == held.Born && c.born != a.Born && now.Sub(c.last) <= pause:
+	case c != nil && c.over == held.StartedMs && c.born != a.StartedMs && now.Sub(c.last) <= pause:
 		// One life at a time: late words of another one must not hold it up.
 		return false
-	case c == nil || c.over != held.Born || c.born != a.Born || now.Sub(c.last) > pause:
+	case c == nil || c.over != held.StartedMs || c.born != a.StartedMs || now.Sub(c.last) > pause:
 		if c = s.begin(a.ID, now, pause); c == nil {
 			return false
 		}
-		*c = successor{born: a.Born, over: held.Born, since: now}
+		*c = successor{born: a.StartedMs, over: held.StartedMs, since: now}
 	case a.State < c.state:
 		// Leaving is for good, as long as words go on.
 		c.last = now
@@ -74,7 +74,7 @@
 	case a.Sequence <= c.sequence:
 		return false
 	case heard.After(c.since) && heard.After(c.found):
-		*c = successor{born: a.Born, over: held.Born, since: now}
+		*c = successor{born: a.StartedMs, over: held.StartedMs, since: now}
 	}
 	c.sequence, c.state, c.last = a.Sequence, a.State, now
 	c.words++
@@ -89,7 +89,7 @@
 // a pause up to now: it may be the present one.
 func (s *Successions) Observes(a Upstream, now time.Time, pause time.Duration) bool {
 	c := s.successors[a.ID]
-	return c != nil && c.born == a.Born && c.words > 1 && now.Sub(c.last) <= pause
+	return c != nil && c.born == a.StartedMs && c.words > 1 && now.Sub(c.last) <= pause
 }
 
 // Drop ends the observation of an upstream that has said that it leaves or is gone.
--- a/roster/succession_test.go
+++ b/roster/succession_test.go
@@ -133,8 +133,8 @@
 	for step := range 3000 {
 		u := born(births[random.IntN(3)], beat("a", uint64(random.IntN(50)), State(1+random.IntN(3))))
 		if held, known := one.Get("a"); known && random.IntN(3) == 0 {
-			u.Follows = []uint64{held.Born, 2000, held.Former}[random.IntN(3)]
-			if one.Outdated(u) && u.Follows == held.Born {
+			u.Follows = []uint64{held.StartedMs, 2000, held.Former}[random.IntN(3)]
+			if one.Outdated(u) && u.Follows == held.StartedMs {
 				t.Fatalf("step %d: %+v does not follow %+v", step, u, held)
 			}
 		}
@@ -147,7 +147,7 @@
 			other.Restore(saved)
 		}
 		held, _ := one.Get("a")
-		if held.Follows != 0 || held.Former != 0 && held.Former <= held.Born || !slices.Contains(births, held.Born) {
+		if held.Follows != 0 || held.Former != 0 && held.Former <= held.StartedMs || !slices.Contains(births, held.StartedMs) {
 			t.Fatalf("step %d: known is %+v", step, held)
 		}
 		if again, _ := other.Get("a"); !same(&again, &held) || again.Former != held.Former {
