--- a/internal/steward/words.go
+++ b/internal/steward/words.go
@@ -49,7 +49,7 @@
 // service that nobody named doesn't count: one such word of another writer would
 // have all runners refused where none tells a birth. The caller holds the lock.
 func (m *Machine) tellsBirths() bool {
-	return m.roster.TellsBirths() && slices.ContainsFunc(m.roster.Live(), func(u roster.Upstream) bool {
+	return m.roster.ReportsStartTimes() && slices.ContainsFunc(m.roster.Live(), func(u roster.Upstream) bool {
 		return u.StartedMs != 0 && m.names(u.Service)
 	})
 }
--- a/roster/lives_test.go
+++ b/roster/lives_test.go
@@ -119,12 +119,12 @@
 	}
 	r := New()
 	r.Restore(Saved{Upstreams: []Upstream{read}, Revision: 1})
-	if r.TellsBirths() {
+	if r.ReportsStartTimes() {
 		t.Fatal("births are told where none was")
 	}
 	r.Announce(born(1000, beat("a", 10, Serving)))
 	again := New()
-	if again.Restore(r.Save()); !r.TellsBirths() || !again.TellsBirths() {
+	if again.Restore(r.Save()); !r.ReportsStartTimes() || !again.ReportsStartTimes() {
 		t.Fatal("a birth that was told is not known")
 	}
 	if u, _ := r.Get("a"); u.State != Leaving || u.StartedMs != 1000 {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -158,9 +158,9 @@
 	return a.StartedMs != 0 && (a.StartedMs < held.StartedMs || a.StartedMs == held.Former)
 }
 
-// TellsBirths reports whether upstreams tell their births here. A word without
+// ReportsStartTimes reports whether upstreams tell their births here. A word without
 // one is then no upstream's own, but for a farewell.
-func (r *Roster) TellsBirths() bool { return r.births }
+func (r *Roster) ReportsStartTimes() bool { return r.births }
 
 // Announce takes in what an upstream says and reports whether that changed
 // anything.
