--- a/internal/steward/silence.go
+++ b/internal/steward/silence.go
@@ -33,7 +33,7 @@
 	pause := l.announcing.silentAfter()
 	observed := l.successions.Observes(*u, now, pause)
 	switch {
-	case l.successions.Hear(*u, held, l.lastHeard(u.ID), now, pause):
+	case l.successions.Receive(*u, held, l.lastHeard(u.ID), now, pause):
 		u.Follows = held.StartedMs
 		return true, nil
 	case observed && u.State != roster.Serving && held.State == roster.Serving:
--- a/roster/succession.go
+++ b/roster/succession.go
@@ -46,10 +46,10 @@
 	found time.Time
 }
 
-// Hear takes in a word of an earlier-born life than the one held, which was last heard
+// Receive takes in a word of an earlier-born life than the one held, which was last heard
 // at heard, and reports whether its life is the present one. Words more than pause apart
 // don't belong together.
-func (s *Successions) Hear(a, held Upstream, heard, now time.Time, pause time.Duration) bool {
+func (s *Successions) Receive(a, held Upstream, heard, now time.Time, pause time.Duration) bool {
 	c := s.successors[a.ID]
 	switch {
 	case a.Service != held.Service && a.State != Gone:
--- a/roster/succession_test.go
+++ b/roster/succession_test.go
@@ -16,7 +16,7 @@
 	start := time.Unix(1000, 0)
 	for i := 0; time.Duration(i)*1200*time.Millisecond <= span; i++ {
 		at := start.Add(time.Duration(i) * 1200 * time.Millisecond)
-		if s.Hear(word(i), held, heard(at), at, testPause) {
+		if s.Receive(word(i), held, heard(at), at, testPause) {
 			return max(at.Sub(start), 1)
 		}
 	}
@@ -87,7 +87,7 @@
 	held, at := born(2000, beat("a", 70, Serving)), time.Unix(1000, 0)
 	for i := range 60 {
 		at = at.Add(testPause + time.Millisecond)
-		if s.Hear(growing(i), held, time.Time{}, at, testPause) {
+		if s.Receive(growing(i), held, time.Time{}, at, testPause) {
 			t.Fatalf("present after %d words", i+1)
 		}
 	}
@@ -99,10 +99,10 @@
 	held, at := born(2000, beat("a", 70, Serving)), time.Unix(1000, 0)
 	for i := range 20 {
 		at = at.Add(1200 * time.Millisecond)
-		if s.Hear(growing(i), held, time.Time{}, at, testPause) {
+		if s.Receive(growing(i), held, time.Time{}, at, testPause) {
 			return
 		}
-		s.Hear(born(500, beat("a", uint64(900+i), Serving)), held, time.Time{}, at, testPause)
+		s.Receive(born(500, beat("a", uint64(900+i), Serving)), held, time.Time{}, at, testPause)
 	}
 	t.Fatal("the present life was never found")
 }
@@ -113,12 +113,12 @@
 	at := time.Unix(1000, 0)
 	for i := range 2 * maxSuccessors {
 		id := fmt.Sprint(i)
-		s.Hear(born(1000, beat(id, 1, Serving)), born(2000, beat(id, 1, Serving)), time.Time{}, at, testPause)
+		s.Receive(born(1000, beat(id, 1, Serving)), born(2000, beat(id, 1, Serving)), time.Time{}, at, testPause)
 	}
 	if len(s.successors) != maxSuccessors {
 		t.Errorf("%d lives are observed", len(s.successors))
 	}
-	s.Hear(born(1000, beat("a", 1, Serving)), born(2000, beat("a", 1, Serving)), time.Time{}, at.Add(testPause+1), testPause)
+	s.Receive(born(1000, beat("a", 1, Serving)), born(2000, beat("a", 1, Serving)), time.Time{}, at.Add(testPause+1), testPause)
 	if len(s.successors) != 1 {
 		t.Errorf("%d lives are observed after a pause", len(s.successors))
 	}
