--- a/estimate/reading.go
+++ b/estimate/reading.go
@@ -23,9 +23,9 @@
 	longestBase = 500.0
 )
 
-// Reading estimates how many prompt tokens a runner reads in a millisecond, and how
+// PrefillTime estimates how many prompt tokens a runner reads in a millisecond, and how
 // long a prompt takes besides, by a line through observations that forgets.
-type Reading struct {
+type PrefillTime struct {
 	start, startBase float64
 	weight           float64
 	// Means and sums of products around them, of tokens and milliseconds.
@@ -35,13 +35,13 @@
 
 // NewReading returns an estimate that begins with perMs tokens a millisecond and
 // base besides.
-func NewReading(perMs float64, base time.Duration) *Reading {
-	return &Reading{start: perMs, startBase: toMs(base)}
+func NewReading(perMs float64, base time.Duration) *PrefillTime {
+	return &PrefillTime{start: perMs, startBase: toMs(base)}
 }
 
 // Observe takes in that a runner without other work read so many tokens, and that
 // the first event came after took.
-func (r *Reading) Observe(tokens int, took time.Duration) {
+func (r *PrefillTime) Observe(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -61,18 +61,18 @@
 }
 
 // PerMs is the estimate in tokens a millisecond.
-func (r *Reading) PerMs() float64 {
+func (r *PrefillTime) PerMs() float64 {
 	perMs, _ := r.line()
 	return perMs
 }
 
 // BaseMs is what a prompt takes in milliseconds besides its reading.
-func (r *Reading) BaseMs() float64 {
+func (r *PrefillTime) BaseMs() float64 {
 	_, base := r.line()
 	return base
 }
 
-func (r *Reading) line() (perMs, base float64) {
+func (r *PrefillTime) line() (perMs, base float64) {
 	if r.weight < readingLeast {
 		return r.start, r.startBase
 	}
--- a/internal/gateway/learned.go
+++ b/internal/gateway/learned.go
@@ -14,7 +14,7 @@
 
 // learned is what an entry has observed of one service.
 type learned struct {
-	reading *estimate.Reading
+	reading *estimate.PrefillTime
 	size    *estimate.Size
 	// returns says when callers come back whose requests found no room: light ones
 	// and the others.
@@ -47,7 +47,7 @@
 	return l
 }
 
-func (s *state) readingOf(service string) *estimate.Reading { return s.learnedOf(service).reading }
+func (s *state) readingOf(service string) *estimate.PrefillTime { return s.learnedOf(service).reading }
 
 // ratesOf are the rates that choices among a service's runners go by.
 func (s *state) ratesOf(service string, rates placement.Rates) placement.Rates {
