--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -14,7 +14,7 @@
 	for _, perMs := range []float64{4, 22, 66, 120, 157, 500} {
 		for _, size := range []int{400, 2400, 17000} {
 			random := rand.New(rand.NewPCG(1, uint64(size)))
-			r := NewReading(120, 50*time.Millisecond)
+			r := NewPrefillTime(120, 50*time.Millisecond)
 			for i := range 400 {
 				tokens := size/4 + random.IntN(2*size)
 				ms := 20 + float64(tokens)/perMs*(0.95+0.1*random.Float64()) + 3*random.Float64()
@@ -33,7 +33,7 @@
 }
 
 func TestReadingBeginsWithItsStartAndForgets(t *testing.T) {
-	r := NewReading(120, 50*time.Millisecond)
+	r := NewPrefillTime(120, 50*time.Millisecond)
 	for range 7 {
 		r.Observe(6000, time.Second)
 	}
@@ -58,7 +58,7 @@
 
 // Prompts of one size only: the slope can't be told from the rest.
 func TestReadingOfOneSize(t *testing.T) {
-	r := NewReading(120, 50*time.Millisecond)
+	r := NewPrefillTime(120, 50*time.Millisecond)
 	for range 100 {
 		r.Observe(6000, 200*time.Millisecond)
 	}
--- a/estimate/reading.go
+++ b/estimate/reading.go
@@ -33,9 +33,9 @@
 	tokensSq, tokensByMs float64
 }
 
-// NewReading returns an estimate that begins with perMs tokens a millisecond and
+// NewPrefillTime returns an estimate that begins with perMs tokens a millisecond and
 // base besides.
-func NewReading(perMs float64, base time.Duration) *PrefillTime {
+func NewPrefillTime(perMs float64, base time.Duration) *PrefillTime {
 	return &PrefillTime{start: perMs, startBase: toMs(base)}
 }
 
--- a/internal/gateway/learned.go
+++ b/internal/gateway/learned.go
@@ -39,7 +39,7 @@
 			clear(s.learned)
 		}
 		l = &learned{
-			reading: estimate.NewReading(s.startPerMs, firstEvent),
+			reading: estimate.NewPrefillTime(s.startPerMs, firstEvent),
 			size:    estimate.NewSize(lightTokens),
 		}
 		s.learned[service] = l
