--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -85,7 +85,7 @@
 			}
 			s.Observe(int(tokens * scale))
 		}
-		if light := float64(s.Light()); light < 700*scale || light > 8000*scale {
+		if light := float64(s.Small()); light < 700*scale || light > 8000*scale {
 			t.Errorf("sizes of 600 and 12000 times %v: light up to %.0f", scale, light)
 		}
 	}
@@ -94,7 +94,7 @@
 		for i := range 500 {
 			same.Observe(size + (i%5-2)*size/10)
 		}
-		if light := same.Light(); light < size*13/10 || light > 3*size {
+		if light := same.Small(); light < size*13/10 || light > 3*size {
 			t.Errorf("all prompts are of about %d tokens: light up to %d", size, light)
 		}
 	}
@@ -102,8 +102,8 @@
 	for range 10 {
 		s.Observe(90000)
 	}
-	if s.Light() != 2000 {
-		t.Errorf("light up to %d after ten prompts", s.Light())
+	if s.Small() != 2000 {
+		t.Errorf("light up to %d after ten prompts", s.Small())
 	}
 }
 
--- a/estimate/size.go
+++ b/estimate/size.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Light is the largest size in tokens that counts as light.
-func (s *Size) Light() int {
+// Small is the largest size in tokens that counts as light.
+func (s *Size) Small() int {
 	if s.seen < sizeLeast {
 		return s.start
 	}
--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -102,7 +102,7 @@
 	for _, service := range slices.Sorted(maps.Keys(s.learned)) {
 		l := s.learned[service]
 		d.Estimates = append(d.Estimates, DumpedEstimate{
-			Service: service, ReadPerMs: l.reading.PerMs(), BaseMs: l.reading.BaseMs(), LightTokens: l.size.Light(),
+			Service: service, ReadPerMs: l.reading.PerMs(), BaseMs: l.reading.BaseMs(), LightTokens: l.size.Small(),
 		})
 	}
 	return d
--- a/internal/gateway/learned.go
+++ b/internal/gateway/learned.go
@@ -71,7 +71,7 @@
 	defer s.mu.Unlock()
 	size := s.learnedOf(service).size
 	size.Observe(tokens)
-	return size.Light()
+	return size.Small()
 }
 
 // noteTime takes in the time that a request came with, and returns the longest that
@@ -106,7 +106,7 @@
 func (s *state) largestLight() float64 {
 	largest := 0
 	for _, l := range s.learned {
-		largest = max(largest, l.size.Light())
+		largest = max(largest, l.size.Small())
 	}
 	return float64(largest)
 }
