--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -103,7 +103,7 @@
 }
 
 // next returns the loads whose time has come.
-func (o *loader) next(live []roster.Upstream, now time.Time) []rollout.Turn {
+func (o *loader) next(live []roster.Upstream, now time.Time) []rollout.Step {
 	namings := o.leadership.steward.machine.namedAt()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -139,7 +139,7 @@
 
 // load orders one runner, waits until it has the version and reports whether
 // it came to have it.
-func (o *loader) load(ctx context.Context, turn rollout.Turn) bool {
+func (o *loader) load(ctx context.Context, turn rollout.Step) bool {
 	s := o.leadership.steward
 	u, model, version := turn.Upstream, turn.Model, turn.Version
 	ctx, cancel := context.WithTimeout(ctx, loadGivenUp)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -22,14 +22,14 @@
 }
 
 // first returns the first turn that a schedule gives, and when.
-func first(s *Schedule, live []roster.Upstream, n *Namings, now time.Time) (Turn, time.Time) {
+func first(s *Schedule, live []roster.Upstream, n *Namings, now time.Time) (Step, time.Time) {
 	for range 100 {
 		if turns := s.Next(live, n, now); len(turns) > 0 {
 			return turns[0], now
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
-	return Turn{}, now
+	return Step{}, now
 }
 
 // A runner comes back with the weights that it had three versions ago, while others
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -43,8 +43,8 @@
 	Notice time.Duration
 }
 
-// Turn is a load whose time has come.
-type Turn struct {
+// Step is a load whose time has come.
+type Step struct {
 	Upstream roster.Upstream
 	Model    string
 	Version  uint64
@@ -114,7 +114,7 @@
 
 // late is a runner that lacks weights.
 type late struct {
-	Turn
+	Step
 	// since is when the first version that it lacks was named, and waits the later
 	// of that and the end of its latest turn, if that was in vain. By since alone,
 	// runners that always fail would come first again each time.
@@ -123,7 +123,7 @@
 
 // Next takes in the runners that are heard, lists those whose turn comes, and
 // returns those whose turn it is; each is to be ended by Release.
-func (s *Schedule) Next(live []roster.Upstream, namings *Namings, now time.Time) []Turn {
+func (s *Schedule) Next(live []roster.Upstream, namings *Namings, now time.Time) []Step {
 	queue, runners := s.queue(live, namings)
 	most := s.atOnce(queue, runners, now) + s.overdue(now)
 	free := most - len(s.busy)
@@ -132,7 +132,7 @@
 			free++
 		}
 	}
-	var turns []Turn
+	var turns []Step
 	wanting := make(map[life]bool, len(queue))
 	for i := range queue {
 		id := lifeOf(&queue[i].Upstream)
@@ -146,7 +146,7 @@
 			delete(s.named, id)
 			s.busy[id] = now
 			free--
-			turns = append(turns, queue[i].Turn)
+			turns = append(turns, queue[i].Step)
 		case !named && len(s.named) < free:
 			s.named[id] = now
 		}
@@ -195,8 +195,8 @@
 		for _, loaded := range u.Loaded {
 			since, lacks := namings.FirstLacked(loaded.Model, loaded.Version)
 			if lacks && (first.Version == 0 || since.Before(first.since)) {
-				turn := Turn{Upstream: *u, Model: loaded.Model, Version: namings.Newest(loaded.Model)}
-				first = late{Turn: turn, since: since}
+				turn := Step{Upstream: *u, Model: loaded.Model, Version: namings.Newest(loaded.Model)}
+				first = late{Step: turn, since: since}
 			}
 		}
 		if first.Version != 0 {
