--- a/internal/capacity/probes_control.go
+++ b/internal/capacity/probes_control.go
@@ -42,7 +42,7 @@
 var runnerSizes = []int{18, 57, 1_000, 12_000}
 
 // lackingFleet are runners of one model that lack one of two versions named 8 s apart.
-func lackingFleet(runners int) ([]roster.Upstream, *rollout.Namings) {
+func lackingFleet(runners int) ([]roster.Upstream, *rollout.TargetVersions) {
 	namings := rollout.NewNamings()
 	namings.Note("m", 2, probeStart)
 	namings.Note("m", 3, probeStart.Add(8*time.Second))
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -57,7 +57,7 @@
 	// namings are when this host learnt of each version. They are not replicated:
 	// hosts have no common steady clock, and a host that starts again knows of
 	// each since its start.
-	namings *rollout.Namings
+	namings *rollout.TargetVersions
 	roster  *roster.Roster
 	lives   map[string]uint64
 	// quarantine holds the requests that end upstreams, and seen when this host learnt
@@ -234,7 +234,7 @@
 }
 
 // namedAt returns when each version was named, as far as this host knows.
-func (m *Machine) namedAt() *rollout.Namings {
+func (m *Machine) namedAt() *rollout.TargetVersions {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.namings.Clone()
--- a/rollout/floor.go
+++ b/rollout/floor.go
@@ -40,7 +40,7 @@
 
 // Raise raises the floor to the versions whose bound ends, for a leader that leads
 // since led, and lists it by model. fleet is asked only when a version is due.
-func (f *Floor) Raise(namings *Namings, fleet func() []Runner, led time.Time, bound time.Duration, now time.Time) []roster.Loaded {
+func (f *Floor) Raise(namings *TargetVersions, fleet func() []Runner, led time.Time, bound time.Duration, now time.Time) []roster.Loaded {
 	var runners []Runner
 	for model, list := range namings.byModel {
 		for _, known := range list {
--- a/rollout/namings.go
+++ b/rollout/namings.go
@@ -13,18 +13,18 @@
 	at      time.Time
 }
 
-// Namings holds when the versions of each model were named. It is not safe for
+// TargetVersions holds when the versions of each model were named. It is not safe for
 // concurrent use.
-type Namings struct {
+type TargetVersions struct {
 	byModel map[string][]naming
 }
 
 // NewNamings returns a record without any version.
-func NewNamings() *Namings { return &Namings{byModel: make(map[string][]naming)} }
+func NewNamings() *TargetVersions { return &TargetVersions{byModel: make(map[string][]naming)} }
 
 // Note remembers that a version was named at a time. A version that is not newer
 // than all before changes nothing.
-func (n *Namings) Note(model string, version uint64, at time.Time) {
+func (n *TargetVersions) Note(model string, version uint64, at time.Time) {
 	list := n.byModel[model]
 	if len(list) > 0 && version <= list[len(list)-1].version {
 		return
@@ -39,7 +39,7 @@
 }
 
 // Newest returns the newest version of a model, 0 when none was named.
-func (n *Namings) Newest(model string) uint64 {
+func (n *TargetVersions) Newest(model string) uint64 {
 	list := n.byModel[model]
 	if len(list) == 0 {
 		return 0
@@ -49,7 +49,7 @@
 
 // FirstLacked returns when the first version after has was named, and false when
 // there is none.
-func (n *Namings) FirstLacked(model string, has uint64) (time.Time, bool) {
+func (n *TargetVersions) FirstLacked(model string, has uint64) (time.Time, bool) {
 	for _, known := range n.byModel[model] {
 		if known.version > has {
 			return known.at, true
@@ -59,7 +59,7 @@
 }
 
 // Clone returns a copy.
-func (n *Namings) Clone() *Namings {
+func (n *TargetVersions) Clone() *TargetVersions {
 	copied := NewNamings()
 	for model, list := range n.byModel {
 		copied.byModel[model] = append([]naming(nil), list...)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -22,7 +22,7 @@
 }
 
 // first returns the first turn that a schedule gives, and when.
-func first(s *Schedule, live []roster.Upstream, n *Namings, now time.Time) (Step, time.Time) {
+func first(s *Schedule, live []roster.Upstream, n *TargetVersions, now time.Time) (Step, time.Time) {
 	for range 100 {
 		if turns := s.Next(live, n, now); len(turns) > 0 {
 			return turns[0], now
@@ -133,7 +133,7 @@
 // still at it when their load is given up.
 type fleet struct {
 	schedule *Schedule
-	namings  *Namings
+	namings  *TargetVersions
 	live     []roster.Upstream
 	stuck    map[string]bool
 	load     time.Duration
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -123,7 +123,7 @@
 
 // Next takes in the runners that are heard, lists those whose turn comes, and
 // returns those whose turn it is; each is to be ended by Release.
-func (s *Schedule) Next(live []roster.Upstream, namings *Namings, now time.Time) []Step {
+func (s *Schedule) Next(live []roster.Upstream, namings *TargetVersions, now time.Time) []Step {
 	queue, runners := s.queue(live, namings)
 	most := s.atOnce(queue, runners, now) + s.overdue(now)
 	free := most - len(s.busy)
@@ -184,7 +184,7 @@
 
 // queue lists the runners that lack weights, the one that has waited for longest
 // first, and counts all that have a model.
-func (s *Schedule) queue(live []roster.Upstream, namings *Namings) (queue []late, runners int) {
+func (s *Schedule) queue(live []roster.Upstream, namings *TargetVersions) (queue []late, runners int) {
 	for i := range live {
 		u := &live[i]
 		if len(u.Loaded) == 0 || u.State != roster.Serving {
