--- a/internal/capacity/probes_control.go
+++ b/internal/capacity/probes_control.go
@@ -43,7 +43,7 @@
 
 // lackingFleet are runners of one model that lack one of two versions named 8 s apart.
 func lackingFleet(runners int) ([]roster.Upstream, *rollout.TargetVersions) {
-	namings := rollout.NewNamings()
+	namings := rollout.NewTargetVersions()
 	namings.Note("m", 2, probeStart)
 	namings.Note("m", 3, probeStart.Add(8*time.Second))
 	live := make([]roster.Upstream, runners)
@@ -63,7 +63,7 @@
 }
 
 func floorTime(models int) (float64, error) {
-	namings, floor := rollout.NewNamings(), rollout.NewFloor()
+	namings, floor := rollout.NewTargetVersions(), rollout.NewFloor()
 	for model := range models {
 		for version := uint64(2); version < 66; version++ {
 			namings.Note(fmt.Sprint("model-", model), version, probeStart)
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -74,7 +74,7 @@
 // NewMachine returns the state before the first command.
 func NewMachine() *Machine {
 	return &Machine{
-		weights: make(map[string]uint64), namings: rollout.NewNamings(), lives: make(map[string]uint64),
+		weights: make(map[string]uint64), namings: rollout.NewTargetVersions(), lives: make(map[string]uint64),
 		roster: roster.New(), quarantine: quarantine.NewTracker(),
 		evacuation: evacuation.NewRegistry(), changed: make(chan struct{}), ordered: make(chan struct{}),
 	}
--- a/rollout/namings.go
+++ b/rollout/namings.go
@@ -19,8 +19,8 @@
 	byModel map[string][]naming
 }
 
-// NewNamings returns a record without any version.
-func NewNamings() *TargetVersions { return &TargetVersions{byModel: make(map[string][]naming)} }
+// NewTargetVersions returns a record without any version.
+func NewTargetVersions() *TargetVersions { return &TargetVersions{byModel: make(map[string][]naming)} }
 
 // Note remembers that a version was named at a time. A version that is not newer
 // than all before changes nothing.
@@ -60,7 +60,7 @@
 
 // Clone returns a copy.
 func (n *TargetVersions) Clone() *TargetVersions {
-	copied := NewNamings()
+	copied := NewTargetVersions()
 	for model, list := range n.byModel {
 		copied.byModel[model] = append([]naming(nil), list...)
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -36,7 +36,7 @@
 // only lack the newest. Its bound has ended: any other order would leave it out of
 // service, or worse in service, for the whole round.
 func TestTheRunnerThatLacksWeightsLongestComesFirst(t *testing.T) {
-	n := NewNamings()
+	n := NewTargetVersions()
 	for version := uint64(2); version <= 4; version++ {
 		n.Note("m", version, start.Add(time.Duration(version)*8*time.Second))
 	}
@@ -51,7 +51,7 @@
 // time of all must not count from the newer one: one load at a time would bring the
 // last runner to the older version after 20 s.
 func TestANewerVersionTakesNothingFromTheBoundOfAnOlderOne(t *testing.T) {
-	n := NewNamings()
+	n := NewTargetVersions()
 	n.Note("m", 2, start)
 	n.Note("m", 3, start.Add(9*time.Second))
 	var live []roster.Upstream
@@ -66,7 +66,7 @@
 }
 
 func TestFloor(t *testing.T) {
-	n := NewNamings()
+	n := NewTargetVersions()
 	n.Note("m", 2, start)
 	n.Note("m", 3, start.Add(8*time.Second))
 	n.Note("other", 1, start.Add(time.Hour))
@@ -101,7 +101,7 @@
 // Runners start again with old weights after the bound, so that most are below the
 // floor again. It must not sink: callers would be answered on weights past the bound.
 func TestTheFloorNeverSinks(t *testing.T) {
-	n, f := NewNamings(), NewFloor()
+	n, f := NewTargetVersions(), NewFloor()
 	n.Note("m", 2, start)
 	fleet := []Runner{{Upstream: runner("a", 2)}, {Upstream: runner("b", 2)}}
 	told := func() []Runner { return fleet }
@@ -113,7 +113,7 @@
 }
 
 func TestNamingsAreBoundedAndKeepTheOldest(t *testing.T) {
-	n := NewNamings()
+	n := NewTargetVersions()
 	for version := uint64(2); version < 500; version++ {
 		n.Note("m", version, start.Add(time.Duration(version)*time.Second))
 	}
@@ -177,7 +177,7 @@
 func newFleet(runners int, stuck ...string) *fleet {
 	f := &fleet{
 		schedule: NewSchedule(Options{AtOnce: 3, Bound: bound, Notice: 200 * time.Millisecond}),
-		namings:  NewNamings(), stuck: map[string]bool{}, load: 1800 * time.Millisecond,
+		namings:  NewTargetVersions(), stuck: map[string]bool{}, load: 1800 * time.Millisecond,
 	}
 	f.namings.Note("m", 2, start)
 	for i := range runners {
@@ -209,7 +209,7 @@
 // before each of them has had one turn after the other: callers are else refused by a
 // runner that would have loaded long ago.
 func TestOneFailedTurnDoesNotPutARunnerBehindThoseThatAlwaysFail(t *testing.T) {
-	n := NewNamings()
+	n := NewTargetVersions()
 	n.Note("m", 2, start)
 	live := []roster.Upstream{runner("a", 1), runner("b", 1), runner("c", 1), runner("z", 1)}
 	s := testSchedule()
@@ -233,7 +233,7 @@
 // before. Its former life holds its turn until that load is given up, and had failed
 // before; the new life must have its turn at once, for callers are refused by it.
 func TestTheNextLifeOfARunnerOwesNothingToTheFormer(t *testing.T) {
-	n := NewNamings()
+	n := NewTargetVersions()
 	n.Note("m", 2, start)
 	former, next := runner("a", 1), runner("a", 1)
 	former.StartedMs, next.StartedMs = 1000, 2000
