--- a/internal/capacity/probes_control.go
+++ b/internal/capacity/probes_control.go
@@ -44,8 +44,8 @@
 // lackingFleet are runners of one model that lack one of two versions named 8 s apart.
 func lackingFleet(runners int) ([]roster.Upstream, *rollout.TargetVersions) {
 	namings := rollout.NewTargetVersions()
-	namings.Note("m", 2, probeStart)
-	namings.Note("m", 3, probeStart.Add(8*time.Second))
+	namings.Record("m", 2, probeStart)
+	namings.Record("m", 3, probeStart.Add(8*time.Second))
 	live := make([]roster.Upstream, runners)
 	for i := range live {
 		live[i] = roster.Upstream{
@@ -66,7 +66,7 @@
 	namings, floor := rollout.NewTargetVersions(), rollout.NewFloor()
 	for model := range models {
 		for version := uint64(2); version < 66; version++ {
-			namings.Note(fmt.Sprint("model-", model), version, probeStart)
+			namings.Record(fmt.Sprint("model-", model), version, probeStart)
 		}
 	}
 	now := probeStart.Add(time.Minute)
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -135,7 +135,7 @@
 		return
 	}
 	m.weights[w.Model] = w.Version
-	m.namings.Note(w.Model, w.Version, time.Now())
+	m.namings.Record(w.Model, w.Version, time.Now())
 	m.weightsRevision++
 	m.notifyOrder()
 }
@@ -193,7 +193,7 @@
 	m.weights = make(map[string]uint64, len(saved.Weights))
 	for _, w := range saved.Weights {
 		m.weights[w.Model] = w.Version
-		m.namings.Note(w.Model, w.Version, time.Now())
+		m.namings.Record(w.Model, w.Version, time.Now())
 	}
 	m.weightsRevision = saved.WeightsRevision
 	m.roster.Restore(saved.Roster)
--- a/rollout/namings.go
+++ b/rollout/namings.go
@@ -22,9 +22,9 @@
 // NewTargetVersions returns a record without any version.
 func NewTargetVersions() *TargetVersions { return &TargetVersions{byModel: make(map[string][]naming)} }
 
-// Note remembers that a version was named at a time. A version that is not newer
+// Record remembers that a version was named at a time. A version that is not newer
 // than all before changes nothing.
-func (n *TargetVersions) Note(model string, version uint64, at time.Time) {
+func (n *TargetVersions) Record(model string, version uint64, at time.Time) {
 	list := n.byModel[model]
 	if len(list) > 0 && version <= list[len(list)-1].version {
 		return
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -38,7 +38,7 @@
 func TestTheRunnerThatLacksWeightsLongestComesFirst(t *testing.T) {
 	n := NewTargetVersions()
 	for version := uint64(2); version <= 4; version++ {
-		n.Note("m", version, start.Add(time.Duration(version)*8*time.Second))
+		n.Record("m", version, start.Add(time.Duration(version)*8*time.Second))
 	}
 	live := []roster.Upstream{runner("a", 3), runner("b", 3), runner("z", 1)}
 	turn, _ := first(testSchedule(), live, n, start.Add(33*time.Second))
@@ -52,8 +52,8 @@
 // last runner to the older version after 20 s.
 func TestANewerVersionTakesNothingFromTheBoundOfAnOlderOne(t *testing.T) {
 	n := NewTargetVersions()
-	n.Note("m", 2, start)
-	n.Note("m", 3, start.Add(9*time.Second))
+	n.Record("m", 2, start)
+	n.Record("m", 3, start.Add(9*time.Second))
 	var live []roster.Upstream
 	for i := range 10 {
 		live = append(live, runner(fmt.Sprint(i), 1))
@@ -67,9 +67,9 @@
 
 func TestFloor(t *testing.T) {
 	n := NewTargetVersions()
-	n.Note("m", 2, start)
-	n.Note("m", 3, start.Add(8*time.Second))
-	n.Note("other", 1, start.Add(time.Hour))
+	n.Record("m", 2, start)
+	n.Record("m", 3, start.Add(8*time.Second))
+	n.Record("other", 1, start.Add(time.Hour))
 	heard := func(u roster.Upstream) Runner { return Runner{Upstream: u, Heard: true} }
 	silent := func(u roster.Upstream) Runner { return Runner{Upstream: u} }
 	behind := []Runner{heard(runner("a", 1)), heard(runner("b", 2))}
@@ -102,7 +102,7 @@
 // floor again. It must not sink: callers would be answered on weights past the bound.
 func TestTheFloorNeverSinks(t *testing.T) {
 	n, f := NewTargetVersions(), NewFloor()
-	n.Note("m", 2, start)
+	n.Record("m", 2, start)
 	fleet := []Runner{{Upstream: runner("a", 2)}, {Upstream: runner("b", 2)}}
 	told := func() []Runner { return fleet }
 	want := f.Raise(n, told, start, bound, start.Add(14*time.Second))
@@ -115,9 +115,9 @@
 func TestNamingsAreBoundedAndKeepTheOldest(t *testing.T) {
 	n := NewTargetVersions()
 	for version := uint64(2); version < 500; version++ {
-		n.Note("m", version, start.Add(time.Duration(version)*time.Second))
+		n.Record("m", version, start.Add(time.Duration(version)*time.Second))
 	}
-	n.Note("m", 7, start)
+	n.Record("m", 7, start)
 	if len(n.byModel["m"]) != maxNamings || n.Newest("m") != 499 {
 		t.Fatalf("%d namings, newest %d", len(n.byModel["m"]), n.Newest("m"))
 	}
@@ -179,7 +179,7 @@
 		schedule: NewSchedule(Options{AtOnce: 3, Bound: bound, Notice: 200 * time.Millisecond}),
 		namings:  NewTargetVersions(), stuck: map[string]bool{}, load: 1800 * time.Millisecond,
 	}
-	f.namings.Note("m", 2, start)
+	f.namings.Record("m", 2, start)
 	for i := range runners {
 		f.live = append(f.live, runner(fmt.Sprintf("r%02d", i), 1))
 	}
@@ -210,7 +210,7 @@
 // runner that would have loaded long ago.
 func TestOneFailedTurnDoesNotPutARunnerBehindThoseThatAlwaysFail(t *testing.T) {
 	n := NewTargetVersions()
-	n.Note("m", 2, start)
+	n.Record("m", 2, start)
 	live := []roster.Upstream{runner("a", 1), runner("b", 1), runner("c", 1), runner("z", 1)}
 	s := testSchedule()
 	turns := map[string]int{}
@@ -234,7 +234,7 @@
 // before; the new life must have its turn at once, for callers are refused by it.
 func TestTheNextLifeOfARunnerOwesNothingToTheFormer(t *testing.T) {
 	n := NewTargetVersions()
-	n.Note("m", 2, start)
+	n.Record("m", 2, start)
 	former, next := runner("a", 1), runner("a", 1)
 	former.StartedMs, next.StartedMs = 1000, 2000
 	s := testSchedule()
