--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -40,7 +40,7 @@
 	loader   *loader
 
 	floorMu sync.Mutex
-	floor   *rollout.Floor
+	floor   *rollout.MinimumVersions
 	// floorTold is what the floor was at floorAt.
 	floorTold []roster.Loaded
 	floorAt   time.Time
--- a/rollout/floor.go
+++ b/rollout/floor.go
@@ -26,21 +26,21 @@
 	Heard bool
 }
 
-// Floor keeps the oldest version of each model on which a prompt may still begin,
+// MinimumVersions keeps the oldest version of each model on which a prompt may still begin,
 // for one leader. It is not safe for concurrent use.
 //
 // Turns alone can't hold the bound: a runner may refuse its orders, be out of the
 // leader's reach, or start again with weights whose bound has long ended. A leader
 // that hears less than half of the runners raises no floor that they are below: it
 // may be behind a cut, and entries would refuse all prompts for want of its orders.
-type Floor struct{ oldest map[string]uint64 }
+type MinimumVersions struct{ oldest map[string]uint64 }
 
 // NewFloor returns a floor below all versions.
-func NewFloor() *Floor { return &Floor{oldest: make(map[string]uint64)} }
+func NewFloor() *MinimumVersions { return &MinimumVersions{oldest: make(map[string]uint64)} }
 
 // Raise raises the floor to the versions whose bound ends, for a leader that leads
 // since led, and lists it by model. fleet is asked only when a version is due.
-func (f *Floor) Raise(namings *TargetVersions, fleet func() []Runner, led time.Time, bound time.Duration, now time.Time) []roster.Loaded {
+func (f *MinimumVersions) Raise(namings *TargetVersions, fleet func() []Runner, led time.Time, bound time.Duration, now time.Time) []roster.Loaded {
 	var runners []Runner
 	for model, list := range namings.byModel {
 		for _, known := range list {
