--- a/internal/capacity/probes_control.go
+++ b/internal/capacity/probes_control.go
@@ -63,7 +63,7 @@
 }
 
 func floorTime(models int) (float64, error) {
-	namings, floor := rollout.NewTargetVersions(), rollout.NewFloor()
+	namings, floor := rollout.NewTargetVersions(), rollout.NewMinimumVersions()
 	for model := range models {
 		for version := uint64(2); version < 66; version++ {
 			namings.Record(fmt.Sprint("model-", model), version, probeStart)
--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -125,7 +125,7 @@
 func newLeadership(s *Steward, term uint64, now time.Time) *leadership {
 	l := &leadership{
 		steward: s, elected: term, since: now, watchers: newWatchers(s.options.Log), beats: make(map[string]time.Time),
-		floor: rollout.NewFloor(), granter: warmup.NewGranter(now), announcing: announcing(s.options.AnnounceEvery),
+		floor: rollout.NewMinimumVersions(), granter: warmup.NewGranter(now), announcing: announcing(s.options.AnnounceEvery),
 	}
 	l.shelves = newShelves(l)
 	l.loader = newLoader(l)
--- a/rollout/floor.go
+++ b/rollout/floor.go
@@ -35,8 +35,8 @@
 // may be behind a cut, and entries would refuse all prompts for want of its orders.
 type MinimumVersions struct{ oldest map[string]uint64 }
 
-// NewFloor returns a floor below all versions.
-func NewFloor() *MinimumVersions { return &MinimumVersions{oldest: make(map[string]uint64)} }
+// NewMinimumVersions returns a floor below all versions.
+func NewMinimumVersions() *MinimumVersions { return &MinimumVersions{oldest: make(map[string]uint64)} }
 
 // Raise raises the floor to the versions whose bound ends, for a leader that leads
 // since led, and lists it by model. fleet is asked only when a version is due.
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -91,7 +91,7 @@
 		{"a leader that hears too few", 0, 22 * time.Second, nil, unheard},
 	}
 	for _, c := range cases {
-		got := NewFloor().Raise(n, func() []Runner { return c.fleet }, start.Add(c.led), bound, start.Add(c.at))
+		got := NewMinimumVersions().Raise(n, func() []Runner { return c.fleet }, start.Add(c.led), bound, start.Add(c.at))
 		if !slices.Equal(got, c.floor) {
 			t.Errorf("%s: %v", c.name, got)
 		}
@@ -101,7 +101,7 @@
 // Runners start again with old weights after the bound, so that most are below the
 // floor again. It must not sink: callers would be answered on weights past the bound.
 func TestTheFloorNeverSinks(t *testing.T) {
-	n, f := NewTargetVersions(), NewFloor()
+	n, f := NewTargetVersions(), NewMinimumVersions()
 	n.Record("m", 2, start)
 	fleet := []Runner{{Upstream: runner("a", 2)}, {Upstream: runner("b", 2)}}
 	told := func() []Runner { return fleet }
