--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -238,7 +238,7 @@
 func (o *loader) noteUsual(took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.schedule.NoteUsual(took)
+	o.schedule.RecordLoadTime(took)
 }
 
 func (o *loader) report(ctx context.Context, u roster.Upstream) (RunnerReport, error) {
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -280,9 +280,9 @@
 	return part(loadNearly, s.usual)
 }
 
-// NoteUsual learns the time of a load: the shortest seen, so that one that had to
+// RecordLoadTime learns the time of a load: the shortest seen, so that one that had to
 // wait for its runs does not delay the questions to all later ones.
-func (s *Schedule) NoteUsual(took time.Duration) {
+func (s *Schedule) RecordLoadTime(took time.Duration) {
 	if !s.learnt || took < s.usual {
 		s.usual, s.learnt = took, true
 	}
