--- a/internal/gateway/learned_test.go
+++ b/internal/gateway/learned_test.go
@@ -43,7 +43,7 @@
 	for i := range 600 {
 		runners := make([]placement.Runner, 18)
 		for at := range runners {
-			runners[at] = placement.Runner{ID: fmt.Sprint(at), Slots: 64, Memory: 94000, Unread: random.IntN(int(100 * perMs))}
+			runners[at] = placement.Runner{ID: fmt.Sprint(at), Slots: 64, Memory: 94000, PendingPrefill: random.IntN(int(100 * perMs))}
 		}
 		p := placement.Prompt{
 			Parts:      []placement.Part{{ID: fmt.Sprint(i), Tokens: size(6000)}, {ID: "own", Tokens: size(2000)}},
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -88,8 +88,8 @@
 	// Requests and Tokens are under way there, of all entries.
 	Requests int
 	Tokens   int
-	// Unread are the tokens under way that are still to be read.
-	Unread int
+	// PendingPrefill are the tokens under way that are still to be read.
+	PendingPrefill int
 	// Distrust is added to the prediction.
 	Distrust time.Duration
 	// Full tells that it has no room for the prompt now.
@@ -277,7 +277,7 @@
 		ms += absent * rates.RereadMsPerToken * float64(part.Tokens)
 	}
 	c.Reads = int(read)
-	ms += (read + float64(r.Unread)) / rates.ReadPerMs
+	ms += (read + float64(r.PendingPrefill)) / rates.ReadPerMs
 	ms += pressure(rates, p, r)
 	c.CostMs = ms + milliseconds(r.Distrust)
 	return c
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -80,7 +80,7 @@
 		name string
 		load func(*Runner)
 	}{
-		{"much to read", func(r *Runner) { r.Unread = 300000 }},
+		{"much to read", func(r *Runner) { r.PendingPrefill = 300000 }},
 		{"memory full", func(r *Runner) { r.Tokens = 400000 }},
 		{"slots full", func(r *Runner) { r.Requests = 90 }},
 		{"distrusted", func(r *Runner) { r.Distrust = 5 * time.Second }},
@@ -230,9 +230,9 @@
 		p := &Prompt{Parts: []Part{{fmt.Sprintf("p%d", i), 250}, {"own", 80}}, Output: 3, TokenBytes: 18432, Whole: [][]int{{0}, nil}}
 		// The first runner by hash has something to read.
 		first := choose(t, p, list, []Store{store}).Runner
-		list[first].Unread = 300
+		list[first].PendingPrefill = 300
 		sent[choose(t, p, list, []Store{store}).Runner]++
-		list[first].Unread = 0
+		list[first].PendingPrefill = 0
 	}
 	for runner, n := range sent {
 		if n > 2*prompts/len(list) {
