--- a/internal/gateway/learned.go
+++ b/internal/gateway/learned.go
@@ -51,7 +51,7 @@
 
 // ratesOf are the rates that choices among a service's runners go by.
 func (s *state) ratesOf(service string, rates placement.Rates) placement.Rates {
-	rates.ReadPerMs = s.readingOf(service).PerMs()
+	rates.PrefillPerMs = s.readingOf(service).PerMs()
 	return rates
 }
 
--- a/internal/gateway/learned_test.go
+++ b/internal/gateway/learned_test.go
@@ -38,7 +38,7 @@
 		serve(g, r)
 	}
 	learned, truth := g.state.ratesOf("llm", placement.DefaultRates()), placement.DefaultRates()
-	truth.ReadPerMs = perMs
+	truth.PrefillPerMs = perMs
 	differ, all := 0, 0
 	for i := range 600 {
 		runners := make([]placement.Runner, 18)
@@ -62,6 +62,6 @@
 		all += 2
 	}
 	if share := float64(differ) / float64(all); share > 0.03 {
-		t.Errorf("%v tokens a ms, sizes times %v: %.3f of the choices differ (%.0f tokens a ms learnt)", perMs, scale, share, learned.ReadPerMs)
+		t.Errorf("%v tokens a ms, sizes times %v: %.3f of the choices differ (%.0f tokens a ms learnt)", perMs, scale, share, learned.PrefillPerMs)
 	}
 }
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -178,7 +178,7 @@
 	}
 	needed := r.need(s, service, prompt.size(), own)
 	rates := s.ratesOf(service.Name, r.gateway.options.Rates)
-	read := int(rates.ReadPerMs * milliseconds(now.Sub(s.loadsAt)))
+	read := int(rates.PrefillPerMs * milliseconds(now.Sub(s.loadsAt)))
 	runners := make([]placement.Runner, len(candidates))
 	version := uint64(0)
 	for i, u := range candidates {
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -68,7 +68,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
 		full := testAnswer()
-		g.state = newState(placement.DefaultRates().ReadPerMs)
+		g.state = newState(placement.DefaultRates().PrefillPerMs)
 		bare := testAnswer()
 		bare.Inventories = nil
 		g.Told(bare, time.Now())
@@ -100,7 +100,7 @@
 func TestAnAnswerThatIsTooOldIsNoFirstWordOnStores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
-		g.state = newState(placement.DefaultRates().ReadPerMs)
+		g.state = newState(placement.DefaultRates().PrefillPerMs)
 		asked := time.Now()
 		time.Sleep(1100 * time.Millisecond)
 		g.Told(testAnswer(), asked)
--- a/placement/keeping.go
+++ b/placement/keeping.go
@@ -60,7 +60,7 @@
 
 // small reports whether a runner reads a part within smallRead.
 func (r *Rates) small(part Part) bool {
-	return float64(part.Tokens)/r.ReadPerMs < milliseconds(smallRead)
+	return float64(part.Tokens)/r.PrefillPerMs < milliseconds(smallRead)
 }
 
 // paysFrom reports whether a fetch from a store in its own data centre costs less
@@ -75,7 +75,7 @@
 
 // againMs weighs reading a part again, in milliseconds of waiting.
 func (r *Rates) againMs(part Part) float64 {
-	return float64(part.Tokens) * (r.RereadMsPerToken + 1/r.ReadPerMs)
+	return float64(part.Tokens) * (r.RereadMsPerToken + 1/r.PrefillPerMs)
 }
 
 func (s *Store) quick() bool { return s.FirstByte <= quickFirst }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -19,8 +19,8 @@
 // Rates turn tokens into time. They are estimates: a wrong one shifts choices
 // between runners and harms no promise.
 type Rates struct {
-	// ReadPerMs is how many prompt tokens a runner reads in a millisecond.
-	ReadPerMs float64
+	// PrefillPerMs is how many prompt tokens a runner reads in a millisecond.
+	PrefillPerMs float64
 	// RereadMsPerToken weighs a shared token that is read again although a
 	// runner had read it, in milliseconds of waiting.
 	RereadMsPerToken float64
@@ -43,7 +43,7 @@
 // worth.
 func DefaultRates() Rates {
 	return Rates{
-		ReadPerMs: 120, RereadMsPerToken: 0.16, MoveMsPerToken: 0.001,
+		PrefillPerMs: 120, RereadMsPerToken: 0.16, MoveMsPerToken: 0.001,
 		HomePull: 0.35, FirstPull: 0.85, CrossFactor: 2, FullMs: 600, SlotMs: 40,
 	}
 }
@@ -277,7 +277,7 @@
 		ms += absent * rates.RereadMsPerToken * float64(part.Tokens)
 	}
 	c.Reads = int(read)
-	ms += (read + float64(r.PendingPrefill)) / rates.ReadPerMs
+	ms += (read + float64(r.PendingPrefill)) / rates.PrefillPerMs
 	ms += pressure(rates, p, r)
 	c.CostMs = ms + milliseconds(r.Distrust)
 	return c
