--- a/placement/keeping.go
+++ b/placement/keeping.go
@@ -75,7 +75,7 @@
 
 // againMs weighs reading a part again, in milliseconds of waiting.
 func (r *Rates) againMs(part Part) float64 {
-	return float64(part.Tokens) * (r.RereadMsPerToken + 1/r.PrefillPerMs)
+	return float64(part.Tokens) * (r.RecomputeMsPerToken + 1/r.PrefillPerMs)
 }
 
 func (s *Store) quick() bool { return s.FirstByte <= quickFirst }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -21,9 +21,9 @@
 type Rates struct {
 	// PrefillPerMs is how many prompt tokens a runner reads in a millisecond.
 	PrefillPerMs float64
-	// RereadMsPerToken weighs a shared token that is read again although a
+	// RecomputeMsPerToken weighs a shared token that is read again although a
 	// runner had read it, in milliseconds of waiting.
-	RereadMsPerToken float64
+	RecomputeMsPerToken float64
 	// MoveMsPerToken weighs a token moved between hosts.
 	MoveMsPerToken float64
 	// HomePull is the probability that the first runner by hash still has a
@@ -43,7 +43,7 @@
 // worth.
 func DefaultRates() Rates {
 	return Rates{
-		PrefillPerMs: 120, RereadMsPerToken: 0.16, MoveMsPerToken: 0.001,
+		PrefillPerMs: 120, RecomputeMsPerToken: 0.16, MoveMsPerToken: 0.001,
 		HomePull: 0.35, FirstPull: 0.85, CrossFactor: 2, FullMs: 600, SlotMs: 40,
 	}
 }
@@ -274,7 +274,7 @@
 			c.Certain = false
 		}
 		read += absent * float64(part.Tokens)
-		ms += absent * rates.RereadMsPerToken * float64(part.Tokens)
+		ms += absent * rates.RecomputeMsPerToken * float64(part.Tokens)
 	}
 	c.Reads = int(read)
 	ms += (read + float64(r.PendingPrefill)) / rates.PrefillPerMs
@@ -310,7 +310,7 @@
 			continue
 		}
 		ms := milliseconds(store.FirstByte) + transferMs(rates, p, part, store, r)
-		ms += store.Risk * rates.RereadMsPerToken * float64(p.Parts[part].Tokens)
+		ms += store.Risk * rates.RecomputeMsPerToken * float64(p.Parts[part].Tokens)
 		if best < 0 || ms < bestMs {
 			best, bestMs = index, ms
 		}
