--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -194,7 +194,7 @@
 		runners[i] = placement.Runner{
 			ID: u.record.ID, DataCentre: u.record.DataCentre, Slots: u.record.Slots, Memory: service.Engine.MemoryTokens,
 			Requests: u.own.Requests + u.others.Requests, Tokens: u.own.Tokens + u.others.Tokens,
-			PendingPrefill: u.own.Unread + max(u.others.Unread-read, 0), Distrust: extra, Full: full,
+			PendingPrefill: u.own.Unread + max(u.others.Unread-read, 0), HealthPenalty: extra, Full: full,
 		}
 	}
 	stores, addresses := s.storeList(s.withEvacuated(candidates), service.Engine, now)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -90,8 +90,8 @@
 	Tokens   int
 	// PendingPrefill are the tokens under way that are still to be read.
 	PendingPrefill int
-	// Distrust is added to the prediction.
-	Distrust time.Duration
+	// HealthPenalty is added to the prediction.
+	HealthPenalty time.Duration
 	// Full tells that it has no room for the prompt now.
 	Full bool
 }
@@ -279,7 +279,7 @@
 	c.Reads = int(read)
 	ms += (read + float64(r.PendingPrefill)) / rates.PrefillPerMs
 	ms += pressure(rates, p, r)
-	c.CostMs = ms + milliseconds(r.Distrust)
+	c.CostMs = ms + milliseconds(r.HealthPenalty)
 	return c
 }
 
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -83,7 +83,7 @@
 		{"much to read", func(r *Runner) { r.PendingPrefill = 300000 }},
 		{"memory full", func(r *Runner) { r.Tokens = 400000 }},
 		{"slots full", func(r *Runner) { r.Requests = 90 }},
-		{"distrusted", func(r *Runner) { r.Distrust = 5 * time.Second }},
+		{"distrusted", func(r *Runner) { r.HealthPenalty = 5 * time.Second }},
 	}
 	for _, c := range cases {
 		list := runners(18)
@@ -102,7 +102,7 @@
 func TestFirstReadGoesPastAFullRunner(t *testing.T) {
 	list := runners(18)
 	first := choose(t, long(), list, nil).Runner
-	list[first].Full, list[first].Distrust = true, 800*time.Millisecond
+	list[first].Full, list[first].HealthPenalty = true, 800*time.Millisecond
 	second := choose(t, long(), list, nil)
 	if second.Runner == first || !second.Home {
 		t.Fatalf("runner %d (first by hash %d), home %t", second.Runner, first, second.Home)
@@ -117,7 +117,7 @@
 		t.Fatalf("runner %d, the part is at %d and would be read again", c.Runner, first)
 	}
 	for i := range list {
-		list[i].Full, list[i].Distrust = true, 800*time.Millisecond
+		list[i].Full, list[i].HealthPenalty = true, 800*time.Millisecond
 	}
 	if c := choose(t, long(), list, nil); c.Runner != first {
 		t.Fatalf("all are full, and runner %d is chosen, not the first by hash", c.Runner)
@@ -250,9 +250,9 @@
 	homes := make(map[int]bool)
 	for room := range list {
 		for i := range list {
-			list[i].Full, list[i].Distrust = i != room, 0
+			list[i].Full, list[i].HealthPenalty = i != room, 0
 			if i != room {
-				list[i].Distrust = 800 * time.Millisecond
+				list[i].HealthPenalty = 800 * time.Millisecond
 			}
 		}
 		p := long()
