--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -212,7 +212,7 @@
 	p.choice = choice
 	p.fetchMs = fetchMs(&asked.prompt, choice, stores)
 	p.tokens = asked.prompt.Tokens() + prompt.Output
-	p.reads = choice.Reads
+	p.reads = choice.PrefillTokens
 	p.send.Prompt = &PromptSend{Salt: asked.salt, Version: version}
 	s.fetchAndSave(&rates, p, &asked, choice, stores, addresses, now)
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -130,8 +130,8 @@
 	Runner int
 	// Fetch lists for each part the store to fetch it from, -1 for none.
 	Fetch []int
-	// Reads are the tokens that the runner is expected to read.
-	Reads int
+	// PrefillTokens are the tokens that the runner is expected to read.
+	PrefillTokens int
 	// Certain tells that the runner reads the whole prompt: nothing of it is known
 	// or guessed to be there, and nothing is fetched.
 	Certain bool
@@ -276,7 +276,7 @@
 		read += absent * float64(part.Tokens)
 		ms += absent * rates.RecomputeMsPerToken * float64(part.Tokens)
 	}
-	c.Reads = int(read)
+	c.PrefillTokens = int(read)
 	ms += (read + float64(r.PendingPrefill)) / rates.PrefillPerMs
 	ms += pressure(rates, p, r)
 	c.CostMs = ms + milliseconds(r.HealthPenalty)
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -129,8 +129,8 @@
 	p.Whole[0] = []int{0}
 	stores := []Store{bigStore("north")}
 	c := choose(t, p, runners(18), stores)
-	if c.Fetch[0] != 0 || c.Fetch[1] != -1 || c.Reads > 4300 {
-		t.Fatalf("fetch %v, reads %d", c.Fetch, c.Reads)
+	if c.Fetch[0] != 0 || c.Fetch[1] != -1 || c.PrefillTokens > 4300 {
+		t.Fatalf("fetch %v, reads %d", c.Fetch, c.PrefillTokens)
 	}
 	stores[0].Open = false
 	if c := choose(t, p, runners(18), stores); c.Fetch[0] != -1 {
