--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -29,7 +29,7 @@
 func (s *state) describe(prompt *Prompt, salt string, engine *catalog.Engine, candidates []*upstreamState, addresses []string, now time.Time) described {
 	d := described{salt: salt, keys: make([]cacheindex.Key, len(prompt.Parts))}
 	d.prompt = placement.Prompt{Parts: prompt.Parts, Output: prompt.Output, TokenBytes: engine.TokenBytes, Whole: make([][]int, len(prompt.Parts))}
-	d.prompt.Told = s.cachesTold(candidates)
+	d.prompt.CachesKnown = s.cachesTold(candidates)
 	for i, part := range prompt.Parts {
 		d.keys[i] = cacheindex.Key{Salt: salt, Part: part.ID}
 		for index, address := range addresses {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -105,9 +105,9 @@
 	Whole [][]int
 	// Cached tells whether a runner has very likely still got a part.
 	Cached func(runner, part int) bool
-	// Told reports that the runners' caches are known: what Cached denies is in none
+	// CachesKnown reports that the runners' caches are known: what Cached denies is in none
 	// of them but for what was read in the last moments.
-	Told bool
+	CachesKnown bool
 	// TokenBytes is the size of a token's memory.
 	TokenBytes int
 }
@@ -270,7 +270,7 @@
 		}
 		if absent == 1 {
 			chain = false
-		} else if !p.Told {
+		} else if !p.CachesKnown {
 			c.Certain = false
 		}
 		read += absent * float64(part.Tokens)
