--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -258,7 +258,7 @@
 	if b.grantsAt == 0 || age >= warmup.Validity {
 		return
 	}
-	answer.Grants, answer.GrantsAt, answer.GrantsAge = warmup.Of(b.grants, string(from.Host)), b.grantsAt, age
+	answer.Grants, answer.GrantsAt, answer.GrantsAge = warmup.GrantsFor(b.grants, string(from.Host)), b.grantsAt, age
 }
 
 const (
--- a/internal/steward/warming.go
+++ b/internal/steward/warming.go
@@ -85,7 +85,7 @@
 	answer.GrantsAt = revision
 	switch {
 	case from.Role == roleEntry:
-		answer.Grants = warmup.Of(grants, string(from.Host))
+		answer.Grants = warmup.GrantsFor(grants, string(from.Host))
 	case request.Grants != revision || request.Term != l.elected:
 		answer.Grants = grants
 	}
--- a/warmup/granter.go
+++ b/warmup/granter.go
@@ -196,8 +196,8 @@
 // change. They must not be changed.
 func (g *Granter) Grants() ([]Grant, uint64) { return g.grants, g.revision }
 
-// Of lists the grants of one entry.
-func Of(grants []Grant, host string) []Grant {
+// GrantsFor lists the grants of one entry.
+func GrantsFor(grants []Grant, host string) []Grant {
 	var own []Grant
 	for _, grant := range grants {
 		if grant.Host == host {
