--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -39,7 +39,7 @@
 	s.noteSilence(answer)
 	s.term = answer.Term
 	if answer.GrantsAt > 0 {
-		s.allowance.Told(answer.Grants, sent.Add(-answer.GrantsAge))
+		s.allowance.SetGrants(answer.Grants, sent.Add(-answer.GrantsAge))
 	}
 	s.noteLoads(answer)
 	s.loadsAt = time.Now().Add(-answer.Heard)
--- a/warmup/allowance.go
+++ b/warmup/allowance.go
@@ -18,8 +18,8 @@
 	return &Allowance{from: now.Add(Window), grants: make(map[string]int), sent: make(map[string][]time.Time)}
 }
 
-// Told replaces the grants by those that the leader confirmed at a time.
-func (a *Allowance) Told(grants []Grant, confirmed time.Time) {
+// SetGrants replaces the grants by those that the leader confirmed at a time.
+func (a *Allowance) SetGrants(grants []Grant, confirmed time.Time) {
 	a.until = confirmed.Add(Validity)
 	clear(a.grants)
 	for _, grant := range grants {
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -85,7 +85,7 @@
 		if e.reached && revision > 0 && m.random.IntN(5) == 0 {
 			late := time.Duration(m.random.IntN(500)) * time.Millisecond
 			if confirmed := m.now.Add(-late); !confirmed.Before(m.elected) {
-				e.allowance.Told(GrantsFor(grants, e.host), confirmed)
+				e.allowance.SetGrants(GrantsFor(grants, e.host), confirmed)
 			}
 		}
 		for e.allowance.Allows("u", m.now) {
