--- a/subset/subset.go
+++ b/subset/subset.go
@@ -21,9 +21,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Least is the number of entries that callers of one data centre are told at least:
+// MinEntries is the number of entries that callers of one data centre are told at least:
 // the loss of one is felt by an eighth of them.
-const Least = 8
+const MinEntries = 8
 
 // Entry is one entry that takes new callers.
 type Entry struct {
@@ -64,9 +64,9 @@
 		return cmp.Or(cmp.Compare(keys[b], keys[a]), cmp.Compare(entries[a].Host, entries[b].Host))
 	})
 	wanted := len(entries)
-	if own >= Least && told > 0 {
+	if own >= MinEntries && told > 0 {
 		// As many as serve the requests if each takes what is usual.
-		wanted = max(Least, int(math.Ceil(float64(rate*told)/float64(most))))
+		wanted = max(MinEntries, int(math.Ceil(float64(rate*told)/float64(most))))
 	}
 	return order[:min(wanted, limit, len(entries))]
 }
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -30,7 +30,7 @@
 	entries := fleet(60)
 	for zone := range 5 {
 		places := Choose(entries, fmt.Sprintf("z%d", zone), 64)
-		if len(places) != Least {
+		if len(places) != MinEntries {
 			t.Fatalf("%d entries are named", len(places))
 		}
 		for _, at := range places {
@@ -68,7 +68,7 @@
 	slices.Reverse(entries)
 	left := slices.DeleteFunc(entries, func(e Entry) bool { return e.Host == lost })
 	after := hosts(left, Choose(left, "z1", 64))
-	if len(after) != Least || !slices.Equal(after[:Least-1], slices.Delete(before, 2, 3)) {
+	if len(after) != MinEntries || !slices.Equal(after[:MinEntries-1], slices.Delete(before, 2, 3)) {
 		t.Errorf("named %v after %s of %v was lost", after, lost, before)
 	}
 }
