--- a/catalog/document.go
+++ b/catalog/document.go
@@ -148,9 +148,9 @@
 	encoded []byte
 }
 
-// Told returns the document as entries are told it: without its source, for they read
+// ForEntries returns the document as entries are told it: without its source, for they read
 // nothing back to the operator, and encoded once for all of them. It must not be changed.
-func (d *Document) Told() *Document {
+func (d *Document) ForEntries() *Document {
 	told := *d
 	told.Source, told.encoded = nil, nil
 	told.encoded = wire.MustMarshal((*plainDocument)(&told))
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -317,7 +317,7 @@
 		return &catalog.Document{Version: m.document.Version}
 	}
 	if m.told == nil || m.told.Version != m.document.Version {
-		m.told = m.document.Told()
+		m.told = m.document.ForEntries()
 	}
 	return m.told
 }
