--- a/internal/decision/beliefs.go
+++ b/internal/decision/beliefs.go
@@ -16,7 +16,7 @@
 }
 
 // Class implements Event.
-func (e *StorePace) Class() Class { return Belief }
+func (e *StorePace) Class() Class { return StateChange }
 
 // Message implements Event.
 func (e *StorePace) Message() string { return "store pace" }
@@ -38,7 +38,7 @@
 }
 
 // Class implements Event.
-func (e *UpstreamTrust) Class() Class { return Belief }
+func (e *UpstreamTrust) Class() Class { return StateChange }
 
 // Message implements Event.
 func (e *UpstreamTrust) Message() string { return "upstream trust" }
@@ -62,7 +62,7 @@
 const lostShown = 12
 
 // Class implements Event.
-func (e *UpstreamLost) Class() Class { return Belief }
+func (e *UpstreamLost) Class() Class { return StateChange }
 
 // Message implements Event.
 func (e *UpstreamLost) Message() string { return "upstream lost" }
