--- a/internal/decision/beliefs.go
+++ b/internal/decision/beliefs.go
@@ -26,8 +26,8 @@
 	return []any{"store", e.Store, "slow", e.Slow, "pace", e.Pace, "took_ms", ms(e.Took), "predicted_ms", ms(e.Predicted)}
 }
 
-// UpstreamTrust is an upstream that came to be avoided, or trusted again.
-type UpstreamTrust struct {
+// UpstreamHealth is an upstream that came to be avoided, or trusted again.
+type UpstreamHealth struct {
 	Upstream string
 	Avoided  bool
 	// InRow counts the failures in a row, Failures is the share of late.
@@ -38,13 +38,13 @@
 }
 
 // Class implements Event.
-func (e *UpstreamTrust) Class() Class { return StateChange }
+func (e *UpstreamHealth) Class() Class { return StateChange }
 
 // Message implements Event.
-func (e *UpstreamTrust) Message() string { return "upstream trust" }
+func (e *UpstreamHealth) Message() string { return "upstream trust" }
 
 // Fields implements Event.
-func (e *UpstreamTrust) Fields() []any {
+func (e *UpstreamHealth) Fields() []any {
 	return []any{"upstream", e.Upstream, "avoided", e.Avoided, "in_row", e.InRow, "failures", e.Failures, "cause", e.Cause}
 }
 
