--- a/internal/decision/beliefs.go
+++ b/internal/decision/beliefs.go
@@ -29,7 +29,7 @@
 // UpstreamHealth is an upstream that came to be avoided, or trusted again.
 type UpstreamHealth struct {
 	Upstream string
-	Avoided  bool
+	Ejected  bool
 	// InRow counts the failures in a row, Failures is the share of late.
 	InRow    int
 	Failures float64
@@ -45,7 +45,7 @@
 
 // Fields implements Event.
 func (e *UpstreamHealth) Fields() []any {
-	return []any{"upstream", e.Upstream, "avoided", e.Avoided, "in_row", e.InRow, "failures", e.Failures, "cause", e.Cause}
+	return []any{"upstream", e.Upstream, "avoided", e.Ejected, "in_row", e.InRow, "failures", e.Failures, "cause", e.Cause}
 }
 
 // UpstreamLost tells of requests that broke off at an upstream, and whether it ended
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -97,6 +97,6 @@
 // believe logs that an upstream is avoided, or trusted again.
 func (g *Gateway) believe(u *upstreamState, avoided bool, cause error) {
 	g.options.Decisions.Emit(&decision.UpstreamHealth{
-		Upstream: u.record.ID, Avoided: avoided, InRow: u.trust.inRow, Failures: math.Round(u.trust.share(time.Now())*100) / 100, Cause: cause,
+		Upstream: u.record.ID, Ejected: avoided, InRow: u.trust.inRow, Failures: math.Round(u.trust.share(time.Now())*100) / 100, Cause: cause,
 	})
 }
