--- a/internal/decision/beliefs.go
+++ b/internal/decision/beliefs.go
@@ -55,7 +55,7 @@
 	Crashed  bool
 	// Requests are the callers' attempts, and Prints tell the same request in
 	// several of them, one for each.
-	Requests, Prints []string
+	Requests, Fingerprints []string
 }
 
 // lostShown is how many requests a line names; the rest are counted.
@@ -72,6 +72,6 @@
 	shown := min(len(e.Requests), lostShown)
 	return []any{
 		"upstream", e.Upstream, "ended", e.Crashed, "under_way", len(e.Requests),
-		"requests", strings.Join(e.Requests[:shown], ","), "prints", strings.Join(e.Prints[:shown], ","),
+		"requests", strings.Join(e.Requests[:shown], ","), "prints", strings.Join(e.Fingerprints[:shown], ","),
 	}
 }
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -56,7 +56,7 @@
 	event := &decision.UpstreamLost{Upstream: life.Upstream, Crashed: ended}
 	for _, a := range attempts {
 		event.Requests = append(event.Requests, a.Request)
-		event.Prints = append(event.Prints, a.Print.String())
+		event.Fingerprints = append(event.Fingerprints, a.Print.String())
 	}
 	g.options.Decisions.Emit(event)
 }
