--- a/internal/decision/beliefs.go
+++ b/internal/decision/beliefs.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// StorePace is a store that came to count as slow, or as sound again.
-type StorePace struct {
+// StoreSlowdown is a store that came to count as slow, or as sound again.
+type StoreSlowdown struct {
 	Store string
 	Slow  bool
 	// Pace is how many times longer its transfers take than its link says.
@@ -16,13 +16,13 @@
 }
 
 // Class implements Event.
-func (e *StorePace) Class() Class { return StateChange }
+func (e *StoreSlowdown) Class() Class { return StateChange }
 
 // Message implements Event.
-func (e *StorePace) Message() string { return "store pace" }
+func (e *StoreSlowdown) Message() string { return "store pace" }
 
 // Fields implements Event.
-func (e *StorePace) Fields() []any {
+func (e *StoreSlowdown) Fields() []any {
 	return []any{"store", e.Store, "slow", e.Slow, "pace", e.Pace, "took_ms", ms(e.Took), "predicted_ms", ms(e.Predicted)}
 }
 
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -67,7 +67,7 @@
 		before := store.pace.slowness(now) > 1
 		store.pace.note(took/p.fetchMs, now)
 		if slow := store.pace.slowness(now) > 1; slow != before {
-			g.options.Decisions.Emit(&decision.StorePace{
+			g.options.Decisions.Emit(&decision.StoreSlowdown{
 				Store: p.send.Prompt.Fetch[i].Address, Slow: slow, Pace: math.Round(store.pace.factor*10) / 10,
 				Took: time.Duration(took) * time.Millisecond, Predicted: time.Duration(p.fetchMs) * time.Millisecond,
 			})
