--- a/internal/decision/beliefs.go
+++ b/internal/decision/beliefs.go
@@ -9,8 +9,8 @@
 type StoreSlowdown struct {
 	Store string
 	Slow  bool
-	// Pace is how many times longer its transfers take than its link says.
-	Pace float64
+	// Slowdown is how many times longer its transfers take than its link says.
+	Slowdown float64
 	// Took and Predicted are those of the transfer that decided.
 	Took, Predicted time.Duration
 }
@@ -23,7 +23,7 @@
 
 // Fields implements Event.
 func (e *StoreSlowdown) Fields() []any {
-	return []any{"store", e.Store, "slow", e.Slow, "pace", e.Pace, "took_ms", ms(e.Took), "predicted_ms", ms(e.Predicted)}
+	return []any{"store", e.Store, "slow", e.Slow, "pace", e.Slowdown, "took_ms", ms(e.Took), "predicted_ms", ms(e.Predicted)}
 }
 
 // UpstreamHealth is an upstream that came to be avoided, or trusted again.
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -68,7 +68,7 @@
 		store.pace.note(took/p.fetchMs, now)
 		if slow := store.pace.slowness(now) > 1; slow != before {
 			g.options.Decisions.Emit(&decision.StoreSlowdown{
-				Store: p.send.Prompt.Fetch[i].Address, Slow: slow, Pace: math.Round(store.pace.factor*10) / 10,
+				Store: p.send.Prompt.Fetch[i].Address, Slow: slow, Slowdown: math.Round(store.pace.factor*10) / 10,
 				Took: time.Duration(took) * time.Millisecond, Predicted: time.Duration(p.fetchMs) * time.Millisecond,
 			})
 		}
