--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -105,7 +105,7 @@
 	var out bytes.Buffer
 	New(log.NewWithOptions(&out, log.Options{Formatter: log.LogfmtFormatter})).Emit(&RequestEnded{
 		Request: "r1", Route: "a", Outcome: "unknown", Cause: errors.New("reset"), Sends: 1, Waited: 40 * time.Millisecond,
-		Choice: Choice{Upstream: "i-1", Candidates: 18, Unread: 5000, Sources: "s:1", Slowdown: 3.14159, Version: 2},
+		Choice: Choice{Upstream: "i-1", Candidates: 18, PendingPrefill: 5000, Sources: "s:1", Slowdown: 3.14159, Version: 2},
 		View:   View{Config: 7, Term: 3, Age: 15 * time.Millisecond},
 	})
 	for _, want := range []string{"request=r1", "cause=reset", "upstream=i-1", "candidates=18", "unread=5000", "sources=s:1", "pace=3.1", "config=7", "term=3", "view_age_ms=15", "waited_ms=40"} {
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -11,7 +11,7 @@
 	Candidates int
 	// Requests and Tokens were under way at the upstream, by this entry's and
 	// the others' word; Unread are this entry's prompts not yet begun.
-	Requests, Tokens, Unread int
+	Requests, Tokens, PendingPrefill int
 	// PrefillTokens are the tokens expected to be read, CostMs the weighed prediction.
 	PrefillTokens int
 	CostMs        float64
@@ -113,7 +113,7 @@
 		return fields
 	}
 	return append(fields,
-		"upstream", c.Upstream, "candidates", c.Candidates, "requests", c.Requests, "tokens", c.Tokens, "unread", c.Unread,
+		"upstream", c.Upstream, "candidates", c.Candidates, "requests", c.Requests, "tokens", c.Tokens, "unread", c.PendingPrefill,
 		"reads", c.PrefillTokens, "cost_ms", int(c.CostMs), "home", c.Home, "fetched", c.Fetched, "saved", c.Saved,
 		"sources", c.Sources, "pace", math.Round(c.Slowdown*10)/10, "queue", c.Queue,
 		"distrust_ms", ms(c.HealthPenalty), "weights", c.Version)
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -56,7 +56,7 @@
 	u := p.upstream
 	p.logged = decision.Choice{
 		Upstream: u.record.ID, Candidates: p.candidates,
-		Requests: u.own.Requests + u.others.Requests, Tokens: u.own.Tokens + u.others.Tokens, Unread: u.own.Unread + u.others.Unread,
+		Requests: u.own.Requests + u.others.Requests, Tokens: u.own.Tokens + u.others.Tokens, PendingPrefill: u.own.Unread + u.others.Unread,
 		PrefillTokens: p.reads, CostMs: p.choice.CostMs, Home: p.choice.Home, HealthPenalty: u.trust.cost(now, u.silent),
 	}
 	if p.send.Prompt == nil {
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -58,7 +58,7 @@
 		return
 	}
 	reading := s.readingOf(p.upstream.record.Service)
-	rest := reading.BaseMs() + float64(p.reads+p.logged.Unread)/reading.PerMs()
+	rest := reading.BaseMs() + float64(p.reads+p.logged.PendingPrefill)/reading.PerMs()
 	took := milliseconds(now.Sub(p.sent)) - rest
 	for i, store := range p.sources {
 		if store == nil {
