--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -85,8 +85,8 @@
 	return e.View.append(e.Choice.append(fields))
 }
 
-// RequestAgain tells that a request is sent once more.
-type RequestAgain struct {
+// RequestRetried tells that a request is sent once more.
+type RequestRetried struct {
 	Request   string
 	Route     string
 	Cause     error
@@ -97,13 +97,13 @@
 }
 
 // Class implements Event.
-func (e *RequestAgain) Class() Class { return Again }
+func (e *RequestRetried) Class() Class { return Again }
 
 // Message implements Event.
-func (e *RequestAgain) Message() string { return "request sent again" }
+func (e *RequestRetried) Message() string { return "request sent again" }
 
 // Fields implements Event.
-func (e *RequestAgain) Fields() []any {
+func (e *RequestRetried) Fields() []any {
 	fields := []any{"request", e.Request, "route", e.Route, "cause", e.Cause, "sends", e.Sends, "last_event", e.LastEvent}
 	return e.View.append(e.Choice.append(fields))
 }
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -37,7 +37,7 @@
 	if r.begun {
 		r.gateway.meter.resumed.Inc()
 	}
-	r.gateway.options.Decisions.Emit(&decision.RequestAgain{
+	r.gateway.options.Decisions.Emit(&decision.RequestRetried{
 		Request: r.request.ID, Route: r.route.Name, Cause: cause, Sends: r.sends, LastEvent: r.lastEvent,
 		Choice: r.choice(), View: r.gateway.state.view(time.Now()),
 	})
