--- a/internal/decision/budget.go
+++ b/internal/decision/budget.go
@@ -13,8 +13,8 @@
 	StateChange Class = iota
 	// Failure lines tell of a request without a whole answer, and of refusals.
 	Failure
-	// Again lines tell that a request was sent once more.
-	Again
+	// Retry lines tell that a request was sent once more.
+	Retry
 	// Late lines tell of a whole answer that began after its target.
 	Late
 	// Success lines tell of the rest.
@@ -25,7 +25,7 @@
 // perSecond are the lines of each class in a second, chosen so that a process
 // writes 120 at most (about 36 KB/s) and that a sample of every class stands
 // in the log at any load.
-var perSecond = [classes]float64{StateChange: 40, Failure: 40, Again: 15, Late: 15, Success: 10}
+var perSecond = [classes]float64{StateChange: 40, Failure: 40, Retry: 15, Late: 15, Success: 10}
 
 // burst is how many seconds' worth of lines may be written at once.
 const burst = 3
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -97,7 +97,7 @@
 }
 
 // Class implements Event.
-func (e *RequestRetried) Class() Class { return Again }
+func (e *RequestRetried) Class() Class { return Retry }
 
 // Message implements Event.
 func (e *RequestRetried) Message() string { return "request sent again" }
