--- a/admit/controller.go
+++ b/admit/controller.go
@@ -53,8 +53,8 @@
 func (c *Controller) SetShares(shares map[ident.Team]Share) error {
 	total := 0.0
 	for name, s := range shares {
-		if s.Guaranteed < 0 || s.Ceiling < 0 || s.Ceiling > 1 || s.Ceiling > 0 && s.Guaranteed > s.Ceiling {
-			return fmt.Errorf("admit: share of team %q out of range: floor %v, ceiling %v", name, s.Guaranteed, s.Ceiling)
+		if s.Guaranteed < 0 || s.Maximum < 0 || s.Maximum > 1 || s.Maximum > 0 && s.Guaranteed > s.Maximum {
+			return fmt.Errorf("admit: share of team %q out of range: floor %v, ceiling %v", name, s.Guaranteed, s.Maximum)
 		}
 		total += s.Guaranteed
 	}
@@ -71,8 +71,8 @@
 
 func (c *Controller) share(name ident.Team) Share {
 	s := c.shares[name]
-	if s.Ceiling == 0 {
-		s.Ceiling = 1
+	if s.Maximum == 0 {
+		s.Maximum = 1
 	}
 	return s
 }
--- a/admit/controller_test.go
+++ b/admit/controller_test.go
@@ -152,10 +152,10 @@
 		atLeast, atMost map[ident.Team]int
 	}{
 		{"ceiling holds while others wait",
-			map[ident.Team]Share{"a": {Ceiling: 0.3}}, map[ident.Team]int{"a": 200, "b": 200},
+			map[ident.Team]Share{"a": {Maximum: 0.3}}, map[ident.Team]int{"a": 200, "b": 200},
 			map[ident.Team]int{"b": 7}, map[ident.Team]int{"a": 3}},
 		{"ceiling holds alone too",
-			map[ident.Team]Share{"a": {Ceiling: 0.5}}, map[ident.Team]int{"a": 200},
+			map[ident.Team]Share{"a": {Maximum: 0.5}}, map[ident.Team]int{"a": 200},
 			nil, map[ident.Team]int{"a": 5}},
 		{"floor is kept among many",
 			map[ident.Team]Share{"a": {Guaranteed: 0.5}}, map[ident.Team]int{"a": 200, "b": 200, "c": 200, "d": 200, "e": 200},
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -171,7 +171,7 @@
 func (c *Controller) place(t *team) {
 	limit := float64(c.limit.Value())
 	t.belowFloor = float64(t.running) < t.share.Guaranteed*limit
-	atCeiling := t.running > 0 && float64(t.running) >= t.share.Ceiling*limit
+	atCeiling := t.running > 0 && float64(t.running) >= t.share.Maximum*limit
 	placeLane(&c.urgent, &t.urgent, atCeiling)
 	placeLane(&c.relaxed, &t.relaxed, atCeiling)
 }
--- a/admit/types.go
+++ b/admit/types.go
@@ -38,7 +38,7 @@
 // Share is the part of a pool that a team may count on and may use at most, as
 // fractions of the pool's limit. A zero Ceiling means 1.
 type Share struct {
-	Guaranteed, Ceiling float64
+	Guaranteed, Maximum float64
 }
 
 // Grant lets a request start.
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -129,7 +129,7 @@
 		if team.Share.Guaranteed != 0 || team.Share.Maximum != 0 {
 			shares[team.Name] = admit.Share{
 				Guaranteed: team.Share.Guaranteed.Fraction(),
-				Ceiling:    team.Share.Maximum.Fraction(),
+				Maximum:    team.Share.Maximum.Fraction(),
 			}
 		}
 	}
