--- a/internal/entry/budgets.go
+++ b/internal/entry/budgets.go
@@ -17,7 +17,7 @@
 		if team.Share.Guaranteed != 0 || team.Share.Maximum != 0 {
 			budgets[team.Name] = keep.Budget{
 				Guaranteed: team.Share.Guaranteed.Fraction(),
-				Ceiling:    team.Share.Maximum.Fraction(),
+				Maximum:    team.Share.Maximum.Fraction(),
 			}
 		}
 	}
--- a/keep/budget_test.go
+++ b/keep/budget_test.go
@@ -92,7 +92,7 @@
 // Operators promise one team more than its even part and allow another less.
 func TestBudgetsOfOperators(t *testing.T) {
 	p := newTestPlanner(t, Options{})
-	p.m.SetBudgets(map[ident.Team]Budget{"small": {Guaranteed: 0.3}, "large": {Ceiling: 0.4}})
+	p.m.SetBudgets(map[ident.Team]Budget{"small": {Guaranteed: 0.3}, "large": {Maximum: 0.4}})
 	p.m.StoreSeen(p.now, smallStore(100))
 	p.use("small", 1, 6, 5)
 	p.run(4*time.Second, nil)
--- a/keep/team.go
+++ b/keep/team.go
@@ -66,7 +66,7 @@
 // this process's part. Zero fields mean the defaults of Options.
 type Budget struct {
 	Guaranteed float64
-	Ceiling    float64
+	Maximum    float64
 }
 
 // SetBudgets replaces the budgets that operators have set for teams.
@@ -84,7 +84,7 @@
 
 // ceiling is the most that one team may hold of a tier while others want room.
 func (m *Manager) ceiling(t *teamUse, tier prefix.Tier) float64 {
-	if ceiling := m.budgets[t.team].Ceiling; ceiling > 0 {
+	if ceiling := m.budgets[t.team].Maximum; ceiling > 0 {
 		return m.room(tier) * ceiling
 	}
 	if len(m.teams) <= 1 {
