--- a/keep/budget_test.go
+++ b/keep/budget_test.go
@@ -30,7 +30,7 @@
 // are worth.
 func TestTeamFloorAndCeiling(t *testing.T) {
 	t.Parallel()
-	p := newTestPlanner(t, Options{TeamGuaranteed: 0.3, TeamCeiling: 0.6})
+	p := newTestPlanner(t, Options{TeamGuaranteed: 0.3, TeamMaximum: 0.6})
 	p.m.StoreSeen(p.now, smallStore(100))
 	p.use("small", 1, 3, 5)
 	p.run(4*time.Second, nil)
--- a/keep/options.go
+++ b/keep/options.go
@@ -21,7 +21,7 @@
 	// guaranteed, split evenly over the teams present; TeamCeiling is the
 	// most that one team may hold of a tier.
 	TeamGuaranteed float64
-	TeamCeiling    float64
+	TeamMaximum    float64
 	// LinkShare is the part of a link that exports may use, LinkCeiling the
 	// most that one team may take of that while others wait.
 	LinkShare   float64
@@ -71,7 +71,7 @@
 	setDefault(&o.MaxRecords, DefaultMaxRecords)
 	setDefault(&o.Share, 1)
 	setDefault(&o.TeamGuaranteed, DefaultTeamFloor)
-	setDefault(&o.TeamCeiling, DefaultTeamCeiling)
+	setDefault(&o.TeamMaximum, DefaultTeamCeiling)
 	setDefault(&o.LinkShare, DefaultLinkShare)
 	setDefault(&o.LinkCeiling, DefaultLinkCeiling)
 	setDefault(&o.WriteTimeout, DefaultWriteTimeout)
@@ -115,7 +115,7 @@
 	}{
 		{"share", o.Share},
 		{"team floor", o.TeamGuaranteed},
-		{"team ceiling", o.TeamCeiling},
+		{"team ceiling", o.TeamMaximum},
 		{"link share", o.LinkShare},
 		{"link ceiling", o.LinkCeiling},
 		{"prefetch chance", o.PrefetchChance},
--- a/keep/team.go
+++ b/keep/team.go
@@ -90,7 +90,7 @@
 	if len(m.teams) <= 1 {
 		return m.room(tier)
 	}
-	return m.room(tier) * m.opts.TeamCeiling
+	return m.room(tier) * m.opts.TeamMaximum
 }
 
 // fade brings a team's use of the links up to date.
