--- a/keep/options.go
+++ b/keep/options.go
@@ -50,7 +50,7 @@
 	DefaultMaxPins        = 1 << 14
 	DefaultMaxStores      = 64
 	DefaultMaxRecords     = 4096
-	DefaultTeamFloor      = 0.3
+	DefaultTeamGuaranteed = 0.3
 	DefaultTeamCeiling    = 0.6
 	DefaultLinkShare      = 0.5
 	DefaultLinkCeiling    = 0.5
@@ -70,7 +70,7 @@
 	setDefault(&o.MaxStores, DefaultMaxStores)
 	setDefault(&o.MaxRecords, DefaultMaxRecords)
 	setDefault(&o.Share, 1)
-	setDefault(&o.TeamGuaranteed, DefaultTeamFloor)
+	setDefault(&o.TeamGuaranteed, DefaultTeamGuaranteed)
 	setDefault(&o.TeamMaximum, DefaultTeamCeiling)
 	setDefault(&o.LinkShare, DefaultLinkShare)
 	setDefault(&o.LinkCeiling, DefaultLinkCeiling)
