--- a/keep/options.go
+++ b/keep/options.go
@@ -51,7 +51,7 @@
 	DefaultMaxStores      = 64
 	DefaultMaxRecords     = 4096
 	DefaultTeamGuaranteed = 0.3
-	DefaultTeamCeiling    = 0.6
+	DefaultTeamMaximum    = 0.6
 	DefaultLinkShare      = 0.5
 	DefaultLinkCeiling    = 0.5
 	DefaultWriteTimeout   = 10 * time.Second
@@ -71,7 +71,7 @@
 	setDefault(&o.MaxRecords, DefaultMaxRecords)
 	setDefault(&o.Share, 1)
 	setDefault(&o.TeamGuaranteed, DefaultTeamGuaranteed)
-	setDefault(&o.TeamMaximum, DefaultTeamCeiling)
+	setDefault(&o.TeamMaximum, DefaultTeamMaximum)
 	setDefault(&o.LinkShare, DefaultLinkShare)
 	setDefault(&o.LinkCeiling, DefaultLinkCeiling)
 	setDefault(&o.WriteTimeout, DefaultWriteTimeout)
