--- a/keep/view.go
+++ b/keep/view.go
@@ -35,9 +35,9 @@
 	Prompts int        `json:"prompts" cbor:"prompts"`
 	// Held, Floor and Ceiling are in bytes, by tier: what the team holds, is
 	// promised and is allowed while others want room.
-	Held    [prefix.TierCount]int64 `json:"held" cbor:"held"`
-	Floor   [prefix.TierCount]int64 `json:"floor" cbor:"floor"`
-	Ceiling [prefix.TierCount]int64 `json:"ceiling" cbor:"ceiling"`
+	Held       [prefix.TierCount]int64 `json:"held" cbor:"held"`
+	Guaranteed [prefix.TierCount]int64 `json:"floor" cbor:"floor"`
+	Ceiling    [prefix.TierCount]int64 `json:"ceiling" cbor:"ceiling"`
 }
 
 // Stores describes the store hosts in the order of their names.
@@ -90,7 +90,7 @@
 func (m *Manager) viewBudget(v *TeamView) {
 	t := m.teams[v.Team]
 	for tier := range prefix.Tier(prefix.TierCount) {
-		v.Floor[tier] = int64(m.floor(t, tier))
+		v.Guaranteed[tier] = int64(m.floor(t, tier))
 		v.Ceiling[tier] = int64(m.ceiling(t, tier))
 	}
 }
