--- a/internal/entry/budgets_test.go
+++ b/internal/entry/budgets_test.go
@@ -46,7 +46,7 @@
 	if len(kept.Teams) != 1 || len(kept.Stores) != 1 || kept.Stores[0].Store != "cellar" {
 		t.Fatalf("teams %+v, stores %+v", kept.Teams, kept.Stores)
 	}
-	return [2]int64{kept.Teams[0].Guaranteed[prefix.Memory], kept.Teams[0].Ceiling[prefix.Memory]}
+	return [2]int64{kept.Teams[0].Guaranteed[prefix.Memory], kept.Teams[0].Maximum[prefix.Memory]}
 }
 
 // setShare puts a configuration in force in which the test team has a share.
--- a/keep/view.go
+++ b/keep/view.go
@@ -37,7 +37,7 @@
 	// promised and is allowed while others want room.
 	Held       [prefix.TierCount]int64 `json:"held" cbor:"held"`
 	Guaranteed [prefix.TierCount]int64 `json:"floor" cbor:"floor"`
-	Ceiling    [prefix.TierCount]int64 `json:"ceiling" cbor:"ceiling"`
+	Maximum    [prefix.TierCount]int64 `json:"ceiling" cbor:"ceiling"`
 }
 
 // Stores describes the store hosts in the order of their names.
@@ -91,7 +91,7 @@
 	t := m.teams[v.Team]
 	for tier := range prefix.Tier(prefix.TierCount) {
 		v.Guaranteed[tier] = int64(m.floor(t, tier))
-		v.Ceiling[tier] = int64(m.ceiling(t, tier))
+		v.Maximum[tier] = int64(m.ceiling(t, tier))
 	}
 }
 
