--- a/keep/budget_test.go
+++ b/keep/budget_test.go
@@ -137,7 +137,7 @@
 		}
 	})
 	t.Run("team", func(t *testing.T) {
-		p := newTestPlanner(t, Options{LinkCeiling: 0.5})
+		p := newTestPlanner(t, Options{LinkMaximum: 0.5})
 		p.m.StoreSeen(p.now, link)
 		p.use("large", 1, 200, 4)
 		p.use("small", 1000, 10, 4)
--- a/keep/model_test.go
+++ b/keep/model_test.go
@@ -123,7 +123,7 @@
 		link:    link,
 		from:    epoch.Add(modelWarmUp),
 	}
-	m.manager = testManager(t, Options{TeamGuaranteed: 1e-9, TeamMaximum: 1, LinkCeiling: 1})
+	m.manager = testManager(t, Options{TeamGuaranteed: 1e-9, TeamMaximum: 1, LinkMaximum: 1})
 	if rate := policies[policy].rate; rate != nil {
 		m.manager.rate = rate(m)
 	}
--- a/keep/options.go
+++ b/keep/options.go
@@ -25,7 +25,7 @@
 	// LinkShare is the part of a link that exports may use, LinkCeiling the
 	// most that one team may take of that while others wait.
 	LinkShare   float64
-	LinkCeiling float64
+	LinkMaximum float64
 	// WriteTimeout bounds each step of a write, PinLease the time a reader
 	// has.
 	WriteTimeout time.Duration
@@ -73,7 +73,7 @@
 	setDefault(&o.TeamGuaranteed, DefaultTeamGuaranteed)
 	setDefault(&o.TeamMaximum, DefaultTeamMaximum)
 	setDefault(&o.LinkShare, DefaultLinkShare)
-	setDefault(&o.LinkCeiling, DefaultLinkCeiling)
+	setDefault(&o.LinkMaximum, DefaultLinkCeiling)
 	setDefault(&o.WriteTimeout, DefaultWriteTimeout)
 	setDefault(&o.PinLease, DefaultPinLease)
 	setDefault(&o.IdleDelay, DefaultIdleDelay)
@@ -117,7 +117,7 @@
 		{"team floor", o.TeamGuaranteed},
 		{"team ceiling", o.TeamMaximum},
 		{"link share", o.LinkShare},
-		{"link ceiling", o.LinkCeiling},
+		{"link ceiling", o.LinkMaximum},
 		{"prefetch chance", o.PrefetchChance},
 	}
 	for _, s := range shares {
--- a/keep/plan.go
+++ b/keep/plan.go
@@ -198,7 +198,7 @@
 		rate += m.exportRate(s)
 	}
 	// A steady use of u bytes a second settles at u × half-life / ln 2.
-	return t.link > rate*m.opts.LinkCeiling*linkHalfLife.Seconds()/math.Ln2
+	return t.link > rate*m.opts.LinkMaximum*linkHalfLife.Seconds()/math.Ln2
 }
 
 // exportRate is what exports of this process may use of a store's link, in
