--- a/keep/options.go
+++ b/keep/options.go
@@ -53,7 +53,7 @@
 	DefaultTeamGuaranteed = 0.3
 	DefaultTeamMaximum    = 0.6
 	DefaultLinkShare      = 0.5
-	DefaultLinkCeiling    = 0.5
+	DefaultLinkMaximum    = 0.5
 	DefaultWriteTimeout   = 10 * time.Second
 	DefaultPinLease       = 10 * time.Second
 	DefaultIdleDelay      = 2 * time.Second
@@ -73,7 +73,7 @@
 	setDefault(&o.TeamGuaranteed, DefaultTeamGuaranteed)
 	setDefault(&o.TeamMaximum, DefaultTeamMaximum)
 	setDefault(&o.LinkShare, DefaultLinkShare)
-	setDefault(&o.LinkMaximum, DefaultLinkCeiling)
+	setDefault(&o.LinkMaximum, DefaultLinkMaximum)
 	setDefault(&o.WriteTimeout, DefaultWriteTimeout)
 	setDefault(&o.PinLease, DefaultPinLease)
 	setDefault(&o.IdleDelay, DefaultIdleDelay)
