--- a/audit/bench_test.go
+++ b/audit/bench_test.go
@@ -41,7 +41,7 @@
 		if !tracker.Match(o.Request, attempt, "u1") {
 			b.Fatal("own answer does not match")
 		}
-		err := retry.Classify(retry.Evidence{Wrote: true, Answered: true, Whole: true, Status: 200})
+		err := retry.Classify(retry.Evidence{Wrote: true, Answered: true, Complete: true, Status: 200})
 		tracker.Finish(o.Request)
 		table.Close(o.Request, audit.Closing{
 			Kind: outcome.KindOf(err), Upstream: "u1", Version: "v1", KeptPrompt: "b4", Blocks: blocks, Decided: now,
--- a/retry/classify.go
+++ b/retry/classify.go
@@ -20,8 +20,8 @@
 	Answered bool
 	// Status is the answer's HTTP status.
 	Status int
-	// Whole tells that the answer arrived in full and matched the attempt.
-	Whole bool
+	// Complete tells that the answer arrived in full and matched the attempt.
+	Complete bool
 	// Mismatched tells that the answer named another request or attempt.
 	Mismatched bool
 	// TimedOut tells that the attempt's deadline ended it.
@@ -42,10 +42,10 @@
 		return &outcome.Unknown{Reason: outcome.ReasonBadAnswer, Detail: "the answer names another request"}
 	case e.Refused:
 		return &outcome.NotRun{Reason: outcome.ReasonRefused, Detail: "the upstream states that it did not run the request"}
-	case e.Whole && e.Status >= firstErrorStatus:
+	case e.Complete && e.Status >= firstErrorStatus:
 		detail := fmt.Sprintf("the upstream answered with status %d", e.Status)
 		return &outcome.Failed{Reason: outcome.ReasonUpstreamError, Detail: detail, Status: e.Status}
-	case e.Whole:
+	case e.Complete:
 		return nil
 	case e.DialFailed && !e.Wrote:
 		return &outcome.NotRun{Reason: outcome.ReasonDial, Detail: detail("no connection to the upstream", e.Cause)}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -21,9 +21,9 @@
 		kind     outcome.Kind
 		reason   outcome.Reason
 	}{
-		{"whole answer", Evidence{Wrote: true, Answered: true, Whole: true, Status: 201}, outcome.KindDone, ""},
-		{"client error is an answer", Evidence{Wrote: true, Answered: true, Whole: true, Status: 404}, outcome.KindDone, ""},
-		{"server error", Evidence{Wrote: true, Answered: true, Whole: true, Status: 503}, outcome.KindFailed, outcome.ReasonUpstreamError},
+		{"whole answer", Evidence{Wrote: true, Answered: true, Complete: true, Status: 201}, outcome.KindDone, ""},
+		{"client error is an answer", Evidence{Wrote: true, Answered: true, Complete: true, Status: 404}, outcome.KindDone, ""},
+		{"server error", Evidence{Wrote: true, Answered: true, Complete: true, Status: 503}, outcome.KindFailed, outcome.ReasonUpstreamError},
 		{"dial failed", Evidence{DialFailed: true, Cause: cause}, outcome.KindNotRun, outcome.ReasonDial},
 		{"dial failed on a second connection", Evidence{DialFailed: true, Wrote: true, Cause: cause}, outcome.KindUnknown, outcome.ReasonConnectionLost},
 		{"deadline before the first byte", Evidence{TimedOut: true}, outcome.KindNotRun, outcome.ReasonDeadline},
@@ -32,7 +32,7 @@
 		{"no answer in time", Evidence{Wrote: true, TimedOut: true}, outcome.KindUnknown, outcome.ReasonTimeout},
 		{"answer broke off", Evidence{Wrote: true, Answered: true, Status: 200, Cause: cause}, outcome.KindUnknown, outcome.ReasonStreamBroken},
 		{"answer without a write", Evidence{Answered: true}, outcome.KindUnknown, outcome.ReasonStreamBroken},
-		{"upstream refused", Evidence{Wrote: true, Answered: true, Whole: true, Status: 503, Refused: true}, outcome.KindNotRun, outcome.ReasonRefused},
+		{"upstream refused", Evidence{Wrote: true, Answered: true, Complete: true, Status: 503, Refused: true}, outcome.KindNotRun, outcome.ReasonRefused},
 		{"refusal in a crossed answer", Evidence{Wrote: true, Refused: true, Mismatched: true}, outcome.KindUnknown, outcome.ReasonBadAnswer},
 	}
 	for _, c := range cases {
--- a/retry/sim_test.go
+++ b/retry/sim_test.go
@@ -182,11 +182,11 @@
 		s.after(time.Millisecond, func() { end(Evidence{DialFailed: true}) })
 	case s.failing(to) && s.mode == failHang:
 	case s.failing(to):
-		s.after(simService, func() { end(Evidence{Wrote: true, Answered: true, Whole: true, Status: 503}) })
+		s.after(simService, func() { end(Evidence{Wrote: true, Answered: true, Complete: true, Status: 503}) })
 	default:
 		service := time.Duration(s.random.ExpFloat64() * float64(simService))
 		s.free[to] = s.now + wait + service
-		s.after(wait+service, func() { end(Evidence{Wrote: true, Answered: true, Whole: true, Status: 200}) })
+		s.after(wait+service, func() { end(Evidence{Wrote: true, Answered: true, Complete: true, Status: 200}) })
 	}
 }
 
