--- a/internal/gateway/room.go
+++ b/internal/gateway/room.go
@@ -207,7 +207,7 @@
 // The caller holds the lock.
 func (r *run) comeBackAfter(s *state, now time.Time) time.Duration {
 	most := time.Duration(comeBackShare * float64(r.deadline.Sub(now)))
-	return s.returnsOf(r).Return(now, comeBack, min(most, comeBackMost), rand.Float64())
+	return s.returnsOf(r).RetryAfter(now, comeBack, min(most, comeBackMost), rand.Float64())
 }
 
 // longestWait is how long the request may wait for room from now on.
--- a/retry/schedule.go
+++ b/retry/schedule.go
@@ -41,10 +41,10 @@
 	return s.gap
 }
 
-// Return takes the next free time from least on and returns how long it is until
+// RetryAfter takes the next free time from least on and returns how long it is until
 // then. When all times within most are taken, callers share them: fraction, in [0,
 // 1), says where this one comes.
-func (s *Schedule) Return(now time.Time, least, most time.Duration, fraction float64) time.Duration {
+func (s *Schedule) RetryAfter(now time.Time, least, most time.Duration, fraction float64) time.Duration {
 	if most <= least {
 		return least
 	}
--- a/retry/schedule_test.go
+++ b/retry/schedule_test.go
@@ -21,7 +21,7 @@
 	var returns []time.Time
 	for i := range 40 {
 		at := now.Add(time.Duration(i) * 5 * time.Millisecond)
-		after := s.Return(at, least, most, float64(i%10)/10)
+		after := s.RetryAfter(at, least, most, float64(i%10)/10)
 		if after < least || after > most {
 			t.Fatalf("caller %d is told %v", i, after)
 		}
@@ -44,12 +44,12 @@
 	var s Schedule
 	now := time.Unix(100, 0)
 	for range 5 {
-		s.Return(now, 250*time.Millisecond, 5*time.Second, 0)
+		s.RetryAfter(now, 250*time.Millisecond, 5*time.Second, 0)
 	}
-	if after := s.Return(now.Add(10*time.Second), 250*time.Millisecond, 5*time.Second, 0); after != 250*time.Millisecond {
+	if after := s.RetryAfter(now.Add(10*time.Second), 250*time.Millisecond, 5*time.Second, 0); after != 250*time.Millisecond {
 		t.Errorf("told %v long after the burst", after)
 	}
-	if after := s.Return(now, 250*time.Millisecond, 100*time.Millisecond, 0.5); after != 250*time.Millisecond {
+	if after := s.RetryAfter(now, 250*time.Millisecond, 100*time.Millisecond, 0.5); after != 250*time.Millisecond {
 		t.Errorf("told %v where the least is beyond the most", after)
 	}
 	s.Sent(now)
