--- a/internal/entry/arriving.go
+++ b/internal/entry/arriving.go
@@ -34,7 +34,7 @@
 		return nil
 	}
 	var out []arrival
-	for _, coming := range e.inFlight.Of(route.Prompt(chain.blocks[0])) {
+	for _, coming := range e.inFlight.Lookup(route.Prompt(chain.blocks[0])) {
 		brought := e.bringing[coming.Request()]
 		if brought == nil {
 			continue
@@ -71,7 +71,7 @@
 	if p.load.CachedAfter == 0 || len(p.chain.blocks) == 0 {
 		return nil
 	}
-	for _, coming := range e.inFlight.Of(route.Prompt(p.chain.blocks[0])) {
+	for _, coming := range e.inFlight.Lookup(route.Prompt(p.chain.blocks[0])) {
 		brought := e.bringing[coming.Request()]
 		if brought != nil && coming.Import && coming.Upstream == p.candidate.Upstream {
 			return brought.landed
--- a/internal/entry/learning_test.go
+++ b/internal/entry/learning_test.go
@@ -292,8 +292,8 @@
 		open.Wait()
 		first := route.Prompt(b.blocksOf(&job{prompt: Prompt{Caller: b.prompt(t, 9).Caller, Model: testModel, Tokens: longPrompt(1)},
 			model: &config.Model{BlockTokens: 10}}, testVersion).blocks[0])
-		if len(b.bringing) != 0 || len(b.inFlight.Of(first)) != 0 {
-			t.Errorf("still in flight: %v, %v", b.bringing, b.inFlight.Of(first))
+		if len(b.bringing) != 0 || len(b.inFlight.Lookup(first)) != 0 {
+			t.Errorf("still in flight: %v, %v", b.bringing, b.inFlight.Lookup(first))
 		}
 	})
 }
--- a/internal/simload/entry.go
+++ b/internal/simload/entry.go
@@ -194,7 +194,7 @@
 	if j.candidate.CachedAfter == 0 {
 		return ident.Request{}, false
 	}
-	for _, a := range en.inFlight.Of(route.Prompt(j.req.blocks[0])) {
+	for _, a := range en.inFlight.Lookup(route.Prompt(j.req.blocks[0])) {
 		if a.Upstream == j.decision.Upstream && a.Import {
 			return a.Request(), true
 		}
--- a/internal/simload/plan.go
+++ b/internal/simload/plan.go
@@ -84,7 +84,7 @@
 
 // offerArriving adds or improves candidates that are about to hold the prompt.
 func (en *entry) offerArriving(j *job, out []route.Candidate) []route.Candidate {
-	for _, a := range en.inFlight.Of(route.Prompt(j.req.blocks[0])) {
+	for _, a := range en.inFlight.Lookup(route.Prompt(j.req.blocks[0])) {
 		tokens := min(a.Tokens, len(j.req.blocks)*blockTokens)
 		after := max(a.Ready.Sub(en.now()), time.Millisecond)
 		at := slices.IndexFunc(out, func(c route.Candidate) bool { return c.Upstream == a.Upstream })
--- a/route/inflight.go
+++ b/route/inflight.go
@@ -83,8 +83,8 @@
 	f.prompts[prompt] = kept
 }
 
-// Of lists where a prompt is about to be. The result must not be changed.
-func (f *InFlight) Of(prompt Prompt) []Arriving { return f.prompts[prompt] }
+// Lookup lists where a prompt is about to be. The result must not be changed.
+func (f *InFlight) Lookup(prompt Prompt) []Arriving { return f.prompts[prompt] }
 
 // Request tells which request brings the prefix, for those that wait for it.
 func (a Arriving) Request() ident.Request { return a.request }
--- a/route/inflight_test.go
+++ b/route/inflight_test.go
@@ -17,16 +17,16 @@
 	ready := start.Add(time.Second)
 	f.Begin(prompt, first, Arriving{Upstream: "a", Tokens: 5000, Ready: ready, Import: true})
 	f.Begin(prompt, second, Arriving{Upstream: "b", Tokens: 6000, Ready: ready})
-	if got := f.Of(prompt); len(got) != 2 || got[0].Request() != first || !got[0].Import {
+	if got := f.Lookup(prompt); len(got) != 2 || got[0].Request() != first || !got[0].Import {
 		t.Fatalf("in flight: %+v", got)
 	}
 	f.Landed(prompt, first)
-	if f.Of(prompt)[0].Import {
+	if f.Lookup(prompt)[0].Import {
 		t.Error("an import that has ended is still waited for")
 	}
 	f.End(prompt, first)
 	f.End(prompt, first)
-	if got := f.Of(prompt); len(got) != 1 || got[0].Request() != second {
+	if got := f.Lookup(prompt); len(got) != 1 || got[0].Request() != second {
 		t.Errorf("after the first ended: %+v", got)
 	}
 	f.End(prompt, second)
@@ -46,7 +46,7 @@
 	for range 10 {
 		f.Begin(Prompt{}, ident.Request{}, Arriving{})
 	}
-	if n := len(f.Of(Prompt{})); n > maxRunners {
+	if n := len(f.Lookup(Prompt{})); n > maxRunners {
 		t.Errorf("%d upstreams for one prompt", n)
 	}
 }
