--- a/internal/entry/arriving.go
+++ b/internal/entry/arriving.go
@@ -104,7 +104,7 @@
 	if brought == nil {
 		return
 	}
-	e.inFlight.Landed(route.Prompt(p.chain.blocks[0]), request)
+	e.inFlight.ImportDone(route.Prompt(p.chain.blocks[0]), request)
 	select {
 	case <-brought.landed:
 	default:
--- a/internal/simload/plan.go
+++ b/internal/simload/plan.go
@@ -266,7 +266,7 @@
 				})
 			}
 		}
-		en.inFlight.Landed(route.Prompt(j.req.blocks[0]), id)
+		en.inFlight.ImportDone(route.Prompt(j.req.blocks[0]), id)
 		en.imported(j, e, im)
 		en.brought(id)
 	})
--- a/route/inflight.go
+++ b/route/inflight.go
@@ -56,9 +56,9 @@
 	return true
 }
 
-// Landed records that a request's import has ended, so that no one waits for it
+// ImportDone records that a request's import has ended, so that no one waits for it
 // any more; the prefix is in use until the request's own first token.
-func (f *InFlight) Landed(prompt Prompt, request ident.Request) {
+func (f *InFlight) ImportDone(prompt Prompt, request ident.Request) {
 	list := f.prompts[prompt]
 	for i := range list {
 		if list[i].request == request {
--- a/route/inflight_test.go
+++ b/route/inflight_test.go
@@ -20,7 +20,7 @@
 	if got := f.Lookup(prompt); len(got) != 2 || got[0].Request() != first || !got[0].Import {
 		t.Fatalf("in flight: %+v", got)
 	}
-	f.Landed(prompt, first)
+	f.ImportDone(prompt, first)
 	if f.Lookup(prompt)[0].Import {
 		t.Error("an import that has ended is still waited for")
 	}
