--- a/internal/entry/arriving.go
+++ b/internal/entry/arriving.go
@@ -86,7 +86,7 @@
 	if len(p.chain.blocks) == 0 {
 		return
 	}
-	began := e.inFlight.Begin(route.Prompt(p.chain.blocks[0]), request, route.Arriving{
+	began := e.inFlight.Begin(route.Prompt(p.chain.blocks[0]), request, route.PendingPrefix{
 		Upstream: p.candidate.Upstream,
 		Tokens:   len(p.chain.blocks) * blockTokens,
 		Ready:    now.Add(p.decision.FirstToken),
--- a/internal/simload/entry.go
+++ b/internal/simload/entry.go
@@ -204,7 +204,7 @@
 
 // bring records what a job brings to its engine.
 func (en *entry) bring(j *job, imports bool) {
-	en.inFlight.Begin(route.Prompt(j.req.blocks[0]), en.ids[j], route.Arriving{
+	en.inFlight.Begin(route.Prompt(j.req.blocks[0]), en.ids[j], route.PendingPrefix{
 		Upstream: j.decision.Upstream, Tokens: len(j.req.blocks) * blockTokens,
 		Ready: en.now().Add(j.decision.FirstToken), Import: imports,
 	})
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -37,7 +37,7 @@
 				before := heapBytes()
 				f := NewInFlight()
 				for i := range n {
-					f.Begin(Prompt{byte(i), byte(i >> 8)}, ident.Request{}, Arriving{Upstream: "runner-00001"})
+					f.Begin(Prompt{byte(i), byte(i >> 8)}, ident.Request{}, PendingPrefix{Upstream: "runner-00001"})
 				}
 				b.ReportMetric(float64(heapBytes()-before)/float64(n), "B/prompt")
 				runtime.KeepAlive(f)
--- a/route/inflight.go
+++ b/route/inflight.go
@@ -18,14 +18,14 @@
 // to another upstream: cache events tell of blocks only when they are there,
 // and late. It is not safe for concurrent use.
 type InFlight struct {
-	prompts map[Prompt][]Arriving
+	prompts map[Prompt][]PendingPrefix
 }
 
 // Prompt names a kept prompt by its first block.
 type Prompt [16]byte
 
-// Arriving is a prompt's prefix that an upstream will hold.
-type Arriving struct {
+// PendingPrefix is a prompt's prefix that an upstream will hold.
+type PendingPrefix struct {
 	Upstream ident.Upstream
 	// Tokens is the length of the prefix.
 	Tokens int
@@ -41,12 +41,12 @@
 
 // NewInFlight returns an empty InFlight.
 func NewInFlight() *InFlight {
-	return &InFlight{prompts: make(map[Prompt][]Arriving)}
+	return &InFlight{prompts: make(map[Prompt][]PendingPrefix)}
 }
 
 // Begin records that a request brings a prefix of a prompt to an upstream. It
 // reports false when too many prompts are followed already.
-func (f *InFlight) Begin(prompt Prompt, request ident.Request, a Arriving) bool {
+func (f *InFlight) Begin(prompt Prompt, request ident.Request, a PendingPrefix) bool {
 	list, known := f.prompts[prompt]
 	if !known && len(f.prompts) >= MaxInFlightPrompts || len(list) >= maxRunners {
 		return false
@@ -84,7 +84,7 @@
 }
 
 // Lookup lists where a prompt is about to be. The result must not be changed.
-func (f *InFlight) Lookup(prompt Prompt) []Arriving { return f.prompts[prompt] }
+func (f *InFlight) Lookup(prompt Prompt) []PendingPrefix { return f.prompts[prompt] }
 
 // Request tells which request brings the prefix, for those that wait for it.
-func (a Arriving) Request() ident.Request { return a.request }
+func (a PendingPrefix) Request() ident.Request { return a.request }
--- a/route/inflight_test.go
+++ b/route/inflight_test.go
@@ -15,8 +15,8 @@
 	prompt := Prompt{1}
 	first, second := ident.Request{1}, ident.Request{2}
 	ready := start.Add(time.Second)
-	f.Begin(prompt, first, Arriving{Upstream: "a", Tokens: 5000, Ready: ready, Import: true})
-	f.Begin(prompt, second, Arriving{Upstream: "b", Tokens: 6000, Ready: ready})
+	f.Begin(prompt, first, PendingPrefix{Upstream: "a", Tokens: 5000, Ready: ready, Import: true})
+	f.Begin(prompt, second, PendingPrefix{Upstream: "b", Tokens: 6000, Ready: ready})
 	if got := f.Lookup(prompt); len(got) != 2 || got[0].Request() != first || !got[0].Import {
 		t.Fatalf("in flight: %+v", got)
 	}
@@ -38,13 +38,13 @@
 func TestInFlightIsBounded(t *testing.T) {
 	f := NewInFlight()
 	for i := range 2 * MaxInFlightPrompts {
-		f.Begin(Prompt{byte(i), byte(i >> 8), byte(i >> 16)}, ident.Request{}, Arriving{})
+		f.Begin(Prompt{byte(i), byte(i >> 8), byte(i >> 16)}, ident.Request{}, PendingPrefix{})
 	}
 	if len(f.prompts) != MaxInFlightPrompts {
 		t.Errorf("%d prompts in flight", len(f.prompts))
 	}
 	for range 10 {
-		f.Begin(Prompt{}, ident.Request{}, Arriving{})
+		f.Begin(Prompt{}, ident.Request{}, PendingPrefix{})
 	}
 	if n := len(f.Lookup(Prompt{})); n > maxRunners {
 		t.Errorf("%d upstreams for one prompt", n)
