--- a/upstream/options.go
+++ b/upstream/options.go
@@ -11,9 +11,9 @@
 	// MaxUpstreams and MaxInFlight bound the registry.
 	MaxUpstreams int
 	MaxInFlight  int
-	// Silence is how long after its last word an upstream gets nothing new,
+	// ContactTimeout is how long after its last word an upstream gets nothing new,
 	// also when its lease is longer.
-	Silence time.Duration
+	ContactTimeout time.Duration
 	// DepartureLife is how long the word that an upstream left is kept.
 	DepartureLife time.Duration
 	// SlowStart is the time over which a new upstream's weight grows to one.
@@ -48,7 +48,7 @@
 	setInt(&o.MaxUpstreams, DefaultMaxUpstreams)
 	setInt(&o.MaxInFlight, DefaultMaxInFlight)
 	setInt(&o.Entries, 1)
-	setDuration(&o.Silence, DefaultSilence)
+	setDuration(&o.ContactTimeout, DefaultSilence)
 	setDuration(&o.DepartureLife, DefaultDepartureLife)
 	setDuration(&o.SlowStart, DefaultSlowStart)
 	setDuration(&o.Transit, DefaultTransit)
@@ -75,7 +75,7 @@
 		name  string
 		value time.Duration
 	}{
-		{"silence", o.Silence},
+		{"silence", o.ContactTimeout},
 		{"departure life", o.DepartureLife},
 		{"slow start", o.SlowStart},
 		{"transit", o.Transit},
--- a/upstream/registry.go
+++ b/upstream/registry.go
@@ -153,7 +153,7 @@
 // depart takes an upstream out of its pools at once. It stays registered
 // until its lease runs out, so that work in flight keeps its address.
 func (r *Registry) depart(now time.Time, word Departure) {
-	r.departures.add(now, word, r.opts.DepartureLife, r.opts.Silence)
+	r.departures.add(now, word, r.opts.DepartureLife, r.opts.ContactTimeout)
 	i, ok := r.index[word.Upstream]
 	if !ok || r.slots[i].announced.Incarnation > word.Incarnation {
 		return
@@ -212,12 +212,12 @@
 
 // quietAt is when an upstream that says nothing more gets no more work.
 func (r *Registry) quietAt(s *slot) time.Time {
-	return s.heard.Add(min(r.opts.Silence, s.announced.Lease))
+	return s.heard.Add(min(r.opts.ContactTimeout, s.announced.Lease))
 }
 
 // goneAt is when an upstream that says nothing more is forgotten.
 func (r *Registry) goneAt(s *slot) time.Time {
-	return s.heard.Add(max(r.opts.Silence, s.announced.Lease))
+	return s.heard.Add(max(r.opts.ContactTimeout, s.announced.Lease))
 }
 
 // Advance lets leases, ejections and departures run out. Every method with a
--- a/upstream/work.go
+++ b/upstream/work.go
@@ -18,7 +18,7 @@
 	report.Queued = max(report.Queued, 0)
 	report.QueuedTokens = max(report.QueuedTokens, 0)
 	s := &r.slots[i]
-	if !s.load.take(report, now, r.opts.Transit, r.opts.Silence) {
+	if !s.load.take(report, now, r.opts.Transit, r.opts.ContactTimeout) {
 		r.stats.OldReport++
 		return false
 	}
