--- a/upstream/options.go
+++ b/upstream/options.go
@@ -33,12 +33,12 @@
 const (
 	DefaultMaxUpstreams = 4096
 	DefaultMaxInFlight  = 1 << 17
-	// DefaultSilence leaves half a second of the five that a silent upstream
+	// DefaultContactTimeout leaves half a second of the five that a silent upstream
 	// may still get work for the request that is being sent.
-	DefaultSilence       = 4500 * time.Millisecond
-	DefaultDepartureLife = 2 * time.Minute
-	DefaultSlowStart     = 10 * time.Second
-	DefaultTransit       = 5 * time.Millisecond
+	DefaultContactTimeout = 4500 * time.Millisecond
+	DefaultDepartureLife  = 2 * time.Minute
+	DefaultSlowStart      = 10 * time.Second
+	DefaultTransit        = 5 * time.Millisecond
 	// DefaultMaxEjected lets a failing half of a pool be set aside in full:
 	// with a bound below it, requests went on to upstreams known to fail.
 	DefaultMaxEjected = 0.6
@@ -48,7 +48,7 @@
 	setInt(&o.MaxUpstreams, DefaultMaxUpstreams)
 	setInt(&o.MaxInFlight, DefaultMaxInFlight)
 	setInt(&o.Entries, 1)
-	setDuration(&o.ContactTimeout, DefaultSilence)
+	setDuration(&o.ContactTimeout, DefaultContactTimeout)
 	setDuration(&o.DepartureLife, DefaultDepartureLife)
 	setDuration(&o.SlowStart, DefaultSlowStart)
 	setDuration(&o.Transit, DefaultTransit)
