--- a/upstream/options.go
+++ b/upstream/options.go
@@ -14,8 +14,8 @@
 	// ContactTimeout is how long after its last word an upstream gets nothing new,
 	// also when its lease is longer.
 	ContactTimeout time.Duration
-	// DepartureLife is how long the word that an upstream left is kept.
-	DepartureLife time.Duration
+	// DepartureTTL is how long the word that an upstream left is kept.
+	DepartureTTL time.Duration
 	// SlowStart is the time over which a new upstream's weight grows to one.
 	SlowStart time.Duration
 	// Transit is the time a request needs to reach an upstream and show in
@@ -49,7 +49,7 @@
 	setInt(&o.MaxInFlight, DefaultMaxInFlight)
 	setInt(&o.Entries, 1)
 	setDuration(&o.ContactTimeout, DefaultContactTimeout)
-	setDuration(&o.DepartureLife, DefaultDepartureLife)
+	setDuration(&o.DepartureTTL, DefaultDepartureLife)
 	setDuration(&o.SlowStart, DefaultSlowStart)
 	setDuration(&o.Transit, DefaultTransit)
 	setFloat(&o.MaxEjected, DefaultMaxEjected)
@@ -76,7 +76,7 @@
 		value time.Duration
 	}{
 		{"silence", o.ContactTimeout},
-		{"departure life", o.DepartureLife},
+		{"departure life", o.DepartureTTL},
 		{"slow start", o.SlowStart},
 		{"transit", o.Transit},
 	}
--- a/upstream/registry.go
+++ b/upstream/registry.go
@@ -153,7 +153,7 @@
 // depart takes an upstream out of its pools at once. It stays registered
 // until its lease runs out, so that work in flight keeps its address.
 func (r *Registry) depart(now time.Time, word Departure) {
-	r.departures.add(now, word, r.opts.DepartureLife, r.opts.ContactTimeout)
+	r.departures.add(now, word, r.opts.DepartureTTL, r.opts.ContactTimeout)
 	i, ok := r.index[word.Upstream]
 	if !ok || r.slots[i].announced.Incarnation > word.Incarnation {
 		return
