--- a/upstream/options.go
+++ b/upstream/options.go
@@ -36,7 +36,7 @@
 	// DefaultContactTimeout leaves half a second of the five that a silent upstream
 	// may still get work for the request that is being sent.
 	DefaultContactTimeout = 4500 * time.Millisecond
-	DefaultDepartureLife  = 2 * time.Minute
+	DefaultDepartureTTL   = 2 * time.Minute
 	DefaultSlowStart      = 10 * time.Second
 	DefaultTransit        = 5 * time.Millisecond
 	// DefaultMaxEjected lets a failing half of a pool be set aside in full:
@@ -49,7 +49,7 @@
 	setInt(&o.MaxInFlight, DefaultMaxInFlight)
 	setInt(&o.Entries, 1)
 	setDuration(&o.ContactTimeout, DefaultContactTimeout)
-	setDuration(&o.DepartureTTL, DefaultDepartureLife)
+	setDuration(&o.DepartureTTL, DefaultDepartureTTL)
 	setDuration(&o.SlowStart, DefaultSlowStart)
 	setDuration(&o.Transit, DefaultTransit)
 	setFloat(&o.MaxEjected, DefaultMaxEjected)
