--- a/internal/entry/departures.go
+++ b/internal/entry/departures.go
@@ -121,7 +121,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var passOn []departureWord
-	for _, departure := range e.registry.Depart(time.Now(), words) {
+	for _, departure := range e.registry.MergeDepartures(time.Now(), words) {
 		word := departureWord(departure)
 		e.departed(word)
 		e.counts.departuresHeard.Inc()
--- a/upstream/faults_test.go
+++ b/upstream/faults_test.go
@@ -24,7 +24,7 @@
 
 func word(incarnation ident.Incarnation) func(*testing.T, *Registry, time.Time) {
 	return func(_ *testing.T, r *Registry, now time.Time) {
-		r.Depart(now, []Departure{{Upstream: "a", Incarnation: incarnation}})
+		r.MergeDepartures(now, []Departure{{Upstream: "a", Incarnation: incarnation}})
 	}
 }
 
@@ -240,7 +240,7 @@
 	news := 0
 	for i := range 10 {
 		now := epoch.Add(time.Duration(i) * time.Second)
-		news += len(r.Depart(now, words[i%2:i%2+1]))
+		news += len(r.MergeDepartures(now, words[i%2:i%2+1]))
 	}
 	if news > len(words) {
 		t.Errorf("%d words are news, want at most %d", news, len(words))
--- a/upstream/fuzz_test.go
+++ b/upstream/fuzz_test.go
@@ -60,7 +60,7 @@
 				a.Models = append(a.Models, Loaded{Model: "m", Version: ident.Version([]string{"v1", "v2"}[data[3]%2])})
 				_, _ = r.Announce(now, a)
 			case 2:
-				r.Depart(now, []Departure{{Upstream: name, Incarnation: incarnation}})
+				r.MergeDepartures(now, []Departure{{Upstream: name, Incarnation: incarnation}})
 			case 3:
 				r.Report(now, Report{Upstream: name, Incarnation: incarnation, MeasuredAt: now, Running: int(int8(data[3]))})
 			case 4:
--- a/upstream/registry.go
+++ b/upstream/registry.go
@@ -126,9 +126,9 @@
 	return Registered, nil
 }
 
-// Depart takes the word of other entries that upstreams are leaving and
+// MergeDepartures takes the word of other entries that upstreams are leaving and
 // returns those that were news here, to be passed on.
-func (r *Registry) Depart(now time.Time, words []Departure) []Departure {
+func (r *Registry) MergeDepartures(now time.Time, words []Departure) []Departure {
 	r.Advance(now)
 	var news []Departure
 	for _, word := range words {
