--- a/internal/adapter/announce/announce.go
+++ b/internal/adapter/announce/announce.go
@@ -68,7 +68,7 @@
 	// Entries are the addresses to announce to from now on.
 	Entries []string
 	// Pace is how often the upstream should report here.
-	Pace upstream.Pace
+	Pace upstream.ReportIntervals
 }
 
 func (a Assignment) reply(leaseMillis int64) Reply {
--- a/internal/standin/announcer_test.go
+++ b/internal/standin/announcer_test.go
@@ -20,7 +20,7 @@
 type hearing struct {
 	address string
 	entries []string
-	pace    upstream.Pace
+	pace    upstream.ReportIntervals
 
 	mu            sync.Mutex
 	announcements []port.Announcement
@@ -226,7 +226,7 @@
 // although the entry asks for an hour between reports.
 func TestAnnouncerTakesIntervalsFromTheAnswer(t *testing.T) {
 	h := newHearing(t)
-	h.pace = upstream.Pace{ReportEvery: time.Hour, EventsEvery: time.Hour}
+	h.pace = upstream.ReportIntervals{ReportEvery: time.Hour, EventsEvery: time.Hour}
 	e := NewEngine(EngineOptions{Upstream: "engine-1", DataCentre: "hall-north", Announce: quick(h.address)})
 	run(t, e)
 	h.await(t, "the second announcement", func() bool { return len(h.announcements) >= 2 })
--- a/upstream/pace.go
+++ b/upstream/pace.go
@@ -28,20 +28,20 @@
 	MaxEventsEvery = 20 * time.Second
 )
 
-// Pace is how often an upstream should report to one process. Zero leaves it to
+// ReportIntervals is how often an upstream should report to one process. Zero leaves it to
 // the upstream.
-type Pace struct {
+type ReportIntervals struct {
 	ReportEvery time.Duration
 	EventsEvery time.Duration
 }
 
 // PaceFor returns the intervals at which the given number of upstreams keep to
 // the budgets. An interval at its maximum exceeds its budget.
-func PaceFor(upstreams int) Pace {
+func PaceFor(upstreams int) ReportIntervals {
 	if upstreams <= UnpacedUpstreams {
-		return Pace{}
+		return ReportIntervals{}
 	}
-	return Pace{
+	return ReportIntervals{
 		ReportEvery: paced(upstreams, ReportWireBytes, ReportBytesPerSecond, MaxReportEvery),
 		EventsEvery: paced(upstreams, EventsWireBytes, EventBytesPerSecond, MaxEventsEvery),
 	}
--- a/upstream/pace_test.go
+++ b/upstream/pace_test.go
@@ -24,7 +24,7 @@
 
 func TestPaceLeavesTodaysSizesAlone(t *testing.T) {
 	for _, n := range []int{0, 1, 21, UnpacedUpstreams} {
-		if PaceFor(n) != (Pace{}) {
+		if PaceFor(n) != (ReportIntervals{}) {
 			t.Errorf("%d upstreams are paced: %+v", n, PaceFor(n))
 		}
 	}
