--- a/internal/capacity/probes_reports.go
+++ b/internal/capacity/probes_reports.go
@@ -103,7 +103,7 @@
 	}, {
 		Role: "cell owner", Name: "load reports at the prescribed interval", SizeName: "runners followed", Unit: UnitBytesPerSec,
 		Sizes: followedSizes, Target: followedAtTarget, Measure: func(n int) (float64, error) {
-			return reportRate(n, max(ownReportEvery, upstream.PaceFor(n).ReportEvery))
+			return reportRate(n, max(ownReportEvery, upstream.ReportIntervalsFor(n).ReportEvery))
 		},
 	}, {
 		Role: "cell owner", Name: "cells of the busiest owner", SizeName: "daemons", Unit: "cells",
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -57,7 +57,7 @@
 		e.departures.add(now, left)
 		e.options.Log.Info("upstream leaves", "upstream", string(message.Upstream), "heard", "upstream")
 	}
-	pace := upstream.PaceFor(e.registry.Len())
+	pace := upstream.ReportIntervalsFor(e.registry.Len())
 	e.mu.Unlock()
 	if result == upstream.Departed {
 		e.tellDepartures([]departureWord{left})
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := upstream.PaceFor(i + 1); assignment.Pace != want {
+		if want := upstream.ReportIntervalsFor(i + 1); assignment.Pace != want {
 			t.Fatalf("upstream %d is told %+v, not %+v", i+1, assignment.Pace, want)
 		}
 		if len(assignment.Entries) == 0 {
--- a/upstream/pace.go
+++ b/upstream/pace.go
@@ -35,9 +35,9 @@
 	EventsEvery time.Duration
 }
 
-// PaceFor returns the intervals at which the given number of upstreams keep to
+// ReportIntervalsFor returns the intervals at which the given number of upstreams keep to
 // the budgets. An interval at its maximum exceeds its budget.
-func PaceFor(upstreams int) ReportIntervals {
+func ReportIntervalsFor(upstreams int) ReportIntervals {
 	if upstreams <= UnpacedUpstreams {
 		return ReportIntervals{}
 	}
--- a/upstream/pace_test.go
+++ b/upstream/pace_test.go
@@ -7,7 +7,7 @@
 
 func TestPaceKeepsToTheBudgets(t *testing.T) {
 	for _, n := range []int{33, 54, 100, 400, 4096, 1 << 40} {
-		pace := PaceFor(n)
+		pace := ReportIntervalsFor(n)
 		check := func(what string, every, longest time.Duration, bytes, budget int) {
 			t.Helper()
 			if every <= 0 || every > longest {
@@ -24,8 +24,8 @@
 
 func TestPaceLeavesTodaysSizesAlone(t *testing.T) {
 	for _, n := range []int{0, 1, 21, UnpacedUpstreams} {
-		if PaceFor(n) != (ReportIntervals{}) {
-			t.Errorf("%d upstreams are paced: %+v", n, PaceFor(n))
+		if ReportIntervalsFor(n) != (ReportIntervals{}) {
+			t.Errorf("%d upstreams are paced: %+v", n, ReportIntervalsFor(n))
 		}
 	}
 }
