--- a/internal/simtree/node.go
+++ b/internal/simtree/node.go
@@ -33,7 +33,7 @@
 
 func (n *node) child() *relay.Child {
 	if n.relay != nil {
-		return n.relay.Up()
+		return n.relay.Child()
 	}
 	return n.entry
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -38,8 +38,8 @@
 	return &Relay{up: up, down: down, unsent: make(map[ident.Host]member.Member)}, nil
 }
 
-// Up returns the link to the parent, for its state. Messages go through Relay.
-func (r *Relay) Up() *Child { return r.up }
+// Child returns the link to the parent, for its state. Messages go through Relay.
+func (r *Relay) Child() *Child { return r.up }
 
 // Down returns the side towards the children, for its state.
 func (r *Relay) Down() *Parent { return r.down }
