--- a/internal/simtree/node.go
+++ b/internal/simtree/node.go
@@ -236,7 +236,7 @@
 }
 
 func (w *World) pushBelow(n *node) {
-	for _, m := range n.relay.Down().Children() {
+	for _, m := range n.relay.Parent().Children() {
 		if m.State != member.StateDown {
 			w.pushFromRelay(n, w.byHost[m.Host])
 		}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -41,8 +41,8 @@
 // Child returns the link to the parent, for its state. Messages go through Relay.
 func (r *Relay) Child() *Child { return r.up }
 
-// Down returns the side towards the children, for its state.
-func (r *Relay) Down() *Parent { return r.down }
+// Parent returns the side towards the children, for its state.
+func (r *Relay) Parent() *Parent { return r.down }
 
 // Attach begins a session with another parent. The new parent knows nothing of
 // the children, so all of them are reported again.
