--- a/internal/control/client/watch.go
+++ b/internal/control/client/watch.go
@@ -77,7 +77,7 @@
 	if effect.Behind {
 		c.count(func(n *Counts) { n.Gaps++ })
 	}
-	if effect.Moved {
+	if effect.ConfigChanged {
 		c.adopt(next)
 	}
 	return effect.Err
--- a/internal/simtree/node.go
+++ b/internal/simtree/node.go
@@ -224,11 +224,11 @@
 	if effect.Behind {
 		n.link.Behind(w.clock(n.rate))
 	}
-	if effect.Moved {
+	if effect.ConfigChanged {
 		now := w.clock(n.rate)
 		n.link.Moved(now, n.child().Serving(now))
 	}
-	if effect.Moved && n.relay != nil {
+	if effect.ConfigChanged && n.relay != nil {
 		w.pushBelow(n)
 	}
 	w.ackUp(n)
--- a/relay/child.go
+++ b/relay/child.go
@@ -80,7 +80,7 @@
 	// Granted: the answer was awaited and brought a lease.
 	Granted bool
 	// Moved: the configuration moved forward.
-	Moved bool
+	ConfigChanged bool
 	// MembersMoved: the membership moved forward.
 	MembersMoved bool
 	// Reattach: the parent does not take this session; Attach and try again,
@@ -121,7 +121,7 @@
 func (c *Child) Pushed(update config.Update) Effect {
 	var effect Effect
 	moved, err := c.configs.Apply(update)
-	effect.Moved = moved
+	effect.ConfigChanged = moved
 	effect.note(err, config.ErrGap)
 	return effect
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -101,7 +101,7 @@
 // Pushed takes a configuration from the parent.
 func (r *Relay) Pushed(now time.Time, update config.Update) Effect {
 	effect := r.up.Pushed(update)
-	if effect.Moved {
+	if effect.ConfigChanged {
 		r.down.Committed(now, r.up.Revision())
 	}
 	return effect
