--- a/relay/child.go
+++ b/relay/child.go
@@ -82,7 +82,7 @@
 	// Moved: the configuration moved forward.
 	ConfigChanged bool
 	// MembersMoved: the membership moved forward.
-	MembersMoved bool
+	MembersChanged bool
 	// Reattach: the parent does not take this session; Attach and try again,
 	// elsewhere if it is full.
 	Reattach bool
@@ -97,7 +97,7 @@
 	var effect Effect
 	if answer.Members != nil {
 		err := c.members.Apply(*answer.Members)
-		effect.MembersMoved = err == nil
+		effect.MembersChanged = err == nil
 		// A stale update is from a parent that lags; the next one is not.
 		if !errors.Is(err, member.ErrStale) {
 			effect.note(err, member.ErrGap)
