--- a/internal/simtree/root.go
+++ b/internal/simtree/root.go
@@ -132,7 +132,7 @@
 	now := w.clock(r.rate)
 	answer := r.parent.Renew(now, renewal, relay.DefaultTerm)
 	if answer.Verdict == member.VerdictAccepted {
-		r.directory.Merge(now, from.host, renewal.Below)
+		r.directory.Merge(now, from.host, renewal.Descendants)
 	}
 	w.send(&r.end, &from.end, answer, func() { w.renewed(from, answer) })
 	w.pushFromRoot(r, from)
--- a/relay/message.go
+++ b/relay/message.go
@@ -27,8 +27,8 @@
 	Members member.Version `cbor:"8,keyasint"`
 	// Below lists what changed among the processes behind a relay, as batch
 	// Batch; it is repeated until the parent confirms the batch.
-	Batch uint64          `cbor:"9,keyasint,omitempty"`
-	Below []member.Member `cbor:"10,keyasint,omitempty"`
+	Batch       uint64          `cbor:"9,keyasint,omitempty"`
+	Descendants []member.Member `cbor:"10,keyasint,omitempty"`
 }
 
 // Renewed answers a Renewal.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -60,7 +60,7 @@
 	r.fillBatch()
 	if len(r.batch) > 0 {
 		renewal.Batch = r.batchID
-		renewal.Below = r.batch
+		renewal.Descendants = r.batch
 	}
 	return renewal
 }
