--- a/lease/granter.go
+++ b/lease/granter.go
@@ -212,9 +212,9 @@
 	return g.inForce
 }
 
-// NextLapse returns when InForce should be asked again if no acknowledgement
+// NextExpiry returns when InForce should be asked again if no acknowledgement
 // arrives before; zero when everything committed is in force.
-func (g *Granter) NextLapse(now time.Time) time.Time {
+func (g *Granter) NextExpiry(now time.Time) time.Time {
 	if g.InForce(now) >= g.committed {
 		return time.Time{}
 	}
--- a/lease/granter_test.go
+++ b/lease/granter_test.go
@@ -37,7 +37,7 @@
 	g.Committed(now, 2)
 	g.Ack(a, 2)
 	end := now.Add(GranterTerm(DefaultTerm))
-	if next := g.NextLapse(now); !next.Equal(end) {
+	if next := g.NextExpiry(now); !next.Equal(end) {
 		t.Errorf("next look at %s, want %s", next, end)
 	}
 	if got := g.InForce(end.Add(-1)); got != 1 {
