--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -171,7 +171,7 @@
 			current = l
 			progress = l.progress.wait()
 			inForce = l.parent.InForce(now) >= revision
-			next = l.parent.NextLapse(now)
+			next = l.parent.NextExpiry(now)
 		})
 		if err != nil && !s.opts.Replica.Status().IsLeader {
 			return err
--- a/relay/parent.go
+++ b/relay/parent.go
@@ -129,8 +129,8 @@
 	return config.Revision(p.granter.InForce(now))
 }
 
-// NextLapse returns when InForce may move without a message, zero if it can't.
-func (p *Parent) NextLapse(now time.Time) time.Time { return p.granter.NextExpiry(now) }
+// NextExpiry returns when InForce may move without a message, zero if it can't.
+func (p *Parent) NextExpiry(now time.Time) time.Time { return p.granter.NextExpiry(now) }
 
 // Tick marks silent children down.
 func (p *Parent) Tick(now time.Time) { p.registry.Tick(now) }
