--- a/lease/granter.go
+++ b/lease/granter.go
@@ -257,5 +257,5 @@
 // Term returns the length of the leases granted.
 func (g *Granter) Term() time.Duration { return g.opts.Term }
 
-// QuietUntil returns when the leases of earlier leaders have ended.
-func (g *Granter) QuietUntil() time.Time { return g.quietUntil }
+// EarlierLeasesEnd returns when the leases of earlier leaders have ended.
+func (g *Granter) EarlierLeasesEnd() time.Time { return g.quietUntil }
--- a/relay/parent.go
+++ b/relay/parent.go
@@ -61,7 +61,7 @@
 func (p *Parent) Term() time.Duration { return p.granter.Term() }
 
 // QuietUntil returns when the leases of earlier parents have ended.
-func (p *Parent) QuietUntil() time.Time { return p.granter.QuietUntil() }
+func (p *Parent) QuietUntil() time.Time { return p.granter.EarlierLeasesEnd() }
 
 // Release ends a lease at its holder's wish.
 func (p *Parent) Release(id lease.HolderID) { p.granter.Release(id) }
