--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -120,7 +120,7 @@
 		status.Leading = &LeaderStatus{
 			Since:      l.began,
 			InForce:    l.parent.InForce(now),
-			QuietUntil: l.parent.QuietUntil(),
+			QuietUntil: l.parent.EarlierLeasesEnd(),
 			Entries:    l.parent.Holders(now),
 		}
 	})
--- a/relay/parent.go
+++ b/relay/parent.go
@@ -60,8 +60,8 @@
 // Term returns the length of a lease that nothing limits.
 func (p *Parent) Term() time.Duration { return p.granter.Term() }
 
-// QuietUntil returns when the leases of earlier parents have ended.
-func (p *Parent) QuietUntil() time.Time { return p.granter.EarlierLeasesEnd() }
+// EarlierLeasesEnd returns when the leases of earlier parents have ended.
+func (p *Parent) EarlierLeasesEnd() time.Time { return p.granter.EarlierLeasesEnd() }
 
 // Release ends a lease at its holder's wish.
 func (p *Parent) Release(id lease.HolderID) { p.granter.Release(id) }
