--- a/member/registry.go
+++ b/member/registry.go
@@ -118,9 +118,9 @@
 	return VerdictAccepted
 }
 
-// Beat takes a short heartbeat, which repeats the stamp and state of a claim
+// ShortHeartbeat takes a short heartbeat, which repeats the stamp and state of a claim
 // that the parent already has.
-func (r *Registry) Beat(now time.Time, host ident.Host, stamp Stamp, state State) Verdict {
+func (r *Registry) ShortHeartbeat(now time.Time, host ident.Host, stamp Stamp, state State) Verdict {
 	known, exists := r.children[host]
 	if !exists || known.member.Stamp.Compare(stamp) < 0 {
 		return VerdictUnknown
--- a/relay/parent.go
+++ b/relay/parent.go
@@ -86,7 +86,7 @@
 	if r.Claim != nil {
 		return p.registry.Heartbeat(now, *r.Claim)
 	}
-	return p.registry.Beat(now, r.Host, r.Stamp, r.State)
+	return p.registry.ShortHeartbeat(now, r.Host, r.Stamp, r.State)
 }
 
 func (p *Parent) grant(now time.Time, r Renewal, limit time.Duration, answer *Renewed) {
