--- a/internal/entry/repair.go
+++ b/internal/entry/repair.go
@@ -74,7 +74,7 @@
 		return
 	}
 	repaired := snapshotOf(id, snapshot)
-	e.directories(f, func(directory *prefix.Directory) { directory.Repair(repaired) })
+	e.directories(f, func(directory *prefix.Directory) { directory.ApplySnapshot(repaired) })
 	e.counts.repairs.Inc()
 }
 
--- a/internal/simload/cluster.go
+++ b/internal/simload/cluster.go
@@ -256,7 +256,7 @@
 		snapshot.Sequence = st.feed.sequence
 		snapshot.Blocks = st.list()
 	}
-	en.directory.Repair(snapshot)
+	en.directory.ApplySnapshot(snapshot)
 }
 
 // list returns the held blocks in a fixed order.
--- a/prefix/directory.go
+++ b/prefix/directory.go
@@ -70,9 +70,9 @@
 	return h.result()
 }
 
-// Repair replaces what is known of a holder by its snapshot and then applies
+// ApplySnapshot replaces what is known of a holder by its snapshot and then applies
 // the events that came after it.
-func (d *Directory) Repair(snapshot Snapshot) ApplyResult {
+func (d *Directory) ApplySnapshot(snapshot Snapshot) ApplyResult {
 	h, result := d.current(snapshot.Upstream, snapshot.Incarnation)
 	if h == nil {
 		return result
--- a/prefix/faults_test.go
+++ b/prefix/faults_test.go
@@ -36,7 +36,7 @@
 	}
 	repair := func(sequence uint64, numbers ...int) call {
 		return func(d *Directory) ApplyResult {
-			return d.Repair(Snapshot{Upstream: "a", Incarnation: 1, Sequence: sequence, Blocks: heldBlocks(numbers...)})
+			return d.ApplySnapshot(Snapshot{Upstream: "a", Incarnation: 1, Sequence: sequence, Blocks: heldBlocks(numbers...)})
 		}
 	}
 	cleared := func(sequence uint64) Event { return Event{Sequence: sequence, Kind: Cleared} }
@@ -120,7 +120,7 @@
 				flying = append(flying[:i], flying[i+1:]...)
 			}
 			if random.IntN(30) == 0 {
-				d.Repair(Snapshot{Upstream: "a", Incarnation: 1, Sequence: sequence, Blocks: truthBlocks(truth)})
+				d.ApplySnapshot(Snapshot{Upstream: "a", Incarnation: 1, Sequence: sequence, Blocks: truthBlocks(truth)})
 			}
 			if len(d.Stale(nil)) > 0 || d.holders.find("a").next != sequence+1 {
 				continue
@@ -236,7 +236,7 @@
 			case 0, 1:
 				d.Apply(Batch{Upstream: name, Incarnation: ident.Incarnation(1 + data[1]/200), Events: []Event{event}})
 			case 2:
-				d.Repair(Snapshot{Upstream: name, Incarnation: 1, Sequence: sequence, Blocks: heldBlocks(int(data[3]), 1, 2)})
+				d.ApplySnapshot(Snapshot{Upstream: name, Incarnation: 1, Sequence: sequence, Blocks: heldBlocks(int(data[3]), 1, 2)})
 			case 3:
 				blocks := []BlockID{blockNumber(1), blockNumber(int(data[3]))}
 				d.Observe(Answer{Upstream: name, Incarnation: 1, Blocks: blocks, Claimed: int(int8(data[2])), Reused: int(int8(data[3])), Held: int(int8(data[2]))})
