--- a/internal/entry/keeper.go
+++ b/internal/entry/keeper.go
@@ -146,7 +146,7 @@
 // which another home may have made. The caller holds the mutex.
 func (k *keeper) take(now time.Time, finished keep.Use) {
 	k.manager.Used(now, finished)
-	var copies []prefix.Located
+	var copies []prefix.StoredCopy
 	for _, block := range finished.Blocks {
 		if k.manager.Phase(block) != keep.Absent {
 			continue
--- a/internal/entry/learning_test.go
+++ b/internal/entry/learning_test.go
@@ -138,7 +138,7 @@
 		b.mu.Lock()
 		disk, memory := b.fetching.from[storeTier{"cellar", true}], b.fetching.from[storeTier{"cellar", false}]
 		into := b.routeCandidate(candidate{Candidate: upstream.Candidate{Upstream: "runner-1"}}, 10).PendingImportBytes
-		pending := b.newRun(time.Now(), prefix.Located{Store: "cellar", Copy: prefix.Copy{Tier: prefix.Disk}}, 0, 10).PendingBytes
+		pending := b.newRun(time.Now(), prefix.StoredCopy{Store: "cellar", Copy: prefix.Copy{Tier: prefix.Disk}}, 0, 10).PendingBytes
 		b.mu.Unlock()
 		if disk != 4000 || memory != 0 || into != 4000 || pending != 4000 {
 			t.Errorf("under way: disk %d, memory %d, engine %d, ahead of the next %d", disk, memory, into, pending)
--- a/internal/entry/plan.go
+++ b/internal/entry/plan.go
@@ -268,10 +268,10 @@
 
 // copies chooses a store copy of each of the prompt's blocks, where there is
 // one, and joins neighbours on one host to runs. The caller holds the mutex.
-func (e *Entry) copies(now time.Time, j *job, chain chain) ([]prefix.Located, []route.Copy) {
-	var located []prefix.Located
+func (e *Entry) copies(now time.Time, j *job, chain chain) ([]prefix.StoredCopy, []route.Copy) {
+	var located []prefix.StoredCopy
 	var runs []route.Copy
-	var found []prefix.Located
+	var found []prefix.StoredCopy
 	tokens := j.model.BlockTokens
 	for i, block := range chain.blocks {
 		found = e.stores.Copies(block, found[:0])
@@ -280,7 +280,7 @@
 			continue
 		}
 		if located == nil {
-			located = make([]prefix.Located, len(chain.blocks))
+			located = make([]prefix.StoredCopy, len(chain.blocks))
 		}
 		located[i] = best
 		last := len(runs) - 1
@@ -299,8 +299,8 @@
 
 // bestCopy prefers memory over disk, then the store of the run so far, then
 // the store from which least is being fetched.
-func (e *Entry) bestCopy(now time.Time, found []prefix.Located, runs []route.Copy) (prefix.Located, bool) {
-	var best prefix.Located
+func (e *Entry) bestCopy(now time.Time, found []prefix.StoredCopy, runs []route.Copy) (prefix.StoredCopy, bool) {
+	var best prefix.StoredCopy
 	ok := false
 	for _, c := range found {
 		if !e.offered(now, c.Store) {
@@ -313,7 +313,7 @@
 	return best, ok
 }
 
-func (e *Entry) better(a, b prefix.Located, runs []route.Copy) bool {
+func (e *Entry) better(a, b prefix.StoredCopy, runs []route.Copy) bool {
 	if a.Copy.Tier != b.Copy.Tier {
 		return a.Copy.Tier < b.Copy.Tier
 	}
@@ -332,7 +332,7 @@
 	return ok
 }
 
-func (e *Entry) newRun(now time.Time, c prefix.Located, from, tokens int) route.Copy {
+func (e *Entry) newRun(now time.Time, c prefix.StoredCopy, from, tokens int) route.Copy {
 	run := route.Copy{
 		Store:        c.Store,
 		From:         from,
@@ -351,7 +351,7 @@
 
 // sources turns the decision's parts into the copies that the engine fetches.
 // The caller holds the mutex.
-func (e *Entry) sources(decision route.Decision, located []prefix.Located, blockTokens int) []port.BlockSource {
+func (e *Entry) sources(decision route.Decision, located []prefix.StoredCopy, blockTokens int) []port.BlockSource {
 	var out []port.BlockSource
 	for _, part := range decision.Parts {
 		out = e.appendSources(out, located, part.From/blockTokens, part.To/blockTokens)
@@ -362,7 +362,7 @@
 // held lists the copies of what the engine is thought to hold, when an import
 // is to name them: else what it holds could be evicted while the rest arrives,
 // and the rest alone is of no use. The caller holds the mutex.
-func (e *Entry) held(decision route.Decision, located []prefix.Located, blockTokens int) []port.BlockSource {
+func (e *Entry) held(decision route.Decision, located []prefix.StoredCopy, blockTokens int) []port.BlockSource {
 	if !decision.Verify && len(decision.Parts) == 0 {
 		return nil
 	}
@@ -371,7 +371,7 @@
 
 // appendSources adds the copies of the blocks from index from up to, and
 // without, index to.
-func (e *Entry) appendSources(out []port.BlockSource, located []prefix.Located, from, to int) []port.BlockSource {
+func (e *Entry) appendSources(out []port.BlockSource, located []prefix.StoredCopy, from, to int) []port.BlockSource {
 	for i := from; i < min(to, len(located)); i++ {
 		c := located[i]
 		if f := e.followed[c.Store]; f != nil {
--- a/internal/entry/underway.go
+++ b/internal/entry/underway.go
@@ -50,14 +50,14 @@
 	return storeTier{store: source.Store, slow: p.slow[source.Block]}
 }
 
-func tierOfCopy(c prefix.Located) storeTier {
+func tierOfCopy(c prefix.StoredCopy) storeTier {
 	return storeTier{store: c.Store, slow: c.Copy.Tier != prefix.Memory}
 }
 
 func tierOfRun(run route.Copy) storeTier { return storeTier{store: run.Store, slow: run.Slow} }
 
 // slowOf names the blocks whose copies are on a tier below memory.
-func slowOf(decision route.Decision, located []prefix.Located) map[port.BlockID]bool {
+func slowOf(decision route.Decision, located []prefix.StoredCopy) map[port.BlockID]bool {
 	if len(decision.Parts) == 0 {
 		return nil
 	}
--- a/internal/simload/clairvoyant.go
+++ b/internal/simload/clairvoyant.go
@@ -37,15 +37,15 @@
 }
 
 // locateExact finds the true copy of a block, memory before disk.
-func (en *entry) locateExact(id prefix.BlockID) (prefix.Located, bool) {
-	var best prefix.Located
+func (en *entry) locateExact(id prefix.BlockID) (prefix.StoredCopy, bool) {
+	var best prefix.StoredCopy
 	found := false
 	for _, st := range en.cluster.sim.stores {
 		h, tier := st.find(id)
 		if h == nil || !st.alive || found && tier >= best.Copy.Tier {
 			continue
 		}
-		best = prefix.Located{Store: st.name, Incarnation: st.incarnation, Block: id, Copy: copyOf(h, tier)}
+		best = prefix.StoredCopy{Store: st.name, Incarnation: st.incarnation, Block: id, Copy: copyOf(h, tier)}
 		found = true
 	}
 	return best, found
--- a/internal/simload/decision_bench_test.go
+++ b/internal/simload/decision_bench_test.go
@@ -35,7 +35,7 @@
 	now      time.Time
 	matches  []prefix.Match
 	picked   []upstream.Candidate
-	located  []prefix.Located
+	located  []prefix.StoredCopy
 }
 
 const (
--- a/internal/simload/entry.go
+++ b/internal/simload/entry.go
@@ -33,7 +33,7 @@
 	joined     map[ident.Request][]*job
 	candidates []upstream.Candidate
 	matches    []prefix.Match
-	located    []prefix.Located
+	located    []prefix.StoredCopy
 }
 
 func newEntry(c *cluster, index int) *entry {
--- a/internal/simload/plan.go
+++ b/internal/simload/plan.go
@@ -168,7 +168,7 @@
 }
 
 // locate picks a copy on an offered store host, memory before disk.
-func (en *entry) locate(id prefix.BlockID) (prefix.Located, bool) {
+func (en *entry) locate(id prefix.BlockID) (prefix.StoredCopy, bool) {
 	if en.cluster.tuning.Exact {
 		return en.locateExact(id)
 	}
@@ -184,7 +184,7 @@
 		}
 	}
 	if best < 0 {
-		return prefix.Located{}, false
+		return prefix.StoredCopy{}, false
 	}
 	return en.located[best], true
 }
--- a/prefix/longest.go
+++ b/prefix/longest.go
@@ -75,10 +75,10 @@
 }
 
 // Copies appends to out the store copies of block.
-func (d *Directory) Copies(block BlockID, out []Located) []Located {
+func (d *Directory) Copies(block BlockID, out []StoredCopy) []StoredCopy {
 	for _, c := range d.blocks.copies[block] {
 		h := &d.holders.slots[c.holder]
-		out = append(out, Located{
+		out = append(out, StoredCopy{
 			Store:       h.upstream,
 			Incarnation: h.incarnation,
 			Block:       block,
--- a/prefix/types.go
+++ b/prefix/types.go
@@ -150,8 +150,8 @@
 	Stale bool
 }
 
-// Located is a copy together with the store host that has it.
-type Located struct {
+// StoredCopy is a copy together with the store host that has it.
+type StoredCopy struct {
 	Store       ident.Upstream
 	Incarnation ident.Incarnation
 	Block       BlockID
