--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -143,11 +143,11 @@
 // sent by the proof.
 func (o *Orderer) maySend(ctx context.Context, e *orderEpoch) (until time.Time, ok bool) {
 	began := o.opts.Clock()
-	if o.opts.Server.barrier(ctx) != nil || o.opts.Clock().Sub(began) > order.Lease/2 {
+	if o.opts.Server.barrier(ctx) != nil || o.opts.Clock().Sub(began) > order.LeaderLease/2 {
 		return time.Time{}, false
 	}
 	ok = o.opts.Server.leading(func(*leadership, time.Time) {}) == nil && e.leadership.done.Err() == nil
-	return began.Add(order.Lease), ok
+	return began.Add(order.LeaderLease), ok
 }
 
 func (o *Orderer) each(n int, f func(int)) {
--- a/internal/control/suspended_test.go
+++ b/internal/control/suspended_test.go
@@ -59,7 +59,7 @@
 		d.upstreams.Store(&report)
 		// The machine is suspended between each proof and the order by it.
 		var suspended, each atomic.Int64
-		each.Store(int64(order.Lease))
+		each.Store(int64(order.LeaderLease))
 		for _, server := range d.servers {
 			orderer := control.NewOrderer(control.OrderOptions{
 				Server: server, Log: quiet,
--- a/order/gate.go
+++ b/order/gate.go
@@ -8,9 +8,9 @@
 
 // Times that bound how long an order of a replaced leader can still arrive.
 const (
-	// Lease is how long after it last proved its leadership a leader may send
+	// LeaderLease is how long after it last proved its leadership a leader may send
 	// an order.
-	Lease = 2 * time.Second
+	LeaderLease = 2 * time.Second
 	// MaxFlight is the longest that an order is under way between the leader's
 	// last byte and the engine's reading it. The sender gives up after half of
 	// it; the rest covers what the network still delivers from its buffers.
@@ -40,5 +40,5 @@
 	if g.first || checksFence && kind != LoadVersion {
 		return g.opened
 	}
-	return g.opened.Add(lease.GranterTerm(Lease) + MaxFlight)
+	return g.opened.Add(lease.GranterTerm(LeaderLease) + MaxFlight)
 }
