--- a/quorum/incarnation.go
+++ b/quorum/incarnation.go
@@ -57,7 +57,7 @@
 		n.sendRevoke(m, RevokeEarlierIncarnation)
 		return false
 	case m.Term < r.Term:
-		n.revokePeer(m, RevokeTermBack)
+		n.revokePeer(m, RevokeTermRegressed)
 		return false
 	}
 	r.Incarnation = m.Incarnation
--- a/quorum/types.go
+++ b/quorum/types.go
@@ -165,7 +165,7 @@
 	// them began from an older copy of the disk.
 	RevokeSplitIncarnation
 	// RevokeTermBack: a later incarnation with a smaller term.
-	RevokeTermBack
+	RevokeTermRegressed
 	// RevokeIndexBack: entries that were acknowledged as synced are gone.
 	RevokeIndexBack
 )
