--- a/quorum/incarnation.go
+++ b/quorum/incarnation.go
@@ -45,7 +45,7 @@
 		n.sendRevoke(m, RevokeSplitIncarnation)
 		return false
 	case tells && last < r.Acked && now > startsOf(r.AckedBy):
-		n.revokePeer(m, RevokeIndexBack)
+		n.revokePeer(m, RevokeIndexRegressed)
 		return false
 	case m.Incarnation == r.Incarnation:
 		r.Term = max(r.Term, m.Term)
--- a/quorum/revoke.go
+++ b/quorum/revoke.go
@@ -93,6 +93,6 @@
 	if m.Round <= p.seenRound || m.Last >= p.match || n.faults.trustBack {
 		return false
 	}
-	n.revokePeer(m, RevokeIndexBack)
+	n.revokePeer(m, RevokeIndexRegressed)
 	return true
 }
--- a/quorum/types.go
+++ b/quorum/types.go
@@ -167,7 +167,7 @@
 	// RevokeTermBack: a later incarnation with a smaller term.
 	RevokeTermRegressed
 	// RevokeIndexBack: entries that were acknowledged as synced are gone.
-	RevokeIndexBack
+	RevokeIndexRegressed
 )
 
 // Chunk is a part of a snapshot.
