--- a/quorum/incarnation.go
+++ b/quorum/incarnation.go
@@ -42,7 +42,7 @@
 	last, tells := lastOf(&m)
 	switch {
 	case r.Revoked:
-		n.sendRevoke(m, RevokeSplitIncarnation)
+		n.sendRevoke(m, RevokeDuplicateIncarnation)
 		return false
 	case tells && last < r.Acked && now > startsOf(r.AckedBy):
 		n.revokePeer(m, RevokeIndexRegressed)
@@ -51,7 +51,7 @@
 		r.Term = max(r.Term, m.Term)
 		return true
 	case now == known:
-		n.revokePeer(m, RevokeSplitIncarnation)
+		n.revokePeer(m, RevokeDuplicateIncarnation)
 		return false
 	case now < known:
 		n.sendRevoke(m, RevokeEarlierIncarnation)
--- a/quorum/types.go
+++ b/quorum/types.go
@@ -163,7 +163,7 @@
 	RevokeEarlierIncarnation RevokeReason = iota + 1
 	// RevokeSplitIncarnation: two incarnations share one counter, so one of
 	// them began from an older copy of the disk.
-	RevokeSplitIncarnation
+	RevokeDuplicateIncarnation
 	// RevokeTermBack: a later incarnation with a smaller term.
 	RevokeTermRegressed
 	// RevokeIndexBack: entries that were acknowledged as synced are gone.
