--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -70,7 +70,7 @@
 // refused before it runs, instead of being answered without a trace; closed
 // records drop out in the order of their closing and never grow in number.
 func TestTableIsBounded(t *testing.T) {
-	table := NewTable(Options{MaxOpen: 2, Ring: 3, SampleEvery: 4})
+	table := NewTable(Options{MaxOpen: 2, MaxClosed: 3, SampleEvery: 4})
 	for n := range byte(2) {
 		if err := table.Open(opening(n, "", "")); err != nil {
 			t.Fatal(err)
--- a/audit/table.go
+++ b/audit/table.go
@@ -13,15 +13,15 @@
 type Options struct {
 	// MaxOpen bounds the open requests.
 	MaxOpen int
-	// Ring is how many closed records are kept.
-	Ring int
+	// MaxClosed is how many closed records are kept.
+	MaxClosed int
 	// SampleEvery keeps one of so many closed records of sampled classes.
 	SampleEvery uint64
 }
 
 // DefaultOptions returns the options of an entry host.
 func DefaultOptions() Options {
-	return Options{MaxOpen: 1 << 16, Ring: 1 << 14, SampleEvery: 16}
+	return Options{MaxOpen: 1 << 16, MaxClosed: 1 << 14, SampleEvery: 16}
 }
 
 // ErrFull reports that too many requests are open. The request must be refused
@@ -101,15 +101,15 @@
 }
 
 func (t *Table) keep(record Record) {
-	if t.options.Ring <= 0 {
+	if t.options.MaxClosed <= 0 {
 		return
 	}
-	if len(t.ring) < t.options.Ring {
+	if len(t.ring) < t.options.MaxClosed {
 		t.ring = append(t.ring, record)
 		return
 	}
 	t.ring[t.next] = record
-	t.next = (t.next + 1) % t.options.Ring
+	t.next = (t.next + 1) % t.options.MaxClosed
 }
 
 // NewlyOverdue returns the requests that became overdue since the last call,
