--- a/config/image.go
+++ b/config/image.go
@@ -4,15 +4,15 @@
 
 // Image is a State as plain data, for snapshots of the replicated log.
 type Image struct {
-	Revision Revision       `cbor:"1,keyasint"`
-	Document Document       `cbor:"2,keyasint"`
-	History  []RevisionMeta `cbor:"3,keyasint,omitempty"`
-	Deltas   []Delta        `cbor:"4,keyasint,omitempty"`
-	Requests []Request      `cbor:"5,keyasint,omitempty"`
+	Revision Revision          `cbor:"1,keyasint"`
+	Document Document          `cbor:"2,keyasint"`
+	History  []RevisionMeta    `cbor:"3,keyasint,omitempty"`
+	Deltas   []Delta           `cbor:"4,keyasint,omitempty"`
+	Requests []AnsweredRequest `cbor:"5,keyasint,omitempty"`
 }
 
-// Request is the first answer to one request id.
-type Request struct {
+// AnsweredRequest is the first answer to one request id.
+type AnsweredRequest struct {
 	ID      string        `cbor:"1,keyasint"`
 	Content ContentDigest `cbor:"2,keyasint"`
 	Result  Result        `cbor:"3,keyasint"`
@@ -25,11 +25,11 @@
 		Document: s.current.Document(),
 		History:  s.history.items,
 		Deltas:   s.deltas.kept.items,
-		Requests: make([]Request, 0, len(s.order.items)),
+		Requests: make([]AnsweredRequest, 0, len(s.order.items)),
 	}
 	for _, id := range s.order.items {
 		first := s.requests[id]
-		image.Requests = append(image.Requests, Request{ID: id, Content: first.content, Result: first.result})
+		image.Requests = append(image.Requests, AnsweredRequest{ID: id, Content: first.content, Result: first.result})
 	}
 	return image
 }
