--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -201,7 +201,7 @@
 // claim asks until the key is won or settled, at the older shard first.
 func (c *Client) claim(ctx context.Context, claim once.Claim) (claimed, error) {
 	var last claimed
-	for _, shard := range c.options.Shards().Of(claim.Key.ID()) {
+	for _, shard := range c.options.Shards().ForKey(claim.Key.ID()) {
 		var err error
 		last, err = c.claimAt(ctx, GroupOf(shard), claim)
 		if err != nil || last.result.Status != once.StatusMoved {
--- a/once/bounds_test.go
+++ b/once/bounds_test.go
@@ -83,7 +83,7 @@
 	const before, after = 2, 3
 	ledgers := []*Ledger{New(), New(), New()}
 	claim := func(history Shards, c Claim) Status {
-		for _, shard := range history.Of(c.Key.ID()) {
+		for _, shard := range history.ForKey(c.Key.ID()) {
 			c := c
 			got := ledgers[shard].Execute(Command{NowMillis: testStart, Claim: &c})
 			if got.Status != StatusMoved {
--- a/once/key.go
+++ b/once/key.go
@@ -129,8 +129,8 @@
 // StatusMoved; so a key that was claimed before a change is found after it.
 type Shards []uint32
 
-// Of returns the shards to ask for a key, in order, each once.
-func (s Shards) Of(id KeyID) []uint32 {
+// ForKey returns the shards to ask for a key, in order, each once.
+func (s Shards) ForKey(id KeyID) []uint32 {
 	var asked []uint32
 	for _, count := range s {
 		shard := id.Shard(count)
