--- a/internal/ledger/do.go
+++ b/internal/ledger/do.go
@@ -90,7 +90,7 @@
 		return Result{}, err
 	}
 	answer = answerOf(answer, err, claim.Request)
-	record := &once.Record{Key: claim.Key, ID: claim.ID, Answer: answer.Bounded()}
+	record := &once.Record{Key: claim.Key, ID: claim.ID, Answer: answer.LimitBody()}
 	c.settle(ctx, settlement{group: group, record: record})
 	return Result{Answer: answer}, answer.Err()
 }
--- a/once/settle.go
+++ b/once/settle.go
@@ -156,10 +156,10 @@
 // MaxSentBody is the largest body that is sent to a ledger at all.
 const MaxSentBody = 256 << 10
 
-// Bounded returns the answer as it may be sent to a ledger: one with a larger
+// LimitBody returns the answer as it may be sent to a ledger: one with a larger
 // body has its length and digest instead. The ledger cuts further as its own
 // options say.
-func (a Answer) Bounded() Answer {
+func (a Answer) LimitBody() Answer {
 	a.Header = boundHeader(a.Header)
 	if len(a.Body) > MaxSentBody {
 		a = a.withoutBody()
