--- a/internal/control/deployment_test.go
+++ b/internal/control/deployment_test.go
@@ -54,7 +54,7 @@
 		addresses[name] = string(name)
 	}
 	for i, replica := range d.group.hosts {
-		server := control.NewServer(control.Options{Replica: replica, Machine: replica.machine, Addresses: addresses, EntryReplaced: d.entryReplaced, Log: quiet})
+		server := control.NewServer(control.Options{Replica: replica, Machine: replica.machine, Addresses: addresses, OnEntryReplaced: d.entryReplaced, Log: quiet})
 		server.Register(fakeRegistry{d.network, string(hostNames[i])})
 		d.servers = append(d.servers, server)
 		d.run(server.Run)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -36,9 +36,9 @@
 	// LedgerGroups is how many ledger groups the control hosts keep; a
 	// configuration that asks for more is refused. Zero means no bound.
 	LedgerGroups int
-	// EntryReplaced is told an entry's former incarnation once a later one has
+	// OnEntryReplaced is told an entry's former incarnation once a later one has
 	// asked for a lease; it may be nil and must not block.
-	EntryReplaced func(host ident.Host, former ident.Incarnation)
+	OnEntryReplaced func(host ident.Host, former ident.Incarnation)
 	// MaxCommandBytes bounds one change. Zero means no bound.
 	MaxCommandBytes int
 	Log             *log.Logger
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -126,8 +126,8 @@
 	if err != nil {
 		return protocol.RenewAnswer{Redirect: s.redirect()}, nil
 	}
-	if former != 0 && s.opts.EntryReplaced != nil {
-		s.opts.EntryReplaced(from.Host, former)
+	if former != 0 && s.opts.OnEntryReplaced != nil {
+		s.opts.OnEntryReplaced(from.Host, former)
 	}
 	s.stats.renewals.Inc()
 	if renewed.Refused != "" {
--- a/internal/controlhost/host.go
+++ b/internal/controlhost/host.go
@@ -125,7 +125,7 @@
 		Machine:         h.config,
 		Addresses:       o.Control,
 		LedgerGroups:    o.LedgerGroups,
-		EntryReplaced:   h.entryReplaced,
+		OnEntryReplaced: h.entryReplaced,
 		MaxCommandBytes: o.Quorum.MaxCommandBytes,
 		Log:             o.Log,
 	})
