--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -29,8 +29,8 @@
 	// Dial returns the engine at an address. It does not connect yet.
 	Dial func(address string) (port.Engine, error)
 	Log  *log.Logger
-	// Every is how often a plan is made.
-	Every time.Duration
+	// PlanInterval is how often a plan is made.
+	PlanInterval time.Duration
 	// Concurrency bounds the engines that are read or ordered at once.
 	Concurrency int
 	Planner     order.Options
@@ -59,7 +59,7 @@
 
 // NewOrderer returns an orderer; Run starts it.
 func NewOrderer(opts OrderOptions) *Orderer {
-	opts.Every = cmp.Or(opts.Every, DefaultOrderEvery)
+	opts.PlanInterval = cmp.Or(opts.PlanInterval, DefaultOrderEvery)
 	if opts.Clock == nil {
 		opts.Clock = time.Now
 	}
@@ -76,7 +76,7 @@
 
 // Run gives orders while the server leads, until ctx ends.
 func (o *Orderer) Run(ctx context.Context) error {
-	ticker := time.NewTicker(o.opts.Every)
+	ticker := time.NewTicker(o.opts.PlanInterval)
 	defer ticker.Stop()
 	var current *orderEpoch
 	for {
