--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -18,7 +18,7 @@
 
 // Defaults of OrderOptions.
 const (
-	DefaultOrderEvery       = 500 * time.Millisecond
+	DefaultPlanInterval     = 500 * time.Millisecond
 	DefaultOrderConcurrency = 16
 	stateTimeout            = 2 * time.Second
 )
@@ -59,7 +59,7 @@
 
 // NewOrderer returns an orderer; Run starts it.
 func NewOrderer(opts OrderOptions) *Orderer {
-	opts.PlanInterval = cmp.Or(opts.PlanInterval, DefaultOrderEvery)
+	opts.PlanInterval = cmp.Or(opts.PlanInterval, DefaultPlanInterval)
 	if opts.Clock == nil {
 		opts.Clock = time.Now
 	}
