--- a/quorum/read.go
+++ b/quorum/read.go
@@ -107,7 +107,7 @@
 	case n.leader == Member{}:
 		return &NotLeaderError{}
 	}
-	n.sendSynced(Message{Type: MsgReadIndex, Read: id, Round: uint64(n.hard.Incarnation)}, n.leader)
+	n.sendSynced(Message{Type: MsgReadIndex, ReadID: id, Round: uint64(n.hard.Incarnation)}, n.leader)
 	return nil
 }
 
@@ -157,7 +157,7 @@
 		n.reads = append(n.reads, Read{ID: r.id, Index: n.log.commit})
 		return
 	}
-	n.sendNow(Message{Type: MsgReadIndexReply, Read: r.id, Round: r.incarnation, Index: n.log.commit}, r.from)
+	n.sendNow(Message{Type: MsgReadIndexReply, ReadID: r.id, Round: r.incarnation, Index: n.log.commit}, r.from)
 }
 
 func (n *Node) failRead(r pendingRead, leader ident.Host) {
@@ -165,11 +165,11 @@
 		n.reads = append(n.reads, Read{ID: r.id, Err: &NotLeaderError{Leader: leader}})
 		return
 	}
-	n.sendSynced(Message{Type: MsgReadIndexReply, Read: r.id, Round: r.incarnation, Reject: true}, r.from)
+	n.sendSynced(Message{Type: MsgReadIndexReply, ReadID: r.id, Round: r.incarnation, Reject: true}, r.from)
 }
 
 func (n *Node) handleReadIndex(m Message) {
-	r := pendingRead{from: sender(m), id: m.Read, incarnation: m.Round}
+	r := pendingRead{from: sender(m), id: m.ReadID, incarnation: m.Round}
 	if n.role != RoleLeader || n.addRead(r) != nil {
 		n.failRead(r, n.leader.Host)
 	}
@@ -180,7 +180,7 @@
 	if m.Round != uint64(n.hard.Incarnation) {
 		return
 	}
-	read := Read{ID: m.Read, Index: m.Index}
+	read := Read{ID: m.ReadID, Index: m.Index}
 	if m.Reject {
 		read.Err = &NotLeaderError{Leader: n.leader.Host}
 	}
--- a/quorum/types.go
+++ b/quorum/types.go
@@ -207,7 +207,7 @@
 	// Force marks a vote that the leader itself has asked for, so that
 	// voters need not wait out its lease.
 	Force  bool   `cbor:"15,keyasint,omitempty"`
-	Read   uint64 `cbor:"16,keyasint,omitempty"`
+	ReadID uint64 `cbor:"16,keyasint,omitempty"`
 	Offset uint64 `cbor:"17,keyasint,omitempty"`
 	Chunk  *Chunk `cbor:"18,keyasint,omitempty"`
 	// Refused is the index before the entries of a refused append.
