--- a/internal/steward/memberplan.go
+++ b/internal/steward/memberplan.go
@@ -35,7 +35,7 @@
 	voters := hostsOf(detail.Members.Voters)
 	learners := hostsOf(detail.Members.Learners)
 	for _, p := range detail.Peers {
-		if p.Voter && p.Presented != 0 && slices.Contains(candidates, p.Member.Host) {
+		if p.Voter && p.PresentedDisk != 0 && slices.Contains(candidates, p.Member.Host) {
 			return memberPlan{addVoter, p.Member.Host}
 		}
 	}
@@ -65,7 +65,7 @@
 // readyLearner reports whether a host that asked follows the log closely.
 func readyLearner(detail quorum.Status, outside []ident.Host) bool {
 	for _, p := range detail.Peers {
-		if !p.Voter && p.Active && p.Presented == 0 && p.State == "replicate" && slices.Contains(outside, p.Member.Host) {
+		if !p.Voter && p.Active && p.PresentedDisk == 0 && p.State == "replicate" && slices.Contains(outside, p.Member.Host) {
 			return true
 		}
 	}
--- a/internal/steward/memberplan_test.go
+++ b/internal/steward/memberplan_test.go
@@ -35,7 +35,7 @@
 		{"a spare host takes a lost one's place", group(three, hosts("d"), ready), hosts("d"), hosts("c"), memberPlan{removeMember, "c"}},
 		{"and votes then", group(hosts("a", "b"), hosts("d"), ready), hosts("d"), nil, memberPlan{addVoter, "d"}},
 		{"too many, one lost", group(hosts("a", "b", "c", "d"), nil), nil, hosts("c"), memberPlan{removeMember, "c"}},
-		{"a wiped disk", group(three, nil, quorum.PeerStatus{Member: quorum.Member{Host: "b"}, Voter: true, Presented: 9}), hosts("b"), nil, memberPlan{addVoter, "b"}},
+		{"a wiped disk", group(three, nil, quorum.PeerStatus{Member: quorum.Member{Host: "b"}, Voter: true, PresentedDisk: 9}), hosts("b"), nil, memberPlan{addVoter, "b"}},
 		{"a lost host that asked before it was lost", group(hosts("a", "b"), nil), hosts("c"), hosts("c"), memberPlan{}},
 		{"a lost learner", group(three, hosts("d")), nil, hosts("d"), memberPlan{removeMember, "d"}},
 	}
--- a/internal/steward/troubles_test.go
+++ b/internal/steward/troubles_test.go
@@ -261,7 +261,7 @@
 			return false
 		}
 		for _, p := range detail.Peers {
-			if !p.Active || p.Presented != 0 || p.Revoked || p.Synced < detail.Commit {
+			if !p.Active || p.PresentedDisk != 0 || p.Revoked || p.Synced < detail.Commit {
 				return false
 			}
 		}
--- a/quorum/disk_test.go
+++ b/quorum/disk_test.go
@@ -110,8 +110,8 @@
 	h.wipe(900)
 	s.boot(h)
 	s.run(200 * time.Millisecond)
-	if p := peerStatus(l, h.host); p.Presented != 900 {
-		t.Errorf("leader reports presented disk %d", p.Presented)
+	if p := peerStatus(l, h.host); p.PresentedDisk != 900 {
+		t.Errorf("leader reports presented disk %d", p.PresentedDisk)
 	}
 	for _, other := range s.hosts {
 		if other != l && other != h {
--- a/quorum/ready.go
+++ b/quorum/ready.go
@@ -92,13 +92,13 @@
 	}
 	for _, p := range n.lead.peers {
 		s.Peers = append(s.Peers, PeerStatus{
-			Member:    p.member,
-			Voter:     p.voter,
-			State:     p.state.String(),
-			Synced:    p.match,
-			Active:    n.active(p),
-			Presented: p.presented,
-			Revoked:   p.revoked,
+			Member:        p.member,
+			Voter:         p.voter,
+			State:         p.state.String(),
+			Synced:        p.match,
+			Active:        n.active(p),
+			PresentedDisk: p.presented,
+			Revoked:       p.revoked,
 		})
 	}
 	return s
--- a/quorum/status.go
+++ b/quorum/status.go
@@ -53,9 +53,9 @@
 	// Active is set while the member has answered within the last election
 	// timeout.
 	Active bool
-	// Presented is the identity that the host presents when it differs from
+	// PresentedDisk is the identity that the host presents when it differs from
 	// the member's: the disk was replaced.
-	Presented DiskID
+	PresentedDisk DiskID
 	// Revoked is set when the member's disk went back in time.
 	Revoked bool
 }
