--- a/quorum/ready.go
+++ b/quorum/ready.go
@@ -82,12 +82,12 @@
 		LogBytes:      n.log.bytes,
 		Members:       n.members,
 		Revoked:       n.hard.Revoked,
-		Leased:        n.leased(),
+		HasLease:      n.leased(),
 		Transferring:  n.lead.transferTo,
 		Counters:      n.counters,
 		LastMalformed: n.lastMalformed,
 	}
-	if s.Leased {
+	if s.HasLease {
 		s.LeaseEnd = n.lead.leaseEnd
 	}
 	for _, p := range n.lead.peers {
--- a/quorum/status.go
+++ b/quorum/status.go
@@ -26,8 +26,8 @@
 	Members    Membership
 	// Revoked is set when this disk went back in time and must be replaced.
 	Revoked bool
-	// Leased is set while a leader may answer reads without a round.
-	Leased bool
+	// HasLease is set while a leader may answer reads without a round.
+	HasLease bool
 	// LeaseEnd is until when no other host can be elected, as far as this leader knows,
 	// zero without a lease. It is on the host's clock: whoever reads the status of a node
 	// that has not been stepped for a while compares it with the time.
