--- a/quorum/errors.go
+++ b/quorum/errors.go
@@ -22,8 +22,8 @@
 	// ErrNoQuorum reports that the voters left by a removal could not form a
 	// quorum now: too many of them are away or have lost their disks.
 	ErrNoQuorum = errors.New("quorum: the voters left could not form a quorum")
-	// ErrMember reports that a change does not fit the membership.
-	ErrMember = errors.New("quorum: change does not fit the membership")
+	// ErrInvalidChange reports that a change does not fit the membership.
+	ErrInvalidChange = errors.New("quorum: change does not fit the membership")
 	// ErrTooLarge reports a command above Options.MaxCommandBytes.
 	ErrTooLarge = errors.New("quorum: command too large")
 	// ErrRevoked reports that this host's disk went back in time.
--- a/quorum/members.go
+++ b/quorum/members.go
@@ -41,7 +41,7 @@
 		}
 	case AddLearner:
 		if n.knownRevoked(Member{c.Host, c.Disk}) {
-			return ErrMember
+			return ErrInvalidChange
 		}
 	case Promote:
 		return n.checkPromote(c)
@@ -69,7 +69,7 @@
 func (n *Node) checkPromote(c MemberChange) error {
 	p := n.peer(c.Host)
 	if p == nil || p.voter {
-		return ErrMember
+		return ErrInvalidChange
 	}
 	caughtUp := p.counts() && p.state == stateReplicate && p.match >= n.log.commit
 	if !caughtUp || !n.active(p) {
--- a/quorum/membership.go
+++ b/quorum/membership.go
@@ -55,25 +55,25 @@
 	switch c.Kind {
 	case AddLearner:
 		if member || c.Host == "" || c.Disk == 0 || len(m.Voters)+len(m.Learners) >= MaxMembers {
-			return next, fmt.Errorf("%w: can't add learner %q with disk %x", ErrMember, c.Host, c.Disk)
+			return next, fmt.Errorf("%w: can't add learner %q with disk %x", ErrInvalidChange, c.Host, c.Disk)
 		}
 		next.Learners = insertMember(next.Learners, Member{c.Host, c.Disk})
 	case Promote:
 		if !member || voter {
-			return next, fmt.Errorf("%w: %q is not a learner", ErrMember, c.Host)
+			return next, fmt.Errorf("%w: %q is not a learner", ErrInvalidChange, c.Host)
 		}
 		i := indexOf(next.Learners, c.Host)
 		next.Voters = insertMember(next.Voters, next.Learners[i])
 		next.Learners = slices.Delete(next.Learners, i, i+1)
 	case Remove:
 		if !member || voter && len(m.Voters) == 1 {
-			return next, fmt.Errorf("%w: can't remove %q", ErrMember, c.Host)
+			return next, fmt.Errorf("%w: can't remove %q", ErrInvalidChange, c.Host)
 		}
 		same := func(x Member) bool { return x.Host == c.Host }
 		next.Voters = slices.DeleteFunc(next.Voters, same)
 		next.Learners = slices.DeleteFunc(next.Learners, same)
 	default:
-		return next, fmt.Errorf("%w: unknown change %d", ErrMember, c.Kind)
+		return next, fmt.Errorf("%w: unknown change %d", ErrInvalidChange, c.Kind)
 	}
 	return next, nil
 }
--- a/quorum/transfer.go
+++ b/quorum/transfer.go
@@ -19,7 +19,7 @@
 	}
 	p := n.peer(to)
 	if p == nil || !p.voter || !p.counts() {
-		return ErrMember
+		return ErrInvalidChange
 	}
 	n.lead.transferTo = to
 	n.lead.transferUntil = now.Add(n.opts.ElectionMax)
