--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -21,8 +21,8 @@
 	ErrGroupExists = errors.New("replica: the group exists already")
 	// ErrUnknownGroup reports a group that this host does not hold.
 	ErrUnknownGroup = errors.New("replica: no such group on this host")
-	// ErrBarrier reports a read that could not be proved up to date in time.
-	ErrBarrier = errors.New("replica: no proof of an up-to-date state in time")
+	// ErrReadBarrier reports a read that could not be proved up to date in time.
+	ErrReadBarrier = errors.New("replica: no proof of an up-to-date state in time")
 )
 
 // SuspendedError reports a group that can't answer on this host until an
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -45,7 +45,7 @@
 	case err := <-r.result:
 		return err
 	case <-ctx.Done():
-		return eris.Wrap(ErrBarrier, ctx.Err().Error())
+		return eris.Wrap(ErrReadBarrier, ctx.Err().Error())
 	case <-g.manager.done:
 		return ErrStopped
 	}
