--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -52,11 +52,11 @@
 	// bytes were committed since the last one.
 	SnapshotEntries int
 	SnapshotBytes   int
-	// MaxWaiting bounds the events that wait for one worker, MaxBacklog the
+	// MaxQueuedEvents bounds the events that wait for one worker, MaxBacklog the
 	// committed entries that wait for one state machine before proposals are
 	// refused.
-	MaxWaiting int
-	MaxBacklog int
+	MaxQueuedEvents int
+	MaxBacklog      int
 	// CallTimeout bounds proposals and reads whose context has no deadline,
 	// and the messages to other hosts about membership.
 	CallTimeout time.Duration
@@ -77,7 +77,7 @@
 		return eris.New("replica: storage: must be set")
 	case o.Peers == nil || o.Registry == nil || o.Address == nil:
 		return eris.New("replica: peers, registry, address: must be set")
-	case o.Workers < 0 || o.SnapshotEntries < 0 || o.MaxWaiting < 0 || o.MaxBacklog < 0:
+	case o.Workers < 0 || o.SnapshotEntries < 0 || o.MaxQueuedEvents < 0 || o.MaxBacklog < 0:
 		return eris.New("replica: workers, snapshot entries, max waiting, max backlog: must not be negative")
 	}
 	return nil
@@ -87,7 +87,7 @@
 	setDefault(&o.Workers, DefaultWorkers)
 	setDefault(&o.SnapshotEntries, DefaultSnapshotEntries)
 	setDefault(&o.SnapshotBytes, DefaultSnapshotBytes)
-	setDefault(&o.MaxWaiting, DefaultMaxWaiting)
+	setDefault(&o.MaxQueuedEvents, DefaultMaxWaiting)
 	setDefault(&o.MaxBacklog, DefaultMaxBacklog)
 	setDefault(&o.CallTimeout, DefaultCallTimeout)
 	setDefault(&o.Quorum.Heartbeat, quorum.DefaultHeartbeat)
--- a/internal/replica/worker.go
+++ b/internal/replica/worker.go
@@ -25,7 +25,7 @@
 func newWorker(m *Manager) *worker {
 	return &worker{
 		manager: m,
-		inbox:   newInbox(m.options.MaxWaiting),
+		inbox:   newInbox(m.options.MaxQueuedEvents),
 		outbox:  outbox{manager: m, peers: make(map[ident.Host][]envelope)},
 	}
 }
