--- a/internal/control/client/watch.go
+++ b/internal/control/client/watch.go
@@ -40,8 +40,8 @@
 		}
 	}()
 	request := protocol.WatchRequest{
-		Held:       c.Snapshot().Revision(),
-		WaitMillis: c.opts.WatchWait.Milliseconds(),
+		HeldRevision: c.Snapshot().Revision(),
+		WaitMillis:   c.opts.WatchWait.Milliseconds(),
 
 		Incarnation: c.Incarnation(),
 	}
--- a/internal/control/protocol/protocol.go
+++ b/internal/control/protocol/protocol.go
@@ -57,8 +57,8 @@
 
 // WatchRequest asks for what follows a revision.
 type WatchRequest struct {
-	// Held is the revision the entry serves by, which it thereby acknowledges.
-	Held config.Revision `cbor:"1,keyasint"`
+	// HeldRevision is the revision the entry serves by, which it thereby acknowledges.
+	HeldRevision config.Revision `cbor:"1,keyasint"`
 	// WaitMillis is how long the leader may hold the call open.
 	WaitMillis int64 `cbor:"2,keyasint"`
 	// Incarnation is the one assigned, as in all requests that have the field.
--- a/internal/control/protocol/protocol_test.go
+++ b/internal/control/protocol/protocol_test.go
@@ -18,7 +18,7 @@
 	cases := map[string]any{
 		"renewal":        RenewRequest{Number: late, Acked: late, Session: 9, State: member.StateAlive, Members: members},
 		"renewal answer": RenewAnswer{Renewed: &relay.Renewed{Number: late, Verdict: member.VerdictAccepted, Term: 3 * time.Second}},
-		"watch":          WatchRequest{Held: late, WaitMillis: 10_000},
+		"watch":          WatchRequest{HeldRevision: late, WaitMillis: 10_000},
 		"idle answer":    WatchAnswer{},
 	}
 	for name, message := range cases {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -49,14 +49,14 @@
 	var current *leadership
 	err := s.leading(func(l *leadership, _ time.Time) {
 		current = l
-		l.parent.Ack(relay.Ack{Host: from.Host, Incarnation: incarnationOf(from, request.Incarnation), InForce: request.Held})
+		l.parent.Ack(relay.Ack{Host: from.Host, Incarnation: incarnationOf(from, request.Incarnation), InForce: request.HeldRevision})
 	})
 	if err != nil {
 		return protocol.WatchAnswer{Redirect: s.redirect()}, nil
 	}
 	current.progress.signal()
 	wait := min(time.Duration(request.WaitMillis)*time.Millisecond, protocol.MaxWait)
-	return s.awaitChange(ctx, current, request.Held, wait), nil
+	return s.awaitChange(ctx, current, request.HeldRevision, wait), nil
 }
 
 func (s *Server) awaitChange(ctx context.Context, current *leadership, held config.Revision, wait time.Duration) protocol.WatchAnswer {
