--- a/cmd/lovage-control/settings.go
+++ b/cmd/lovage-control/settings.go
@@ -132,19 +132,19 @@
 // options turns the settings into those of the host; listeners are left out.
 func (s *Settings) options() (controlhost.Options, error) {
 	options := controlhost.Options{
-		Host:           s.Host,
-		DataCentre:     s.DataCentre,
-		Cluster:        s.Cluster,
-		Data:           s.Data,
-		Telemetry:      s.Listen.Telemetry.String(),
-		Control:        make(map[ident.Host]string),
-		OperatorURLs:   make(map[ident.Host]string),
-		OperatorTokens: make(map[config.TokenDigest]string),
-		LedgerGroups:   s.LedgerGroups,
-		StopTimeout:    s.StopTimeout.Std(),
+		Host:             s.Host,
+		DataCentre:       s.DataCentre,
+		Cluster:          s.Cluster,
+		Data:             s.Data,
+		Telemetry:        s.Listen.Telemetry.String(),
+		ControlAddresses: make(map[ident.Host]string),
+		OperatorURLs:     make(map[ident.Host]string),
+		OperatorTokens:   make(map[config.TokenDigest]string),
+		LedgerGroups:     s.LedgerGroups,
+		StopTimeout:      s.StopTimeout.Std(),
 	}
 	for _, member := range s.Control {
-		options.Control[member.Host] = member.Peer.String()
+		options.ControlAddresses[member.Host] = member.Peer.String()
 		if member.Operators != "" {
 			options.OperatorURLs[member.Host] = member.Operators
 		}
--- a/cmd/lovage-dev/controls.go
+++ b/cmd/lovage-dev/controls.go
@@ -54,7 +54,7 @@
 			Data:             filepath.Join(folder, string(controlName(i))),
 			PeerListener:     peerListeners[i],
 			OperatorListener: operatorListeners[i],
-			Control:          c.peers,
+			ControlAddresses: c.peers,
 			OperatorURLs:     urls,
 			OperatorTokens:   map[config.TokenDigest]string{config.DigestToken(operatorToken): "lovage-dev"},
 			PeerKey:          key,
--- a/internal/controlhost/groups.go
+++ b/internal/controlhost/groups.go
@@ -106,7 +106,7 @@
 }
 
 func (h *Host) isAlone(id port.GroupID) bool {
-	if len(h.options.Control) == 1 {
+	if len(h.options.ControlAddresses) == 1 {
 		return false
 	}
 	voters := h.replicas[id].Status().Voters
--- a/internal/controlhost/host.go
+++ b/internal/controlhost/host.go
@@ -90,7 +90,7 @@
 		Storage:  h.folder,
 		Peers:    h.transport,
 		Registry: h.transport,
-		Address:  addressOf(o.Control),
+		Address:  addressOf(o.ControlAddresses),
 		Quorum:   o.Quorum,
 		Clock:    boottime.Now,
 		Log:      o.Log,
@@ -123,7 +123,7 @@
 	h.server = control.NewServer(control.Options{
 		Replica:         h.replicas[port.GroupConfig],
 		Machine:         h.config,
-		Addresses:       o.Control,
+		Addresses:       o.ControlAddresses,
 		LedgerGroups:    o.LedgerGroups,
 		OnEntryReplaced: h.entryReplaced,
 		MaxCommandBytes: o.Quorum.MaxCommandBytes,
@@ -150,7 +150,7 @@
 	var err error
 	h.ledger, err = ledger.NewClient(h.transport, ledger.Options{
 		Self:    func() once.Owner { return once.Owner{Host: h.options.Host} },
-		Control: h.options.Control,
+		Control: h.options.ControlAddresses,
 		Shards:  func() once.Shards { return once.Shards{uint32(max(1, h.config.Current().LedgerShards()))} },
 		Now:     time.Now,
 	})
--- a/internal/controlhost/host_test.go
+++ b/internal/controlhost/host_test.go
@@ -92,7 +92,7 @@
 		Data:             filepath.Join(g.dir, string(name)),
 		PeerListener:     peers,
 		OperatorListener: operators,
-		Control:          g.peers,
+		ControlAddresses: g.peers,
 		OperatorURLs:     g.urls,
 		OperatorTokens:   map[config.TokenDigest]string{config.DigestToken(testToken): "ana"},
 		LedgerGroups:     2,
--- a/internal/controlhost/lost.go
+++ b/internal/controlhost/lost.go
@@ -24,7 +24,7 @@
 		h.options.Log.Info("entry replaced", "host", host, "former", former)
 		for id := range h.ledgers {
 			leader := h.replicas[id].Status().Leader
-			address := h.options.Control[leader]
+			address := h.options.ControlAddresses[leader]
 			if address == "" {
 				continue
 			}
--- a/internal/controlhost/members.go
+++ b/internal/controlhost/members.go
@@ -48,7 +48,7 @@
 }
 
 func (m membership) member(host ident.Host, role string, leader ident.Host) api.Member {
-	return api.Member{Host: host, Address: m.host.options.Control[host], Role: role, Leader: host == leader}
+	return api.Member{Host: host, Address: m.host.options.ControlAddresses[host], Role: role, Leader: host == leader}
 }
 
 // Change makes a change in every group, one after the other. Groups that have
@@ -72,7 +72,7 @@
 	if !slices.Contains(known, request.Action) {
 		return &api.Error{Code: api.CodeBadRequest, Message: fmt.Sprintf("action: %q is not known", request.Action), Next: "see lovagectl members -help"}
 	}
-	if request.Action != api.ActionRemove && m.host.options.Control[request.Host] == "" {
+	if request.Action != api.ActionRemove && m.host.options.ControlAddresses[request.Host] == "" {
 		return &api.Error{
 			Code:    api.CodeRefused,
 			Message: fmt.Sprintf("the settings give no address of control host %q", request.Host),
@@ -88,7 +88,7 @@
 	if status.IsLeader {
 		return m.host.changeHere(ctx, change)
 	}
-	address := m.host.options.Control[status.Leader]
+	address := m.host.options.ControlAddresses[status.Leader]
 	if address == "" {
 		return &port.NotLeaderError{Leader: status.Leader}
 	}
--- a/internal/controlhost/options.go
+++ b/internal/controlhost/options.go
@@ -48,8 +48,8 @@
 	// Telemetry is the address of the listener for metrics and dumps; empty
 	// for none.
 	Telemetry string
-	// Control gives the peer addresses of all control hosts, this one's too.
-	Control map[ident.Host]string
+	// ControlAddresses gives the peer addresses of all control hosts, this one's too.
+	ControlAddresses map[ident.Host]string
 	// OperatorURLs are where operators reach the control hosts.
 	OperatorURLs map[ident.Host]string
 	// OperatorTokens name the operators by the digest of their token.
@@ -82,7 +82,7 @@
 		return errors.New("controlhost: a data folder is required")
 	case o.PeerListener == nil:
 		return errors.New("controlhost: a listener for peers is required")
-	case o.Control[o.Host] == "":
+	case o.ControlAddresses[o.Host] == "":
 		return errors.New("controlhost: control: must list this host itself")
 	case o.LedgerGroups < 0 || o.LedgerGroups > config.MaxLedgerShards:
 		return errors.New("controlhost: ledger groups: out of range")
@@ -106,7 +106,7 @@
 
 // hosts lists the control hosts in order.
 func (o Options) hosts() []ident.Host {
-	return slices.Sorted(maps.Keys(o.Control))
+	return slices.Sorted(maps.Keys(o.ControlAddresses))
 }
 
 // groups lists the replicated groups.
--- a/internal/entryhost/lives_test.go
+++ b/internal/entryhost/lives_test.go
@@ -34,7 +34,7 @@
 	}
 	host, err := controlhost.New(controlhost.Options{
 		Host: "control-1", DataCentre: "hall-north", Cluster: "test", Data: folder, PeerListener: listener,
-		Control: map[ident.Host]string{"control-1": address}, LedgerGroups: 1, PeerKey: livesKey, Log: log.New(io.Discard),
+		ControlAddresses: map[ident.Host]string{"control-1": address}, LedgerGroups: 1, PeerKey: livesKey, Log: log.New(io.Discard),
 	})
 	if err != nil {
 		t.Fatal(err)
