--- a/cmd/lovage-control/settings.go
+++ b/cmd/lovage-control/settings.go
@@ -136,7 +136,7 @@
 		DataCentre:       s.DataCentre,
 		Cluster:          s.Cluster,
 		Data:             s.Data,
-		Telemetry:        s.Listen.Telemetry.String(),
+		TelemetryAddress: s.Listen.Telemetry.String(),
 		ControlAddresses: make(map[ident.Host]string),
 		OperatorURLs:     make(map[ident.Host]string),
 		OperatorTokens:   make(map[config.TokenDigest]string),
--- a/internal/controlhost/listeners.go
+++ b/internal/controlhost/listeners.go
@@ -29,9 +29,9 @@
 	dump.Register("control", func() any { return h.server.Status() })
 	dump.Register("orders", func() any { return h.orderer.Status() })
 	dump.Register("groups", h.groupStatus)
-	if h.options.Telemetry != "" {
+	if h.options.TelemetryAddress != "" {
 		var err error
-		h.telemetry, err = telemetry.Listen(telemetry.Options{Address: h.options.Telemetry, Dump: dump, Ready: h.server.Ready})
+		h.telemetry, err = telemetry.Listen(telemetry.Options{Address: h.options.TelemetryAddress, Dump: dump, Ready: h.server.Ready})
 		if err != nil {
 			return err
 		}
--- a/internal/controlhost/options.go
+++ b/internal/controlhost/options.go
@@ -45,9 +45,9 @@
 	OperatorListener net.Listener
 	// OperatorsTLS are the operators' listener's certificate and key files.
 	OperatorsTLS *CertificateFiles
-	// Telemetry is the address of the listener for metrics and dumps; empty
+	// TelemetryAddress is the address of the listener for metrics and dumps; empty
 	// for none.
-	Telemetry string
+	TelemetryAddress string
 	// ControlAddresses gives the peer addresses of all control hosts, this one's too.
 	ControlAddresses map[ident.Host]string
 	// OperatorURLs are where operators reach the control hosts.
