--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -97,9 +97,9 @@
 	// Since is when this host opened its epoch.
 	Since   time.Time       `json:"since" cbor:"1,keyasint"`
 	InForce config.Revision `json:"in_force" cbor:"2,keyasint"`
-	// QuietUntil is when the leases of earlier leaders have ended; until then
+	// EarlierLeasesEnd is when the leases of earlier leaders have ended; until then
 	// no revision is reported in force.
-	QuietUntil time.Time `json:"quiet_until" cbor:"3,keyasint"`
+	EarlierLeasesEnd time.Time `json:"quiet_until" cbor:"3,keyasint"`
 	// Entries are the holders of serving leases.
 	Entries []lease.HolderStatus `json:"entries" cbor:"4,keyasint"`
 	// Upstreams are the engines that entries have reported lately.
@@ -118,10 +118,10 @@
 	// A host that does not lead simply has nothing to add.
 	_ = s.leading(func(l *leadership, now time.Time) {
 		status.Leading = &LeaderStatus{
-			Since:      l.began,
-			InForce:    l.parent.InForce(now),
-			QuietUntil: l.parent.EarlierLeasesEnd(),
-			Entries:    l.parent.Holders(now),
+			Since:            l.began,
+			InForce:          l.parent.InForce(now),
+			EarlierLeasesEnd: l.parent.EarlierLeasesEnd(),
+			Entries:          l.parent.Holders(now),
 		}
 	})
 	if status.Leading != nil {
