--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -147,7 +147,7 @@
 		Roster: &steward.RosterView{Revision: 1, Upstreams: []roster.Upstream{
 			up("a1", "app"), up("a2", "app"), up("a3", "app"), up("l1", "llm"), up("l2", "llm"),
 		}},
-		StoreStates: []steward.ShelfState{{Address: "store:1", Incarnation: 1, Open: true}},
+		StoreStates: []steward.StoreState{{Address: "store:1", Incarnation: 1, Open: true}},
 		Inventories: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: 2}, Batches: []cacheindex.Batch{
 			{Address: "store:1", Cleared: true, Incarnation: 1, Salt: keptPart.Salt, Parts: []string{keptPart.Part}, Tokens: []int{9000}, Next: 1},
 		}},
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -175,7 +175,7 @@
 			Slots: f.shape.slots, MemoryTokens: f.shape.memory, TokenBytes: 18432, LinkMbps: 370000,
 		}}},
 	}
-	var states []steward.ShelfState
+	var states []steward.StoreState
 	for i := range f.shape.quick + f.shape.slow {
 		store := &modelStore{address: fmt.Sprintf("store%02d:1", i), zone: f.zone(i), mbps: 130000, first: 500 * time.Microsecond,
 			capacity: f.shape.quickTokens, held: make(map[string]bool), next: 2}
@@ -186,7 +186,7 @@
 		d.Services = append(d.Services, catalog.Service{Name: store.address, Store: &catalog.Store{
 			Address: store.address, DataCentre: store.zone, CapacityTokens: store.capacity, LinkMbps: store.mbps, FirstByte: store.first, Managed: true,
 		}})
-		states = append(states, steward.ShelfState{Address: store.address, Incarnation: 1, Open: true})
+		states = append(states, steward.StoreState{Address: store.address, Incarnation: 1, Open: true})
 	}
 	view := &steward.RosterView{Revision: 1}
 	for i := range f.shape.runners {
--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -52,7 +52,7 @@
 	came  time.Time
 	// states are which stores may be used, as of shelvesAsked, when the
 	// shelves were last complete.
-	states       []ShelfState
+	states       []StoreState
 	shelvesAsked time.Time
 	// grants are what entries may send to cold upstreams, of revision grantsAt, and
 	// grantsAsked is when the leader was asked that confirmed them.
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -18,7 +18,7 @@
 func relayingAnswer(term uint64) *WatchAnswer {
 	return &WatchAnswer{
 		Term: term, Leader: "c1", Relaying: true, EntryCount: 20,
-		StoreStates: []ShelfState{{Address: "store:1", Incarnation: 1, Open: true}},
+		StoreStates: []StoreState{{Address: "store:1", Incarnation: 1, Open: true}},
 		Inventories: &cacheindex.Update{At: cacheindex.Position{Term: term, Next: 2}, Batches: []cacheindex.Batch{
 			{Address: "store:1", Cleared: true, Incarnation: 1, Parts: []string{"p"}, Tokens: []int{9}, Next: 1},
 		}},
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -141,8 +141,8 @@
 // Empty reports whether there is nothing to tell.
 func (r *Report) Empty() bool { return len(r.Ends)+len(r.Served) == 0 }
 
-// ShelfState is whether one store may be used.
-type ShelfState struct {
+// StoreState is whether one store may be used.
+type StoreState struct {
 	Address     string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Open        bool   `cbor:"3,keyasint"`
@@ -172,7 +172,7 @@
 	// Inventories is what the caller lacked of the shelves, and States which stores
 	// may be used once the shelves are complete.
 	Inventories *cacheindex.Update `cbor:"9,keyasint,omitempty"`
-	StoreStates []ShelfState       `cbor:"11,keyasint,omitempty"`
+	StoreStates []StoreState       `cbor:"11,keyasint,omitempty"`
 	// Clock is the upstreams' clock in milliseconds, at the earliest; zero
 	// while unknown.
 	Clock int64 `cbor:"13,keyasint,omitempty"`
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -67,7 +67,7 @@
 
 // answerWithStates also tells which of the stores may be used at the moment that
 // the answer stands for.
-func (b *sharedBook) answerWithStates(question *cacheindex.Query, stores []string, now time.Time) (*cacheindex.Update, bool, []ShelfState) {
+func (b *sharedBook) answerWithStates(question *cacheindex.Query, stores []string, now time.Time) (*cacheindex.Update, bool, []StoreState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	update, found := b.lacking(question)
@@ -101,13 +101,13 @@
 }
 
 // states tells which of the stores may be used. The caller holds the lock.
-func (b *sharedBook) states(stores []string, now time.Time) []ShelfState {
-	states := make([]ShelfState, 0, len(stores))
+func (b *sharedBook) states(stores []string, now time.Time) []StoreState {
+	states := make([]StoreState, 0, len(stores))
 	for _, address := range stores {
 		shelf := b.book.Inventory(address)
 		// A store that was never listed would look open and empty: entries that have
 		// just started would take that for the first word on it.
-		states = append(states, ShelfState{Address: address, Incarnation: shelf.Incarnation(), Open: shelf.Incarnation() != 0 && shelf.Open(now)})
+		states = append(states, StoreState{Address: address, Incarnation: shelf.Incarnation(), Open: shelf.Incarnation() != 0 && shelf.Open(now)})
 	}
 	return states
 }
