--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -130,7 +130,7 @@
 func (b *branch) take(answer *WatchAnswer, shelvesAsked, came time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	asked := shelvesAsked.Add(answer.Age)
+	asked := shelvesAsked.Add(answer.InventoryAge)
 	if answer.Inventories != nil && b.book.take(answer.Inventories) {
 		b.states, b.shelvesAsked = answer.StoreStates, shelvesAsked
 	}
@@ -227,7 +227,7 @@
 	answer.StoreStates = b.states
 	// Told with the shelves, under one lock: taken later it could be that of the
 	// next word, and make this one look younger than it is.
-	answer.Age = b.now().Sub(b.shelvesAsked)
+	answer.InventoryAge = b.now().Sub(b.shelvesAsked)
 	return found
 }
 
--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -83,14 +83,14 @@
 		return answer
 	}
 	none := func() {}
-	if a := ask(50*time.Millisecond, none); a.Age != 50*time.Millisecond || a.Inventories.More || len(a.Inventories.Batches) != 1 || !a.StoreStates[0].Open {
+	if a := ask(50*time.Millisecond, none); a.InventoryAge != 50*time.Millisecond || a.Inventories.More || len(a.Inventories.Batches) != 1 || !a.StoreStates[0].Open {
 		t.Fatalf("told %+v, shelves %+v", a, a.Inventories)
 	}
 	// The next word comes while this one is put together.
 	same := relayingAnswer(3)
 	same.Inventories.Batches = nil
-	if a := ask(70*time.Millisecond, func() { b.take(same, asked.Add(60*time.Millisecond), time.Now()) }); a.Age != 70*time.Millisecond {
-		t.Fatalf("the word of the start is told as %v old after 70 ms", a.Age)
+	if a := ask(70*time.Millisecond, func() { b.take(same, asked.Add(60*time.Millisecond), time.Now()) }); a.InventoryAge != 70*time.Millisecond {
+		t.Fatalf("the word of the start is told as %v old after 70 ms", a.InventoryAge)
 	}
 	// A part of the next records has come, and with it no moment to stand for.
 	part := relayingAnswer(3)
--- a/internal/steward/follower.go
+++ b/internal/steward/follower.go
@@ -352,7 +352,7 @@
 	} else if f.options.LeaderOnly {
 		return
 	}
-	told(answer, call.sent.Add(-answer.Age))
+	told(answer, call.sent.Add(-answer.InventoryAge))
 }
 
 // wordTime is the time as of which everything is known that the leader knew; at
--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -259,7 +259,7 @@
 		return false
 	}
 	found := l.shelves.fill(request, answer)
-	answer.Age = asked.Sub(heard)
+	answer.InventoryAge = asked.Sub(heard)
 	return found
 }
 
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -191,10 +191,10 @@
 	// itself, and Relays the hosts that entries are to ask instead.
 	Relaying bool        `cbor:"18,keyasint,omitempty"`
 	Relays   []RelayView `cbor:"19,keyasint,omitempty"`
-	// Age is how old the word on the shelves is, in nanoseconds: from the leader the
+	// InventoryAge is how old the word on the shelves is, in nanoseconds: from the leader the
 	// time since the end of its lease, zero within it, and from another host the time
 	// since it asked the leader and that age.
-	Age time.Duration `cbor:"20,keyasint,omitempty"`
+	InventoryAge time.Duration `cbor:"20,keyasint,omitempty"`
 	// Floor lists the oldest weights on which a prompt may begin, for the models
 	// where older ones are past their bound.
 	Floor []roster.Loaded `cbor:"21,keyasint,omitempty"`
--- a/internal/steward/suspended_test.go
+++ b/internal/steward/suspended_test.go
@@ -79,11 +79,11 @@
 			time.Sleep(time.Until(replica.Status().LeaseEnd.Add(past)))
 			request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Direct: true, Inventories: &cacheindex.Query{}}
 			answer := l.steward.watch(t.Context(), entryPeer("e1"), request)
-			if answer.Elsewhere || answer.Age != past || answer.Heard != past {
-				t.Errorf("%v past its lease: shelves %v old, the rest %v", past, answer.Age, answer.Heard)
+			if answer.Elsewhere || answer.InventoryAge != past || answer.Heard != past {
+				t.Errorf("%v past its lease: shelves %v old, the rest %v", past, answer.InventoryAge, answer.Heard)
 			}
 			b := newBranch(NewMachine(), newSharedBook(), log.New(io.Discard))
-			b.take(answer, time.Now().Add(-answer.Age), time.Now())
+			b.take(answer, time.Now().Add(-answer.InventoryAge), time.Now())
 			if age := b.heardAge(b.now()); age != past {
 				t.Errorf("%v past its lease another host takes its word as %v old", past, age)
 			}
