--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -238,7 +238,7 @@
 			f.cold.tell(answer, g.options.Host)
 		}
 		time.Sleep(f.shape.wordLag)
-		answer.Heard = f.shape.wordLag
+		answer.StateAge = f.shape.wordLag
 		g.Told(answer, sent)
 		g.state.mu.Lock()
 		g.state.shelvesAt = time.Now()
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -42,7 +42,7 @@
 		s.allowance.SetGrants(answer.Grants, sent.Add(-answer.GrantsAge))
 	}
 	s.noteLoads(answer)
-	s.loadsAt = time.Now().Add(-answer.Heard)
+	s.loadsAt = time.Now().Add(-answer.StateAge)
 	s.noteShelves(answer, sent)
 	s.noteStocked(time.Now())
 	s.entries, s.takers = answer.EntryCount, answer.Takers
--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -139,7 +139,7 @@
 	b.hearing.told(steady.Add(-came.Sub(asked)), steady)
 	b.lacked = answer.revisions()
 	before := b.told
-	b.told, b.asked, b.came = *answer, asked.Add(-answer.Heard), steady
+	b.told, b.asked, b.came = *answer, asked.Add(-answer.StateAge), steady
 	if answer.SameLists {
 		b.told.Entries = before.Entries
 	}
--- a/internal/steward/follower_test.go
+++ b/internal/steward/follower_test.go
@@ -192,7 +192,7 @@
 			after: map[string]time.Duration{"c1": 700 * time.Millisecond, "c3": 50 * time.Millisecond},
 			answer: func(host string, _ *WatchRequest) WatchAnswer {
 				heard := map[string]time.Duration{"c3": 30 * time.Millisecond}[host]
-				return WatchAnswer{Term: 1, Leader: "c1", Relays: twoRelays(), Heard: heard}
+				return WatchAnswer{Term: 1, Leader: "c1", Relays: twoRelays(), StateAge: heard}
 			},
 		}
 		f := slowFollower(hosts)
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -198,8 +198,8 @@
 	// Floor lists the oldest weights on which a prompt may begin, for the models
 	// where older ones are past their bound.
 	Floor []roster.Loaded `cbor:"21,keyasint,omitempty"`
-	// Heard is the same for Document, Weights, Roster, Quarantine and Evacuation.
-	Heard time.Duration `cbor:"22,keyasint,omitempty"`
+	// StateAge is the same for Document, Weights, Roster, Quarantine and Evacuation.
+	StateAge time.Duration `cbor:"22,keyasint,omitempty"`
 	// Held is for how long the watch was kept open before what it tells was looked up.
 	Held time.Duration `cbor:"31,keyasint,omitempty"`
 	// Pause is how long the caller should wait before it asks again.
--- a/internal/steward/suspended_test.go
+++ b/internal/steward/suspended_test.go
@@ -28,7 +28,7 @@
 		l.steward.opened.Store(&replica)
 		heard := func() time.Duration {
 			request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Direct: true}
-			return l.steward.watch(t.Context(), entryPeer("e1"), request).Heard
+			return l.steward.watch(t.Context(), entryPeer("e1"), request).StateAge
 		}
 		if age := heard(); !l.certain() || age != 0 {
 			t.Fatalf("within its lease: certain %v, word %v old", l.certain(), age)
@@ -79,8 +79,8 @@
 			time.Sleep(time.Until(replica.Status().LeaseEnd.Add(past)))
 			request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Direct: true, Inventories: &cacheindex.Query{}}
 			answer := l.steward.watch(t.Context(), entryPeer("e1"), request)
-			if answer.Elsewhere || answer.InventoryAge != past || answer.Heard != past {
-				t.Errorf("%v past its lease: shelves %v old, the rest %v", past, answer.InventoryAge, answer.Heard)
+			if answer.Elsewhere || answer.InventoryAge != past || answer.StateAge != past {
+				t.Errorf("%v past its lease: shelves %v old, the rest %v", past, answer.InventoryAge, answer.StateAge)
 			}
 			b := newBranch(NewMachine(), newSharedBook(), log.New(io.Discard))
 			b.take(answer, time.Now().Add(-answer.InventoryAge), time.Now())
--- a/internal/steward/watch.go
+++ b/internal/steward/watch.go
@@ -156,7 +156,7 @@
 		return s.redirect(request, false, waited)
 	}
 	answer.waited = waited
-	answer.Heard = lease.Sub(heard)
+	answer.StateAge = lease.Sub(heard)
 	s.tell(b, from, request, answer, now)
 	return answer
 }
