--- a/internal/steward/follower.go
+++ b/internal/steward/follower.go
@@ -344,7 +344,7 @@
 	}
 	answer.Partial = call.after != f.taken
 	// What the answer tells was looked up Held after the question came at the earliest.
-	if word := call.sent.Add(answer.Held - answer.StateAge); word.After(f.wordTime()) {
+	if word := call.sent.Add(answer.OpenFor - answer.StateAge); word.After(f.wordTime()) {
 		f.setWord(word)
 	}
 	if !answer.Partial {
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -200,8 +200,8 @@
 	Floor []roster.Loaded `cbor:"21,keyasint,omitempty"`
 	// StateAge is the same for Document, Weights, Roster, Quarantine and Evacuation.
 	StateAge time.Duration `cbor:"22,keyasint,omitempty"`
-	// Held is for how long the watch was kept open before what it tells was looked up.
-	Held time.Duration `cbor:"31,keyasint,omitempty"`
+	// OpenFor is for how long the watch was kept open before what it tells was looked up.
+	OpenFor time.Duration `cbor:"31,keyasint,omitempty"`
 	// Pause is how long the caller should wait before it asks again.
 	Pause      time.Duration   `cbor:"23,keyasint,omitempty"`
 	Quarantine *QuarantineView `cbor:"24,keyasint,omitempty"`
--- a/internal/steward/watch.go
+++ b/internal/steward/watch.go
@@ -145,8 +145,8 @@
 	if !found && request.Term == b.term() {
 		waiting := time.Now()
 		awaitNews(ctx, waitFor(request), machineNews, shelfNews)
-		answer.Held = time.Since(waiting)
-		waited += answer.Held
+		answer.OpenFor = time.Since(waiting)
+		waited += answer.OpenFor
 		heard, _ = s.fill(b, request, answer)
 		b.touch(from, b.now())
 	}
