--- a/internal/steward/meter.go
+++ b/internal/steward/meter.go
@@ -131,8 +131,8 @@
 	Silent   []string         `json:"silent_upstreams"`
 	Loading  []string         `json:"loading_upstreams"`
 	Roster   []DumpedUpstream `json:"upstreams"`
-	// Held are the prints of requests that are sent to no upstream.
-	Held []string `json:"held_requests"`
+	// Quarantined are the prints of requests that are sent to no upstream.
+	Quarantined []string `json:"held_requests"`
 	// Evacuated are the data centres whose upstreams get no new work.
 	Evacuated []string `json:"evacuated_data_centres"`
 	// Behind are entries that go by an older configuration, mostBehind of them at most.
@@ -193,7 +193,7 @@
 	d.Evacuated = s.machine.evacuated().DataCentres
 	held, _ := s.machine.quarantined()
 	for _, p := range held {
-		d.Held = append(d.Held, p.String())
+		d.Quarantined = append(d.Quarantined, p.String())
 	}
 	if l := s.leading.Load(); l != nil {
 		d.Leading, d.Led = true, now.Sub(l.since)
