--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -25,8 +25,8 @@
 	Estimates []DumpedEstimate  `json:"estimates"`
 	// Evacuated are the data centres whose upstreams get no new work.
 	Evacuated []string `json:"evacuated_data_centres"`
-	// Held are the prints of requests that are sent to no upstream.
-	Held []string `json:"held_requests"`
+	// Quarantined are the prints of requests that are sent to no upstream.
+	Quarantined []string `json:"held_requests"`
 }
 
 // DumpedEstimate is what an entry has learnt of one service's engines and prompts.
@@ -80,10 +80,10 @@
 		Entries: s.entries, Waiting: len(s.waiting), Open: g.open.Load(), Leaving: g.leaving.Load(), Weights: maps.Clone(s.weights),
 	}
 	for p := range s.verdicts.held {
-		d.Held = append(d.Held, p.String())
+		d.Quarantined = append(d.Quarantined, p.String())
 	}
 	d.Evacuated = slices.Clone(g.state.evacuation.DataCentres)
-	slices.Sort(d.Held)
+	slices.Sort(d.Quarantined)
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
 		u := s.members[id]
 		d.Upstreams = append(d.Upstreams, DumpedUpstream{
