--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -119,7 +119,7 @@
 
 // join makes two reports pending, the older one first. The caller holds the lock.
 func (q *reports) join(older, newer steward.Report) {
-	q.pending = steward.Report{Ends: latest(older.Ends, newer.Ends), Served: latest(older.Served, newer.Served)}
+	q.pending = steward.Report{Crashes: latest(older.Crashes, newer.Crashes), Served: latest(older.Served, newer.Served)}
 	select {
 	case q.ready <- struct{}{}:
 	default:
@@ -163,6 +163,6 @@
 // caller holds the lock.
 func (g *Gateway) blame(life quarantine.Incarnation, attempts []quarantine.Attempt, now time.Time) {
 	if end := quarantine.Blame(life, attempts, &g.state.served, now); len(end.Prints) > 0 {
-		g.reports.add(steward.Report{Ends: []quarantine.Crash{end}})
+		g.reports.add(steward.Report{Crashes: []quarantine.Crash{end}})
 	}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -148,7 +148,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		poll, fresh := printOf(t, g, withBody("/safe/x", "poll")), printOf(t, g, withBody("/unsafe/x", "new"))
-		for _, e := range g.reports.take().Ends {
+		for _, e := range g.reports.take().Crashes {
 			if !slices.Equal(e.Prints, []quarantine.Fingerprint{fresh}) {
 				t.Errorf("%s is said to have ended with %v", e.Life.Upstream, e.Prints)
 			}
@@ -190,9 +190,9 @@
 				t.Fatalf("ended %t, reported %+v", ended, r)
 			}
 			seen := make(map[quarantine.Incarnation]bool)
-			for _, e := range r.Ends {
+			for _, e := range r.Crashes {
 				if seen[e.Life] || len(e.Prints) > 2 {
-					t.Errorf("reported %+v", r.Ends)
+					t.Errorf("reported %+v", r.Crashes)
 				}
 				seen[e.Life] = true
 			}
@@ -212,20 +212,20 @@
 			if !reached.Load() {
 				return steward.ErrUnavailable
 			}
-			told.Ends = append(told.Ends, r.Ends...)
+			told.Crashes = append(told.Crashes, r.Crashes...)
 			return nil
 		})
 		for i := range 3 * steward.MostReported {
-			g.reports.add(steward.Report{Ends: []quarantine.Crash{{Life: quarantine.Incarnation{StartedMs: uint64(i)}}}})
+			g.reports.add(steward.Report{Crashes: []quarantine.Crash{{Life: quarantine.Incarnation{StartedMs: uint64(i)}}}})
 			time.Sleep(time.Millisecond)
 		}
 		reached.Store(true)
 		time.Sleep(2 * reportAgain)
 		synctest.Wait()
-		if len(told.Ends) != steward.MostReported {
-			t.Fatalf("%d ends told, want the latest %d", len(told.Ends), steward.MostReported)
+		if len(told.Crashes) != steward.MostReported {
+			t.Fatalf("%d ends told, want the latest %d", len(told.Crashes), steward.MostReported)
 		}
-		if !slices.ContainsFunc(told.Ends, func(e quarantine.Crash) bool { return e.Life.StartedMs == 3*steward.MostReported-1 }) {
+		if !slices.ContainsFunc(told.Crashes, func(e quarantine.Crash) bool { return e.Life.StartedMs == 3*steward.MostReported-1 }) {
 			t.Fatal("the latest end is not told")
 		}
 	})
@@ -244,15 +244,15 @@
 			}
 			return ends
 		}
-		g.reports.add(steward.Report{Ends: endsOf(0, steward.MostReported)})
+		g.reports.add(steward.Report{Crashes: endsOf(0, steward.MostReported)})
 		tells := 0
 		var told []quarantine.Crash
 		go g.Report(ctx, func(_ context.Context, r *steward.Report) error {
 			if tells++; tells == 1 {
-				g.reports.add(steward.Report{Ends: endsOf(steward.MostReported, steward.MostReported+1)})
+				g.reports.add(steward.Report{Crashes: endsOf(steward.MostReported, steward.MostReported+1)})
 				return steward.ErrUnavailable
 			}
-			told = r.Ends
+			told = r.Crashes
 			return nil
 		})
 		time.Sleep(time.Second)
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -133,13 +133,13 @@
 
 // Report is what an entry has seen of requests that end upstreams.
 type Report struct {
-	Ends []quarantine.Crash `cbor:"1,keyasint,omitempty"`
+	Crashes []quarantine.Crash `cbor:"1,keyasint,omitempty"`
 	// Served are requests that ran to a good end and were suspected.
 	Served []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
 }
 
 // Empty reports whether there is nothing to tell.
-func (r *Report) Empty() bool { return len(r.Ends)+len(r.Served) == 0 }
+func (r *Report) Empty() bool { return len(r.Crashes)+len(r.Served) == 0 }
 
 // StoreState is whether one store may be used.
 type StoreState struct {
--- a/internal/steward/report.go
+++ b/internal/steward/report.go
@@ -31,7 +31,7 @@
 // of all that was reported beside it. The caller holds the lock.
 func (m *Machine) applyReport(r *Report) {
 	before := m.quarantine.Revision()
-	m.quarantine.Ended(r.Ends...)
+	m.quarantine.Ended(r.Crashes...)
 	m.quarantine.Served(r.Served...)
 	m.seen.Follow(m.quarantine.Incarnations(), time.Now())
 	if m.quarantine.Revision() != before {
@@ -74,9 +74,9 @@
 
 // size is what a report takes of a batch.
 func (r *Report) size() int {
-	n := len(r.Ends) + len(r.Served)
-	for i := range r.Ends {
-		n += len(r.Ends[i].Prints)
+	n := len(r.Crashes) + len(r.Served)
+	for i := range r.Crashes {
+		n += len(r.Crashes[i].Prints)
 	}
 	return n
 }
@@ -96,7 +96,7 @@
 		b.size -= r.size()
 		return nil
 	}
-	b.report.Ends = append(b.report.Ends, r.Ends...)
+	b.report.Crashes = append(b.report.Crashes, r.Crashes...)
 	b.report.Served = append(b.report.Served, r.Served...)
 	return b
 }
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -110,8 +110,8 @@
 	for i := range quarantine.CrashThreshold {
 		reports.Go(func() {
 			life := quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}
-			entries[i].report(ctx, &Report{Ends: []quarantine.Crash{{Life: life, Prints: []quarantine.Fingerprint{bad}}}})
-			entries[i+4].report(ctx, &Report{Ends: []quarantine.Crash{{Life: life, Prints: []quarantine.Fingerprint{{byte(10 + i)}}}}})
+			entries[i].report(ctx, &Report{Crashes: []quarantine.Crash{{Life: life, Prints: []quarantine.Fingerprint{bad}}}})
+			entries[i+4].report(ctx, &Report{Crashes: []quarantine.Crash{{Life: life, Prints: []quarantine.Fingerprint{{byte(10 + i)}}}}})
 		})
 	}
 	reports.Wait()
@@ -121,7 +121,7 @@
 	f.kill(lost)
 	f.await("another host leads", func() bool { return f.leader() != nil })
 	for i := range quarantine.CrashThreshold {
-		entries[0].report(ctx, &Report{Ends: []quarantine.Crash{{Life: quarantine.Incarnation{Upstream: fmt.Sprint("later-", i)}, Prints: []quarantine.Fingerprint{other}}}})
+		entries[0].report(ctx, &Report{Crashes: []quarantine.Crash{{Life: quarantine.Incarnation{Upstream: fmt.Sprint("later-", i)}, Prints: []quarantine.Fingerprint{other}}}})
 	}
 	allHear("all entries hold the second request", other, true)
 	late := f.startReporting(ctx, "entry-late")
@@ -145,7 +145,7 @@
 // for ever is never served again once its upstreams are mended.
 func TestOldEndsAreForgotten(t *testing.T) {
 	m, now := NewMachine(), time.Now()
-	m.applyReport(&Report{Ends: []quarantine.Crash{{Life: quarantine.Incarnation{Upstream: "a"}, Prints: []quarantine.Fingerprint{{1}}}}})
+	m.applyReport(&Report{Crashes: []quarantine.Crash{{Life: quarantine.Incarnation{Upstream: "a"}, Prints: []quarantine.Fingerprint{{1}}}}})
 	later := now.Add(quarantine.CrashRetention + time.Second)
 	if old := m.oldEnds(later); len(old) != 1 {
 		t.Fatalf("%d ends are old after %v", len(old), quarantine.CrashRetention)
@@ -181,7 +181,7 @@
 	entry, bad := f.startReporting(ctx, "entry-1"), quarantine.Fingerprint{1}
 	var r Report
 	for i := range quarantine.CrashThreshold {
-		r.Ends = append(r.Ends, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{bad}})
+		r.Crashes = append(r.Crashes, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{bad}})
 	}
 	entry.report(ctx, &r)
 	f.await("the entry holds the request", func() bool { return entry.holds(bad) })
@@ -207,7 +207,7 @@
 func TestTheLongestReportIsTaken(t *testing.T) {
 	var longest Report
 	for range MostReported {
-		longest.Ends = append(longest.Ends, quarantine.Crash{Prints: make([]quarantine.Fingerprint, quarantine.MaxFingerprints)})
+		longest.Crashes = append(longest.Crashes, quarantine.Crash{Prints: make([]quarantine.Fingerprint, quarantine.MaxFingerprints)})
 		longest.Served = append(longest.Served, quarantine.Fingerprint{})
 	}
 	l := &leadership{reports: &reportBatch{done: make(chan struct{})}}
