--- a/internal/steward/behind_test.go
+++ b/internal/steward/behind_test.go
@@ -26,7 +26,7 @@
 		return StoreEvents{}, errors.New("connection refused")
 	}
 	time.Sleep(wait + time.Millisecond)
-	return StoreEvents{Life: 1, Next: max(since, 5), Clock: 1000}, nil
+	return StoreEvents{Incarnation: 1, Next: max(since, 5), Clock: 1000}, nil
 }
 
 // A runner and the leading host end at the same moment. An entry had heard of the last
@@ -69,11 +69,11 @@
 	}
 	former := newSharedBook()
 	former.lead(1)
-	former.replace("store:1", StoreEvents{Life: 1, Next: 5, Changes: change("p")})
-	former.replace("store:2", StoreEvents{Life: 1, Next: 100, Changes: change("s")})
-	former.replace("a:1", StoreEvents{Life: 1, Next: 100, Changes: change("q")})
+	former.replace("store:1", StoreEvents{Incarnation: 1, Next: 5, Changes: change("p")})
+	former.replace("store:2", StoreEvents{Incarnation: 1, Next: 100, Changes: change("s")})
+	former.replace("a:1", StoreEvents{Incarnation: 1, Next: 100, Changes: change("q")})
 	follow(s.book.book, former)
-	former.add(dead, StoreEvents{Life: 1, Next: 120, Changes: change("r")})
+	former.add(dead, StoreEvents{Incarnation: 1, Next: 120, Changes: change("r")})
 	entry := cacheindex.NewIndex(false)
 	follow(entry, former)
 	if !entry.Complete() || !s.book.book.Complete() {
--- a/internal/steward/clock_test.go
+++ b/internal/steward/clock_test.go
@@ -16,12 +16,12 @@
 
 func (clockInEvents) List(context.Context, string) (StoreEvents, error) {
 	time.Sleep(2 * time.Millisecond)
-	return StoreEvents{Life: 1, Next: 5}, nil
+	return StoreEvents{Incarnation: 1, Next: 5}, nil
 }
 
 func (clockInEvents) Events(_ context.Context, _ string, since uint64, wait time.Duration) (StoreEvents, error) {
 	time.Sleep(wait + 2*time.Millisecond)
-	return StoreEvents{Life: 1, Next: since, Clock: 1000}, nil
+	return StoreEvents{Incarnation: 1, Next: since, Clock: 1000}, nil
 }
 
 func (clockInEvents) Free(context.Context, string, uint64, []cacheindex.Key, int64) error { return nil }
--- a/internal/steward/fleet_test.go
+++ b/internal/steward/fleet_test.go
@@ -61,7 +61,7 @@
 	if page > 0 {
 		end = min(end, since+uint64(page))
 	}
-	return StoreEvents{Life: f.life, Next: end, Changes: slices.Clone(f.events[since:end]), Clock: 5000}, nil
+	return StoreEvents{Incarnation: f.life, Next: end, Changes: slices.Clone(f.events[since:end]), Clock: 5000}, nil
 }
 
 func (f *fakeStores) Free(_ context.Context, address string, life uint64, parts []cacheindex.Key, until int64) error {
--- a/internal/steward/options.go
+++ b/internal/steward/options.go
@@ -15,8 +15,8 @@
 
 // StoreEvents is what a store tells of its parts.
 type StoreEvents struct {
-	// Life changes when the store restarts.
-	Life uint64
+	// Incarnation changes when the store restarts.
+	Incarnation uint64
 	// Next is where the next question begins.
 	Next uint64
 	// Lost tells that earlier events are no longer held.
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -22,7 +22,7 @@
 	s.machine.applyDocument(&catalog.Document{Version: 1, Source: []byte("x"), Services: []catalog.Service{
 		{Name: "store", Store: &catalog.Store{Address: "store:1", CapacityTokens: 1000000}},
 	}})
-	s.book.replace("store:1", StoreEvents{Life: 1, Next: 5, Changes: []cacheindex.Change{
+	s.book.replace("store:1", StoreEvents{Incarnation: 1, Next: 5, Changes: []cacheindex.Change{
 		{Key: cacheindex.Key{Salt: "m.2", Part: "p"}, Tokens: 5000},
 	}})
 	s.leading.Store(l)
@@ -133,7 +133,7 @@
 		request.Term = l.elected
 		go func() {
 			time.Sleep(30 * time.Millisecond)
-			l.steward.book.add("store:1", StoreEvents{Life: 1, Next: 6, Changes: []cacheindex.Change{
+			l.steward.book.add("store:1", StoreEvents{Incarnation: 1, Next: 6, Changes: []cacheindex.Change{
 				{Key: cacheindex.Key{Salt: "m.2", Part: "q"}, Tokens: 5000},
 			}})
 		}()
@@ -167,7 +167,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked[address]++
-	return StoreEvents{Life: 1, Next: 5, Clock: 1000}, nil
+	return StoreEvents{Incarnation: 1, Next: 5, Clock: 1000}, nil
 }
 
 func (a *askedSources) Events(ctx context.Context, address string, _ uint64, wait time.Duration) (StoreEvents, error) {
--- a/internal/steward/sharedbook.go
+++ b/internal/steward/sharedbook.go
@@ -143,8 +143,8 @@
 		return
 	}
 	shelf := b.book.Inventory(address)
-	if listing.Life == 0 || listing.Life != shelf.Incarnation() {
-		b.write(address, listing.Changes, listing.Next, []cacheindex.Record{{Address: address, Cleared: true, Incarnation: listing.Life}})
+	if listing.Incarnation == 0 || listing.Incarnation != shelf.Incarnation() {
+		b.write(address, listing.Changes, listing.Next, []cacheindex.Record{{Address: address, Cleared: true, Incarnation: listing.Incarnation}})
 		return
 	}
 	listed := make(map[cacheindex.Key]bool, len(listing.Changes))
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -203,9 +203,9 @@
 		k.noteClock(events.Clock)
 		caughtUp := events.caughtUp()
 		events.Changes = large(events.Changes)
-		if events.Lost || events.Life != life {
+		if events.Lost || events.Incarnation != life {
 			behind = cacheindex.NewInventory()
-			behind.Clear(events.Life)
+			behind.Clear(events.Incarnation)
 		}
 		if behind == nil {
 			k.book.add(address, events)
@@ -266,11 +266,11 @@
 		if err != nil {
 			return err
 		}
-		if events.Life != life {
+		if events.Incarnation != life {
 			k.lose(address, errAnotherLife)
 		}
 		// What was missed may be the end of a part; only a listing tells.
-		if !events.Lost && events.Life == life {
+		if !events.Lost && events.Incarnation == life {
 			k.noteClock(events.Clock)
 			k.book.add(address, events)
 			if events.caughtUp() {
@@ -285,15 +285,15 @@
 	if err != nil {
 		return err
 	}
-	if listing.Life != life {
+	if listing.Incarnation != life {
 		k.lose(address, errAnotherLife)
 	}
 	k.noteClock(listing.Clock)
 	k.askClock(ctx, address, listing.Next)
 	k.book.replace(address, listing)
 	k.leadership.steward.meter.listings.Inc()
-	k.leadership.steward.options.Log.Info("store listed", "store", address, "life", listing.Life, "parts", len(listing.Changes))
-	k.reopen(ctx, address, listing.Life)
+	k.leadership.steward.options.Log.Info("store listed", "store", address, "life", listing.Incarnation, "parts", len(listing.Changes))
+	k.reopen(ctx, address, listing.Incarnation)
 	return nil
 }
 
--- a/internal/steward/stepped_test.go
+++ b/internal/steward/stepped_test.go
@@ -43,7 +43,7 @@
 				Version: 1, Routes: []catalog.Route{{Name: "r", Timeout: timeout}}, Services: []catalog.Service{{Name: "store", Store: store}},
 			})
 			old := cacheindex.Change{Key: cacheindex.Key{Salt: cacheindex.Salt("m", 1, ""), Part: "old"}, Tokens: 90}
-			l.steward.book.replace(store.Address, StoreEvents{Life: 1, Next: 1, Changes: []cacheindex.Change{old}})
+			l.steward.book.replace(store.Address, StoreEvents{Incarnation: 1, Next: 1, Changes: []cacheindex.Change{old}})
 			l.steward.book.reopen(store.Address, time.Now(), 0)
 			clock := int64(100_000)
 			l.shelves.noteClock(clock)
