--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -60,13 +60,13 @@
 
 // DumpedStore is a store or a runner's cache as an entry sees it.
 type DumpedStore struct {
-	Address  string  `json:"address"`
-	Open     bool    `json:"open"`
-	Life     uint64  `json:"life"`
-	Parts    int     `json:"parts"`
-	Tokens   int     `json:"tokens"`
-	Queued   int     `json:"queued_tokens"`
-	Slowness float64 `json:"slowness"`
+	Address     string  `json:"address"`
+	Open        bool    `json:"open"`
+	Incarnation uint64  `json:"life"`
+	Parts       int     `json:"parts"`
+	Tokens      int     `json:"tokens"`
+	Queued      int     `json:"queued_tokens"`
+	Slowness    float64 `json:"slowness"`
 }
 
 // Dump returns the state for operators. It takes the lock for as long as a copy
@@ -95,7 +95,7 @@
 	for _, address := range slices.Sorted(maps.Keys(s.stores)) {
 		store, shelf := s.stores[address], s.book.Inventory(address)
 		d.Stores = append(d.Stores, DumpedStore{
-			Address: address, Open: store.open, Life: shelf.Incarnation(), Parts: shelf.Len(), Tokens: shelf.Tokens(),
+			Address: address, Open: store.open, Incarnation: shelf.Incarnation(), Parts: shelf.Len(), Tokens: shelf.Tokens(),
 			Queued: store.own + store.others, Slowness: store.pace.slowness(now),
 		})
 	}
