--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -203,7 +203,7 @@
 			return notGiven
 		}
 		if otherLife(&u, &report) {
-			logger.Info("runner not ordered", "upstream", u.ID, "cause", "it has started again", "born", report.Born)
+			logger.Info("runner not ordered", "upstream", u.ID, "cause", "it has started again", "born", report.StartedMs)
 			return notGiven
 		}
 		if report.Busy || report.Versions[model] >= version {
@@ -225,7 +225,7 @@
 // otherLife reports whether a report is of another life of a runner than the one
 // that was to load. What that one has must not be recorded for the other.
 func otherLife(u *roster.Upstream, report *RunnerReport) bool {
-	return u.StartedMs != 0 && report.Born != 0 && u.StartedMs != report.Born
+	return u.StartedMs != 0 && report.StartedMs != 0 && u.StartedMs != report.StartedMs
 }
 
 // firstCheck is how long after its order a runner is first asked.
--- a/internal/steward/options.go
+++ b/internal/steward/options.go
@@ -79,8 +79,8 @@
 	// Accepted counts the orders that the runner has accepted.
 	Accepted uint64
 	Versions map[string]uint64
-	// Born is the birth that the runner tells, 0 if it tells none.
-	Born uint64
+	// StartedMs is the birth that the runner tells, 0 if it tells none.
+	StartedMs uint64
 }
 
 // Runners gives orders to model runners.
