--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("the new life is believed to have version %d", got)
 	}
 	serve(g, promptRequest("/stream/x"))
-	if sender.count() != 2 || sender.sends[1].Born != 2000 || sender.sends[0].Born != 1000 {
+	if sender.count() != 2 || sender.sends[1].StartedMs != 2000 || sender.sends[0].StartedMs != 1000 {
 		t.Errorf("%d sends", sender.count())
 	}
 }
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -96,7 +96,7 @@
 	} else {
 		p.upstream = r.leastLoaded(candidates, now)
 	}
-	p.send.Upstream, p.send.Address, p.send.Born = p.upstream.record.ID, p.upstream.record.Address, p.upstream.record.StartedMs
+	p.send.Upstream, p.send.Address, p.send.StartedMs = p.upstream.record.ID, p.upstream.record.Address, p.upstream.record.StartedMs
 	s.describePlan(p, now)
 	r.last = p
 	if !p.upstream.hasRoom(r.need(s, service, p.tokens, p.reads)) {
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -81,8 +81,8 @@
 	Request  *Request
 	Upstream string
 	Address  string
-	// Born tells the upstream's life.
-	Born uint64
+	// StartedMs tells the upstream's life.
+	StartedMs uint64
 	// Wait is the time left for the answer.
 	Wait time.Duration
 	// Team is the team that holds the caller's key, empty when none was asked.
