--- a/internal/gateway/candidates_test.go
+++ b/internal/gateway/candidates_test.go
@@ -25,7 +25,7 @@
 			Slots: 4, Loaded: []roster.Loaded{{Model: "m", Version: 1}}})
 	}
 	answer.Roster = view
-	g.Told(answer, time.Now())
+	g.ApplyAnswer(answer, time.Now())
 	return g
 }
 
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -20,11 +20,11 @@
 		answer.Roster.Upstreams[i].DataCentre = []string{"north", "south"}[i%2]
 	}
 	answer.Roster.Revision = 2
-	g.Told(answer, time.Now())
+	g.ApplyAnswer(answer, time.Now())
 }
 
 func evacuated(g *Gateway, revision uint64, dataCentres ...string) {
-	g.Told(&steward.WatchAnswer{Partial: true, Evacuation: &evacuation.View{Revision: revision, DataCentres: dataCentres}}, time.Now())
+	g.ApplyAnswer(&steward.WatchAnswer{Partial: true, Evacuation: &evacuation.View{Revision: revision, DataCentres: dataCentres}}, time.Now())
 }
 
 // Guards against work that is sent to a data centre after its evacuation is in force, by
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Told(testAnswer(), time.Now())
+	g.ApplyAnswer(testAnswer(), time.Now())
 	return g, sender
 }
 
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -150,7 +150,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Told(answer, time.Now())
+		g.ApplyAnswer(answer, time.Now())
 		g.state.book = f.book
 		for _, store := range f.stores {
 			g.state.store(store.address).open = true
@@ -239,7 +239,7 @@
 		}
 		time.Sleep(f.shape.wordLag)
 		answer.StateAge = f.shape.wordLag
-		g.Told(answer, sent)
+		g.ApplyAnswer(answer, sent)
 		g.state.mu.Lock()
 		g.state.shelvesAt = time.Now()
 		g.state.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -98,8 +98,8 @@
 	return request
 }
 
-// Told takes in an answer of the control hosts; sent is when it was asked for.
-func (g *Gateway) Told(answer *steward.WatchAnswer, sent time.Time) {
+// ApplyAnswer takes in an answer of the control hosts; sent is when it was asked for.
+func (g *Gateway) ApplyAnswer(answer *steward.WatchAnswer, sent time.Time) {
 	g.state.mu.Lock()
 	g.judgeBy(answer.Quarantine, time.Now())
 	g.state.mu.Unlock()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -207,13 +207,13 @@
 	now.Term, now.Document, now.Silent = 2, nil, []string{"a1"}
 	now.Loads = []steward.Load{{Upstream: "a2", Requests: 3}}
 	now.Inventories = nil
-	g.Told(now, time.Now())
+	g.ApplyAnswer(now, time.Now())
 	late := testAnswer()
 	late.Partial, late.Document.Version, late.Inventories = true, 8, nil
-	g.Told(late, time.Now())
+	g.ApplyAnswer(late, time.Now())
 	old := testAnswer()
 	old.Partial, old.Document.Version, old.Inventories = true, 7, nil
-	g.Told(old, time.Now())
+	g.ApplyAnswer(old, time.Now())
 	s := g.state
 	if v := g.Index().Version(); v != 8 || s.term != 2 || !s.members["a1"].silent || s.members["a2"].others.Requests != 3 {
 		t.Fatalf("version %d, term %d, a1 %+v, a2 %+v", v, s.term, s.members["a1"], s.members["a2"])
@@ -226,7 +226,7 @@
 	older := testAnswer()
 	older.Document.Version = 3
 	older.Roster = nil
-	g.Told(older, time.Now())
+	g.ApplyAnswer(older, time.Now())
 	if g.Index().Version() != 7 {
 		t.Fatalf("version %d is in force", g.Index().Version())
 	}
@@ -242,7 +242,7 @@
 			left.Roster.Upstreams[i].State = roster.Leaving
 		}
 	}
-	g.Told(left, time.Now())
+	g.ApplyAnswer(left, time.Now())
 	for range 20 {
 		serve(g, request("/safe/x"))
 	}
@@ -280,7 +280,7 @@
 	for i := range swapped.Roster.Upstreams {
 		swapped.Roster.Upstreams[i].Loaded = []roster.Loaded{{Model: "m", Version: 2}}
 	}
-	g.Told(swapped, time.Now())
+	g.ApplyAnswer(swapped, time.Now())
 	if after := send("k"); after.Version != 2 || after.Salt == open.Salt || after.Fetch != nil {
 		t.Fatalf("after new weights: %+v", after)
 	}
@@ -304,7 +304,7 @@
 		g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
 		answer := testAnswer()
 		sent := c.spoil(answer)
-		g.Told(answer, sent)
+		g.ApplyAnswer(answer, sent)
 		r := request("/stream/x")
 		r.Prompt = prompt(placement.Part{ID: "kept", Tokens: 9000}, placement.Part{ID: "own", Tokens: 10})
 		serve(g, r)
@@ -330,7 +330,7 @@
 	named := testAnswer()
 	named.Document, named.Roster = nil, nil
 	named.Weights = &steward.WeightsView{Revision: 2, Newest: []roster.Loaded{{Model: "m", Version: 2}}}
-	g.Told(named, time.Now())
+	g.ApplyAnswer(named, time.Now())
 	r := request("/stream/x")
 	r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100}, placement.Part{ID: "own", Tokens: 10})
 	rec := serve(g, r)
@@ -397,7 +397,7 @@
 		dropped.Version++
 		dropped.Routes = dropped.Routes[:3]
 		dropped.Services = []catalog.Service{{Name: "app"}}
-		g.Told(&steward.WatchAnswer{Term: 1, Document: dropped, EntryCount: 1}, time.Now())
+		g.ApplyAnswer(&steward.WatchAnswer{Term: 1, Document: dropped, EntryCount: 1}, time.Now())
 		return stream(lost(), "1"), nil
 	})
 	r := request("/resume/x")
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -21,7 +21,7 @@
 	answer.Roster = &steward.RosterView{Revision: revision, Upstreams: append(others, roster.Upstream{
 		ID: "l1", Service: "llm", Address: "l1:1", State: roster.Serving, Slots: 4, StartedMs: born, Loaded: []roster.Loaded{{Model: "m", Version: 1}},
 	})}
-	g.Told(answer, time.Now())
+	g.ApplyAnswer(answer, time.Now())
 }
 
 func promptRequest(path string) *Request {
@@ -88,7 +88,7 @@
 	s, key := g.state, cacheindex.Key{Salt: "m.1", Part: "p"}
 	sheet := cacheindex.Batch{Address: "l1:1", Cleared: true, Incarnation: 9, Salt: key.Salt, Parts: []string{key.Part}, Tokens: []int{9000}, Next: 4}
 	shelves := func(next uint64) {
-		g.Told(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: 1000, StoreStates: testAnswer().StoreStates,
+		g.ApplyAnswer(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: 1000, StoreStates: testAnswer().StoreStates,
 			Inventories: &cacheindex.Update{At: cacheindex.Position{Term: 1, Next: next}, Batches: []cacheindex.Batch{sheet}}}, time.Now())
 	}
 	shelves(3)
@@ -161,7 +161,7 @@
 		return names
 	}
 	tell := func(since, revision uint64, changed ...roster.Upstream) {
-		g.Told(&steward.WatchAnswer{Term: 1, Roster: &steward.RosterView{Revision: revision, Since: since, Upstreams: changed}}, time.Now())
+		g.ApplyAnswer(&steward.WatchAnswer{Term: 1, Roster: &steward.RosterView{Revision: revision, Since: since, Upstreams: changed}}, time.Now())
 	}
 	kept := g.state.members["l2"]
 	tell(1, 3, roster.Upstream{ID: "l1", Service: "llm", State: roster.Gone}, roster.Upstream{ID: "l3", Service: "llm", Address: "l3:1", State: roster.Serving})
--- a/internal/gateway/meter_test.go
+++ b/internal/gateway/meter_test.go
@@ -66,7 +66,7 @@
 	told := testAnswer()
 	told.Document, told.Roster, told.Inventories = nil, nil, nil
 	told.Silent, told.Loads = []string{"l1"}, []steward.Load{{Upstream: "l2", Requests: 3}}
-	g.Told(told, time.Now())
+	g.ApplyAnswer(told, time.Now())
 	d := g.Dump()
 	found := map[string]bool{}
 	for _, u := range d.Upstreams {
--- a/internal/gateway/plan_bench_test.go
+++ b/internal/gateway/plan_bench_test.go
@@ -32,7 +32,7 @@
 					Loaded: []roster.Loaded{{Model: "m", Version: 1}}})
 			}
 			answer.Roster = view
-			g.Told(answer, time.Now())
+			g.ApplyAnswer(answer, time.Now())
 			request := promptRequest("/stream/x")
 			r, err := g.admit(context.Background(), request)
 			if err != nil {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -27,7 +27,7 @@
 
 // tellHeld tells an entry of held and suspected requests, as a late answer may.
 func tellHeld(g *Gateway, revision uint64, held, suspects []quarantine.Fingerprint) {
-	g.Told(&steward.WatchAnswer{Partial: true, Quarantine: &steward.QuarantineView{Revision: revision, Quarantined: held, Suspects: suspects}}, time.Now())
+	g.ApplyAnswer(&steward.WatchAnswer{Partial: true, Quarantine: &steward.QuarantineView{Revision: revision, Quarantined: held, Suspects: suspects}}, time.Now())
 }
 
 func withBody(path, body string) *Request {
--- a/internal/gateway/shelfclock_test.go
+++ b/internal/gateway/shelfclock_test.go
@@ -19,13 +19,13 @@
 		return s.upstreamsClock(s.clockAt)
 	}
 	later := testAnswer().Clock + 5000
-	g.Told(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: later}, time.Now())
+	g.ApplyAnswer(&steward.WatchAnswer{Term: 1, EntryCount: 1, Clock: later}, time.Now())
 	if got := clock(); got != testAnswer().Clock {
 		t.Errorf("the clock shows %d by an answer without shelves, %d with the last ones", got, testAnswer().Clock)
 	}
 	again := testAnswer()
 	again.Clock = later
-	g.Told(again, time.Now())
+	g.ApplyAnswer(again, time.Now())
 	if got := clock(); got != later {
 		t.Errorf("the clock shows %d, told with the shelves %d", got, later)
 	}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -45,7 +45,7 @@
 			began := time.Now()
 			go func() {
 				time.Sleep(c.told)
-				g.Told(testAnswer(), time.Now())
+				g.ApplyAnswer(testAnswer(), time.Now())
 			}()
 			r := request("/safe/x")
 			r.Wait = c.wait
@@ -71,11 +71,11 @@
 		g.state = newState(placement.DefaultRates().PrefillPerMs)
 		bare := testAnswer()
 		bare.Inventories = nil
-		g.Told(bare, time.Now())
+		g.ApplyAnswer(bare, time.Now())
 		go func() {
 			time.Sleep(200 * time.Millisecond)
 			full.Document, full.Roster = nil, nil
-			g.Told(full, time.Now())
+			g.ApplyAnswer(full, time.Now())
 		}()
 		began := time.Now()
 		r := request("/stream/x")
@@ -103,13 +103,13 @@
 		g.state = newState(placement.DefaultRates().PrefillPerMs)
 		asked := time.Now()
 		time.Sleep(1100 * time.Millisecond)
-		g.Told(testAnswer(), asked)
+		g.ApplyAnswer(testAnswer(), asked)
 		if g.Ask().Term != 0 {
 			t.Error("a question without the wait for news would be answered at once")
 		}
 		go func() {
 			time.Sleep(30 * time.Millisecond)
-			g.Told(testAnswer(), time.Now())
+			g.ApplyAnswer(testAnswer(), time.Now())
 		}()
 		began := time.Now()
 		r := request("/stream/x")
--- a/internal/gateway/versions_test.go
+++ b/internal/gateway/versions_test.go
@@ -23,7 +23,7 @@
 	word.Document, word.Inventories = nil, nil
 	word.Roster.Upstreams[3].Loaded = []roster.Loaded{{Model: "m", Version: 2}}
 	word.Floor = []roster.Loaded{{Model: "m", Version: 2}}
-	g.Told(word, time.Now())
+	g.ApplyAnswer(word, time.Now())
 	ask := func() *recorder {
 		r := request("/stream/x")
 		r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
@@ -40,11 +40,11 @@
 	// An answer of a host that has not heard of the bound takes nothing back.
 	older := *word
 	older.Floor, older.Roster = nil, nil
-	g.Told(&older, time.Now())
+	g.ApplyAnswer(&older, time.Now())
 	sent := sender.count()
 	word.Floor = []roster.Loaded{{Model: "m", Version: 3}}
-	g.Told(word, time.Now())
-	g.Told(&older, time.Now())
+	g.ApplyAnswer(word, time.Now())
+	g.ApplyAnswer(&older, time.Now())
 	var unsent *outcome.NotRun
 	if got := ask(); sender.count() != sent || got.ends != "refused" || !errors.As(got.cause, &unsent) || unsent.RetryAfter == 0 {
 		t.Fatalf("%d sends, answered %q: %v", sender.count()-sent, got.ends, got.cause)
@@ -67,7 +67,7 @@
 	named := testAnswer()
 	named.Document, named.Roster = nil, nil
 	named.Weights = &steward.WeightsView{Revision: 3, Newest: []roster.Loaded{{Model: "m", Version: 3}}}
-	g.Told(named, time.Now())
+	g.ApplyAnswer(named, time.Now())
 	const callers = 30
 	refused := 0
 	for range callers {
@@ -95,7 +95,7 @@
 		}
 	}
 	word.Floor = []roster.Loaded{{Model: "m", Version: 2}}
-	g.Told(word, time.Now())
+	g.ApplyAnswer(word, time.Now())
 	r := request("/safe/x")
 	r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
 	if got := serve(g, r); got.ends != "done" {
@@ -117,7 +117,7 @@
 		named := testAnswer()
 		named.Document, named.Roster.Upstreams = nil, named.Roster.Upstreams[3:4]
 		named.Weights = &steward.WeightsView{Revision: 3, Newest: []roster.Loaded{{Model: "m", Version: 3}}}
-		g.Told(named, time.Now())
+		g.ApplyAnswer(named, time.Now())
 		r := request("/stream/x")
 		r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
 		serve(g, r)
