--- a/cmd/lovage-fleet/entry.go
+++ b/cmd/lovage-fleet/entry.go
@@ -80,7 +80,7 @@
 	tasks.Go(func() error { return e.callers.Serve(callers) })
 	tasks.Go(func() error { return serve(e.readiness, readiness) })
 	tasks.Go(func() error { upstreams.Run(ctx); return nil })
-	tasks.Go(func() error { follower.Run(ctx, g.Ask, g.ApplyAnswer); return nil })
+	tasks.Go(func() error { follower.Run(ctx, g.NextRequest, g.ApplyAnswer); return nil })
 	tasks.Go(func() error { g.Report(ctx, follower.Report); return nil })
 	tasks.Go(func() error { runTelemetry(ctx, env, observed); return nil })
 	tasks.Go(func() error { watchSettings(ctx, env, follower.SetSeeds); return nil })
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -71,7 +71,7 @@
 	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
 	evacuated(g, 2, "south")
 	evacuated(g, 1)
-	if ask := g.Ask(); ask.Evacuation != 2 || !g.state.evacuation.Evacuated("south") {
+	if ask := g.NextRequest(); ask.Evacuation != 2 || !g.state.evacuation.Evacuated("south") {
 		t.Errorf("revision %d", ask.Evacuation)
 	}
 }
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -212,7 +212,7 @@
 	random := rand.New(rand.NewPCG(uint64(index), 5))
 	time.Sleep(time.Duration(random.Int64N(int64(f.shape.wordEvery))))
 	for ctx.Err() == nil {
-		sent, request := time.Now(), g.Ask()
+		sent, request := time.Now(), g.NextRequest()
 		own := make(map[string]steward.Load, len(request.Loads))
 		for _, load := range request.Loads {
 			own[load.Upstream] = load
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -86,8 +86,8 @@
 	return g, nil
 }
 
-// Ask returns what to watch for next.
-func (g *Gateway) Ask() *steward.WatchRequest {
+// NextRequest returns what to watch for next.
+func (g *Gateway) NextRequest() *steward.WatchRequest {
 	now := time.Now()
 	rate, most := g.traffic.told(now, g.options.Means)
 	request := g.state.request(steward.EntryView{
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -104,7 +104,7 @@
 		asked := time.Now()
 		time.Sleep(1100 * time.Millisecond)
 		g.ApplyAnswer(testAnswer(), asked)
-		if g.Ask().Term != 0 {
+		if g.NextRequest().Term != 0 {
 			t.Error("a question without the wait for news would be answered at once")
 		}
 		go func() {
@@ -118,7 +118,7 @@
 		if took := time.Since(began); took != 30*time.Millisecond || sender.sends[0].Prompt.Fetch == nil {
 			t.Fatalf("sent after %v with %+v", took, sender.sends[0].Prompt)
 		}
-		if g.Ask().Term == 0 {
+		if g.NextRequest().Term == 0 {
 			t.Error("the word is fresh, and the question is to be answered at once")
 		}
 	})
