--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -93,7 +93,7 @@
 	held := b.machine.held()
 	request := &WatchRequest{
 		Term: b.told.Term, Document: held.document, Weights: held.weights, Roster: held.roster,
-		Quarantine: held.quarantine, Evacuation: held.evacuation, Grants: b.grantsAt, Heard: b.hearing.list(time.Now()),
+		Quarantine: held.quarantine, Evacuation: held.evacuation, Grants: b.grantsAt, LastContacts: b.hearing.list(time.Now()),
 		SilentAt: b.told.SilentAt,
 	}
 	if !b.told.Relaying || !held.cover(b.lacked) {
--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -200,7 +200,7 @@
 	l.told = max(l.told, request.Entries)
 	l.sized = l.sized || request.Entries > 0
 	l.mu.Unlock()
-	for _, heard := range request.Heard {
+	for _, heard := range request.LastContacts {
 		l.beat(heard.Upstream, now.Add(-heard.Age))
 	}
 	l.watchers.follow(from, request, now)
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -88,9 +88,9 @@
 	Evacuation uint64 `cbor:"16,keyasint,omitempty"`
 	// Grants is the revision of the grants that the caller, a control host, holds.
 	Grants uint64 `cbor:"17,keyasint,omitempty"`
-	// Heard are the upstreams that announced themselves to the caller, a control
+	// LastContacts are the upstreams that announced themselves to the caller, a control
 	// host, since its latest question that was answered.
-	Heard []Heard `cbor:"14,keyasint,omitempty"`
+	LastContacts []Heard `cbor:"14,keyasint,omitempty"`
 	// SilentAt is the revision of the silent upstreams that the caller was told in Term.
 	SilentAt uint64 `cbor:"19,keyasint,omitempty"`
 	// Listing tells that the caller is being told the whole roster, page by page.
