--- a/internal/steward/heard.go
+++ b/internal/steward/heard.go
@@ -9,9 +9,9 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// Heard is an upstream that announced itself to a control host that does not lead,
+// LastContact is an upstream that announced itself to a control host that does not lead,
 // and how long ago.
-type Heard struct {
+type LastContact struct {
 	Upstream string        `cbor:"1,keyasint"`
 	Age      time.Duration `cbor:"2,keyasint"`
 }
@@ -37,12 +37,12 @@
 }
 
 // list is what the leader may not have been told.
-func (h *hearing) list(now time.Time) []Heard {
+func (h *hearing) list(now time.Time) []LastContact {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := make([]Heard, 0, len(h.at))
+	list := make([]LastContact, 0, len(h.at))
 	for id, at := range h.at {
-		list = append(list, Heard{Upstream: id, Age: now.Sub(at)})
+		list = append(list, LastContact{Upstream: id, Age: now.Sub(at)})
 	}
 	return list
 }
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -90,7 +90,7 @@
 	Grants uint64 `cbor:"17,keyasint,omitempty"`
 	// LastContacts are the upstreams that announced themselves to the caller, a control
 	// host, since its latest question that was answered.
-	LastContacts []Heard `cbor:"14,keyasint,omitempty"`
+	LastContacts []LastContact `cbor:"14,keyasint,omitempty"`
 	// SilentAt is the revision of the silent upstreams that the caller was told in Term.
 	SilentAt uint64 `cbor:"19,keyasint,omitempty"`
 	// Listing tells that the caller is being told the whole roster, page by page.
--- a/internal/steward/rosterpage_test.go
+++ b/internal/steward/rosterpage_test.go
@@ -77,7 +77,7 @@
 		t.Errorf("%d pages are kept", len(m.pages.bySince))
 	}
 	var answer WatchAnswer
-	m.fill(&WatchRequest{LastContacts: []Heard{}}, &answer)
+	m.fill(&WatchRequest{LastContacts: []LastContact{}}, &answer)
 	if len(answer.Roster.Upstreams) != 0 || answer.Roster.Revision != 2000 {
 		t.Errorf("a control host is told %d upstreams", len(answer.Roster.Upstreams))
 	}
