--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -23,7 +23,7 @@
 			s.weights[w.Model] = max(s.weights[w.Model], w.Version)
 		}
 	}
-	for _, f := range answer.Floor {
+	for _, f := range answer.MinVersions {
 		s.floor[f.Model] = max(s.floor[f.Model], f.Version)
 	}
 	if r := answer.Roster; r != nil && s.follows(r, answer.Partial) {
--- a/internal/gateway/versions_test.go
+++ b/internal/gateway/versions_test.go
@@ -22,7 +22,7 @@
 	word := testAnswer()
 	word.Document, word.Inventories = nil, nil
 	word.Roster.Upstreams[3].Loaded = []roster.Loaded{{Model: "m", Version: 2}}
-	word.Floor = []roster.Loaded{{Model: "m", Version: 2}}
+	word.MinVersions = []roster.Loaded{{Model: "m", Version: 2}}
 	g.ApplyAnswer(word, time.Now())
 	ask := func() *recorder {
 		r := request("/stream/x")
@@ -39,10 +39,10 @@
 	}
 	// An answer of a host that has not heard of the bound takes nothing back.
 	older := *word
-	older.Floor, older.Roster = nil, nil
+	older.MinVersions, older.Roster = nil, nil
 	g.ApplyAnswer(&older, time.Now())
 	sent := sender.count()
-	word.Floor = []roster.Loaded{{Model: "m", Version: 3}}
+	word.MinVersions = []roster.Loaded{{Model: "m", Version: 3}}
 	g.ApplyAnswer(word, time.Now())
 	g.ApplyAnswer(&older, time.Now())
 	var unsent *outcome.NotRun
@@ -94,7 +94,7 @@
 			word.Roster.Upstreams[i].Loaded = nil
 		}
 	}
-	word.Floor = []roster.Loaded{{Model: "m", Version: 2}}
+	word.MinVersions = []roster.Loaded{{Model: "m", Version: 2}}
 	g.ApplyAnswer(word, time.Now())
 	r := request("/safe/x")
 	r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
--- a/internal/steward/floor_test.go
+++ b/internal/steward/floor_test.go
@@ -60,8 +60,8 @@
 		time.Sleep(3900 * time.Millisecond)
 		answer := &WatchAnswer{}
 		l.complete(port.Peer{}, answer, time.Now())
-		if want := []roster.Loaded{{Model: "m", Version: 2}}; !slices.Equal(answer.Floor, want) {
-			t.Errorf("14.9 s after the naming the floor is %v, want %v", answer.Floor, want)
+		if want := []roster.Loaded{{Model: "m", Version: 2}}; !slices.Equal(answer.MinVersions, want) {
+			t.Errorf("14.9 s after the naming the floor is %v, want %v", answer.MinVersions, want)
 		}
 	})
 }
--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -325,7 +325,7 @@
 	answer.Relaying = answer.EntryCount > entriesAlone
 	answer.Relays = l.relays(now)
 	answer.Loading = l.loader.loading()
-	answer.Floor = l.raiseFloor(now)
+	answer.MinVersions = l.raiseFloor(now)
 	answer.Clock = l.shelves.clock(now)
 	answer.Loads = l.watchers.loadsBut(from.Host, nil, now)
 }
--- a/internal/steward/loads_test.go
+++ b/internal/steward/loads_test.go
@@ -128,12 +128,12 @@
 func TestTheFloorIsPassedOn(t *testing.T) {
 	b := newBranch(NewMachine(), newSharedBook(), log.New(io.Discard))
 	told := relayingAnswer(3)
-	told.Floor = []roster.Loaded{{Model: "m", Version: 2}}
+	told.MinVersions = []roster.Loaded{{Model: "m", Version: 2}}
 	b.take(told, time.Now(), time.Now())
 	answer := &WatchAnswer{}
 	b.complete(entryPeer("e1"), answer, time.Now())
-	if !slices.Equal(answer.Floor, told.Floor) {
-		t.Fatalf("passed on %v", answer.Floor)
+	if !slices.Equal(answer.MinVersions, told.MinVersions) {
+		t.Fatalf("passed on %v", answer.MinVersions)
 	}
 }
 
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -195,9 +195,9 @@
 	// time since the end of its lease, zero within it, and from another host the time
 	// since it asked the leader and that age.
 	InventoryAge time.Duration `cbor:"20,keyasint,omitempty"`
-	// Floor lists the oldest weights on which a prompt may begin, for the models
+	// MinVersions lists the oldest weights on which a prompt may begin, for the models
 	// where older ones are past their bound.
-	Floor []roster.Loaded `cbor:"21,keyasint,omitempty"`
+	MinVersions []roster.Loaded `cbor:"21,keyasint,omitempty"`
 	// StateAge is the same for Document, Weights, Roster, Quarantine and Evacuation.
 	StateAge time.Duration `cbor:"22,keyasint,omitempty"`
 	// OpenFor is for how long the watch was kept open before what it tells was looked up.
