--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -55,7 +55,7 @@
 	// without an answer between; AvoidedFor is zero while it is trusted.
 	Failures   float64       `json:"failures"`
 	InRow      int           `json:"in_row"`
-	AvoidedFor time.Duration `json:"avoided_for_ns"`
+	EjectedFor time.Duration `json:"avoided_for_ns"`
 }
 
 // DumpedStore is a store or a runner's cache as an entry sees it.
@@ -89,7 +89,7 @@
 		d.Upstreams = append(d.Upstreams, DumpedUpstream{
 			ID: id, Service: u.record.Service, Address: u.record.Address, State: u.record.State.String(),
 			Silent: u.silent, Loading: u.loading, Cold: u.cold(now), Own: u.own, Others: u.others,
-			Failures: u.trust.share(now), InRow: u.trust.inRow, AvoidedFor: max(u.trust.avoided.Sub(now), 0),
+			Failures: u.trust.share(now), InRow: u.trust.inRow, EjectedFor: max(u.trust.avoided.Sub(now), 0),
 		})
 	}
 	for _, address := range slices.Sorted(maps.Keys(s.stores)) {
--- a/internal/gateway/meter_test.go
+++ b/internal/gateway/meter_test.go
@@ -71,7 +71,7 @@
 	found := map[string]bool{}
 	for _, u := range d.Upstreams {
 		switch {
-		case u.AvoidedFor > 0 && u.InRow == 1:
+		case u.EjectedFor > 0 && u.InRow == 1:
 			found["avoided"] = true
 		case u.ID == "l1" && u.Silent:
 			found["silent"] = true
