--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -32,10 +32,10 @@
 // DumpedEstimate is what an entry has learnt of one service's engines and prompts.
 type DumpedEstimate struct {
 	Service string `json:"service"`
-	// ReadPerMs are the tokens that a runner reads in a millisecond, BaseMs what a
+	// PrefillPerMs are the tokens that a runner reads in a millisecond, BaseMs what a
 	// prompt takes besides.
-	ReadPerMs float64 `json:"read_tokens_per_ms"`
-	BaseMs    float64 `json:"base_ms"`
+	PrefillPerMs float64 `json:"read_tokens_per_ms"`
+	BaseMs       float64 `json:"base_ms"`
 	// LightTokens is the largest size of a prompt that counts as light.
 	LightTokens int `json:"light_tokens"`
 }
@@ -102,7 +102,7 @@
 	for _, service := range slices.Sorted(maps.Keys(s.learned)) {
 		l := s.learned[service]
 		d.Estimates = append(d.Estimates, DumpedEstimate{
-			Service: service, ReadPerMs: l.reading.PerMs(), BaseMs: l.reading.BaseMs(), LightTokens: l.size.Small(),
+			Service: service, PrefillPerMs: l.reading.PerMs(), BaseMs: l.reading.BaseMs(), LightTokens: l.size.Small(),
 		})
 	}
 	return d
