--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -36,8 +36,8 @@
 	// prompt takes besides.
 	PrefillPerMs float64 `json:"read_tokens_per_ms"`
 	BaseMs       float64 `json:"base_ms"`
-	// LightTokens is the largest size of a prompt that counts as light.
-	LightTokens int `json:"light_tokens"`
+	// SmallTokens is the largest size of a prompt that counts as light.
+	SmallTokens int `json:"light_tokens"`
 }
 
 // DumpedUpstream is an upstream as an entry sees it.
@@ -102,7 +102,7 @@
 	for _, service := range slices.Sorted(maps.Keys(s.learned)) {
 		l := s.learned[service]
 		d.Estimates = append(d.Estimates, DumpedEstimate{
-			Service: service, PrefillPerMs: l.reading.PerMs(), BaseMs: l.reading.BaseMs(), LightTokens: l.size.Small(),
+			Service: service, PrefillPerMs: l.reading.PerMs(), BaseMs: l.reading.BaseMs(), SmallTokens: l.size.Small(),
 		})
 	}
 	return d
