--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -295,7 +295,7 @@
 		fetch bool
 	}{
 		{"fresh", func(*steward.WatchAnswer) time.Time { return time.Now() }, true},
-		{"old", func(*steward.WatchAnswer) time.Time { return time.Now().Add(-steward.ShelfTrust) }, false},
+		{"old", func(*steward.WatchAnswer) time.Time { return time.Now().Add(-steward.InventoryMaxAge) }, false},
 		{"newer parts beside the old word", func(a *steward.WatchAnswer) time.Time { a.Inventories.More = true; return time.Now() }, false},
 		{"closed", func(a *steward.WatchAnswer) time.Time { a.StoreStates[0].Open = false; return time.Now() }, false},
 		{"no state told", func(a *steward.WatchAnswer) time.Time { a.StoreStates = nil; return time.Now() }, false},
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -166,7 +166,7 @@
 // once, without waiting for news. An entry that starts beside its control hosts asks
 // one that is not up yet, and is answered late by an answer too old to rely on. Until
 // the next one comes, shared parts that stand in stores are read again.
-const shelvesUrgent = steward.ShelfTrust / 2
+const shelvesUrgent = steward.InventoryMaxAge / 2
 
 // request returns what this entry holds, for the next watch.
 func (s *state) request(view steward.EntryView) *steward.WatchRequest {
@@ -218,7 +218,7 @@
 // not while newer parts stand beside an older word on which stores are open: a
 // part may be half written in the next life of a store.
 func (s *state) shelvesTrusted(now time.Time) bool {
-	return !s.book.Inconsistent() && now.Sub(s.shelvesAt) < steward.ShelfTrust
+	return !s.book.Inconsistent() && now.Sub(s.shelvesAt) < steward.InventoryMaxAge
 }
 
 // upstreamsClock is the earliest that the upstreams' clock can show.
--- a/internal/steward/pace_test.go
+++ b/internal/steward/pace_test.go
@@ -101,7 +101,7 @@
 				t.Errorf("%d watchers at %v each take %.2f of the host", c.watchers, c.each, share)
 			}
 			for i, gap := range h.longest {
-				if gap > ShelfTrust/2 {
+				if gap > InventoryMaxAge/2 {
 					t.Errorf("%d watchers at %v each: entry %d heard nothing for %v", c.watchers, c.each, i, gap)
 				}
 			}
--- a/internal/steward/retire_test.go
+++ b/internal/steward/retire_test.go
@@ -86,8 +86,8 @@
 		t.Fatalf("freed %+v", f.stores.freed)
 	}
 	// The test saw the retiring at most one poll late.
-	if waited := freed.at.Sub(retired); waited < ShelfTrust+FetchPermit {
-		t.Fatalf("freed %v after it was retired; an entry may fetch it for %v", waited, ShelfTrust+FetchPermit)
+	if waited := freed.at.Sub(retired); waited < InventoryMaxAge+FetchPermit {
+		t.Fatalf("freed %v after it was retired; an entry may fetch it for %v", waited, InventoryMaxAge+FetchPermit)
 	}
 }
 
@@ -274,7 +274,7 @@
 // use has an entry send a prompt that fetches or keeps a part.
 func (w *interleaving) use(e *simEntry) {
 	key := cacheindex.Key{Salt: cacheindex.Salt("m", w.version-uint64(w.r.IntN(2)), ""), Part: fmt.Sprint(w.r.IntN(12))}
-	if w.now.Sub(e.at) >= ShelfTrust || e.book.Inconsistent() {
+	if w.now.Sub(e.at) >= InventoryMaxAge || e.book.Inconsistent() {
 		return
 	}
 	permit, life := w.now.Add(FetchPermit), w.life
@@ -336,7 +336,7 @@
 		}
 		for _, e := range w.entries {
 			if w.r.IntN(150) == 0 {
-				e.deaf = w.now.Add(w.upTo(2 * ShelfTrust))
+				e.deaf = w.now.Add(w.upTo(2 * InventoryMaxAge))
 			}
 			if w.r.IntN(10) == 0 && w.now.After(e.deaf) {
 				w.ask(e, w.hosts[w.r.IntN(len(w.hosts))])
--- a/internal/steward/shelves.go
+++ b/internal/steward/shelves.go
@@ -28,7 +28,7 @@
 	// what was told before it: an entry relies on that for ShelfTrust, what it
 	// sends then may fetch for FetchPermit, and the rest is for the difference of
 	// clocks and for answers on their way.
-	beliefLasts = ShelfTrust + FetchPermit + 400*time.Millisecond
+	beliefLasts = InventoryMaxAge + FetchPermit + 400*time.Millisecond
 	// shelfPause keeps a store closed at the start of another life of it, while
 	// an entry may still read what it knew of the life before.
 	shelfPause = beliefLasts
@@ -49,9 +49,9 @@
 	runnerLeast = 1000
 )
 
-// ShelfTrust is how long after asking an entry may rely on what it was told of
+// InventoryMaxAge is how long after asking an entry may rely on what it was told of
 // the stores.
-const ShelfTrust = time.Second
+const InventoryMaxAge = time.Second
 
 // FetchPermit is how long after a send a runner may read from a store.
 const FetchPermit = 2500 * time.Millisecond
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -239,7 +239,7 @@
 	lead := f.leader()
 	f.await("the new life is known", func() bool { return lead.machine.lifeOf("store:1") == 2 })
 	lead.book.mu.Lock()
-	opens := lead.book.book.Inventory("store:1").Open(time.Now().Add(ShelfTrust + FetchPermit - time.Second))
+	opens := lead.book.book.Inventory("store:1").Open(time.Now().Add(InventoryMaxAge + FetchPermit - time.Second))
 	lead.book.mu.Unlock()
 	if opens {
 		t.Fatal("open while an entry may still read by what it knew of the former life")
