--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	Budget  BudgetLimits
 	Rates   placement.Rates
 	// Means are the host's, by which the entry tells how many requests it takes.
-	Means Means
+	Means HostCapacity
 	// AnnounceEvery is how often upstreams announce themselves.
 	AnnounceEvery time.Duration
 	// Lapsed reports whether the configuration held may have been replaced for too long;
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -22,8 +22,8 @@
 	idleAfter = 2 * time.Second
 )
 
-// Means are what an entry's host has for its requests; zero where it is not told.
-type Means struct {
+// HostCapacity are what an entry's host has for its requests; zero where it is not told.
+type HostCapacity struct {
 	// Cores is its share of a processor in cores, LinkMbps the rate of its link.
 	Cores, LinkMbps float64
 }
@@ -57,7 +57,7 @@
 // told returns the requests a second that come, and those that the entry serves well
 // by its means, 0 if they are not told. A request's body passes its link twice, once
 // each way.
-func (t *traffic) told(now time.Time, means Means) (rate, most int) {
+func (t *traffic) told(now time.Time, means HostCapacity) (rate, most int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rate = int(math.Ceil(t.rate * t.left(now)))
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -9,17 +9,17 @@
 // Told too many, callers wait for its processor or its link; told too few, they are
 // spread over entries that know nothing of the runners.
 func TestAnEntryTellsWhatItTakes(t *testing.T) {
-	means := Means{Cores: 0.2, LinkMbps: 10}
+	means := HostCapacity{Cores: 0.2, LinkMbps: 10}
 	for _, c := range []struct {
 		name  string
 		body  int
-		means Means
+		means HostCapacity
 		most  int
 	}{
 		{"the processor binds", 400, means, 100},
 		{"the link binds", 17000, means, 19},
-		{"a quick link", 17000, Means{Cores: 0.2, LinkMbps: 1000}, 100},
-		{"nothing is told", 400, Means{}, 0},
+		{"a quick link", 17000, HostCapacity{Cores: 0.2, LinkMbps: 1000}, 100},
+		{"nothing is told", 400, HostCapacity{}, 0},
 	} {
 		var seen traffic
 		now := time.Unix(100, 0)
