--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,8 +47,8 @@
 	Sender  Sender
 	Budget  BudgetLimits
 	Rates   placement.Rates
-	// Means are the host's, by which the entry tells how many requests it takes.
-	Means HostCapacity
+	// Capacity are the host's, by which the entry tells how many requests it takes.
+	Capacity HostCapacity
 	// AnnounceEvery is how often upstreams announce themselves.
 	AnnounceEvery time.Duration
 	// Lapsed reports whether the configuration held may have been replaced for too long;
@@ -89,7 +89,7 @@
 // NextRequest returns what to watch for next.
 func (g *Gateway) NextRequest() *steward.WatchRequest {
 	now := time.Now()
-	rate, most := g.traffic.told(now, g.options.Means)
+	rate, most := g.traffic.told(now, g.options.Capacity)
 	request := g.state.request(steward.EntryView{
 		Host: g.options.Host, DataCentre: g.options.DataCentre, Callers: g.options.Callers, Ready: g.Ready(),
 		Rate: rate, Most: most,
