--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -105,7 +105,7 @@
 		t.Fatalf("before: cached %t, offered %t", cached, offered)
 	}
 	p := &plan{upstream: s.members["l1"], keys: []cacheindex.Key{key}, send: &Send{Request: promptRequest("/stream/x"),
-		Prompt: &PromptSend{Fetch: []FetchFrom{{Address: "l1:1", Tokens: 70}}}}}
+		Prompt: &PromptSend{Fetch: []FetchSource{{Address: "l1:1", Tokens: 70}}}}}
 	s.commit(p, time.Now())
 	tell(g, 3, 2000)
 	if cached, offered := believed(); cached || offered {
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -134,11 +134,11 @@
 // fetchAndSave fills in where parts come from and where they are to be kept.
 func (s *state) fetchAndSave(rates *placement.Rates, p *plan, asked *described, choice placement.Choice, stores []placement.Store, addresses []string, now time.Time) {
 	parts := asked.prompt.Parts
-	fetch, fetches := make([]FetchFrom, len(parts)), false
+	fetch, fetches := make([]FetchSource, len(parts)), false
 	save, saves := make([]string, len(parts)), false
 	for i := range parts[:max(len(parts)-1, 0)] {
 		if at := choice.Fetch[i]; at >= 0 {
-			fetch[i] = FetchFrom{Address: addresses[at], Tokens: parts[i].Tokens}
+			fetch[i] = FetchSource{Address: addresses[at], Tokens: parts[i].Tokens}
 			fetches = true
 			continue
 		}
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -63,15 +63,15 @@
 	// Version is the weight version that the runner must have.
 	Version uint64
 	// Fetch and Save name for each part a store, or are nil.
-	Fetch []FetchFrom
+	Fetch []FetchSource
 	Save  []string
 	// Until is when a fetch must have ended, on the upstreams' clock in
 	// milliseconds.
 	Until int64
 }
 
-// FetchFrom is a store that holds a part whole.
-type FetchFrom struct {
+// FetchSource is a store that holds a part whole.
+type FetchSource struct {
 	Address string
 	Tokens  int
 }
