--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -312,8 +312,8 @@
 		if (p.Fetch != nil) != c.fetch || (!c.fetch && p.Save != nil) {
 			t.Errorf("%s: fetch %v, save %v", c.name, p.Fetch, p.Save)
 		}
-		if c.fetch && (p.Until < 1000 || p.Until > 1000+2*steward.FetchPermit.Milliseconds()) {
-			t.Errorf("%s: the fetch may last until %d", c.name, p.Until)
+		if c.fetch && (p.FetchDeadlineMs < 1000 || p.FetchDeadlineMs > 1000+2*steward.FetchPermit.Milliseconds()) {
+			t.Errorf("%s: the fetch may last until %d", c.name, p.FetchDeadlineMs)
 		}
 	}
 }
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -152,7 +152,7 @@
 	}
 	if fetches {
 		p.send.Prompt.Fetch = fetch
-		p.send.Prompt.Until = s.upstreamsClock(now) + steward.FetchPermit.Milliseconds()
+		p.send.Prompt.FetchDeadlineMs = s.upstreamsClock(now) + steward.FetchPermit.Milliseconds()
 	}
 	if saves {
 		p.send.Prompt.Save = save
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -65,9 +65,9 @@
 	// Fetch and Save name for each part a store, or are nil.
 	Fetch []FetchSource
 	Save  []string
-	// Until is when a fetch must have ended, on the upstreams' clock in
+	// FetchDeadlineMs is when a fetch must have ended, on the upstreams' clock in
 	// milliseconds.
-	Until int64
+	FetchDeadlineMs int64
 }
 
 // FetchSource is a store that holds a part whole.
