--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -45,7 +45,7 @@
 	s.loadsAt = time.Now().Add(-answer.StateAge)
 	s.noteShelves(answer, sent)
 	s.noteStocked(time.Now())
-	s.entries, s.takers = answer.EntryCount, answer.Takers
+	s.entries, s.takers = answer.EntryCount, answer.ActiveEntries
 	s.dispatch(time.Now())
 	return adopted
 }
--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -239,7 +239,7 @@
 	answer.Term = told.Term
 	answer.Leader = told.Leader
 	answer.Relaying, answer.Relays = told.Relaying, told.Relays
-	answer.EntryCount, answer.Counting, answer.Takers = told.EntryCount, told.Counting, told.Takers
+	answer.EntryCount, answer.Counting, answer.ActiveEntries = told.EntryCount, told.Counting, told.ActiveEntries
 	answer.Silent, answer.SilentAt, answer.Loading, answer.MinVersions = told.Silent, told.SilentAt, told.Loading, told.MinVersions
 	if told.Clock > 0 {
 		// Were a suspension counted here, fetches could be permitted for longer by a
--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -320,7 +320,7 @@
 		answer.Entries = entries
 	}
 	answer.Silent, answer.SilentAt = l.silentNow(now)
-	answer.Takers = l.takerCount(entries, now)
+	answer.ActiveEntries = l.takerCount(entries, now)
 	answer.BelowAt = l.watchers.belowAt(from.Host)
 	answer.Relaying = answer.EntryCount > entriesAlone
 	answer.Relays = l.relays(now)
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -185,8 +185,8 @@
 	Counting   bool        `cbor:"35,keyasint,omitempty"`
 	// BelowAt is the number of the list of entries that the caller, a control host, told.
 	BelowAt uint64 `cbor:"33,keyasint,omitempty"`
-	// Takers is the number of the entries that took requests lately.
-	Takers int `cbor:"32,keyasint,omitempty"`
+	// ActiveEntries is the number of the entries that took requests lately.
+	ActiveEntries int `cbor:"32,keyasint,omitempty"`
 	// Relaying tells that there are more entries than the leader answers by
 	// itself, and Relays the hosts that entries are to ask instead.
 	Relaying bool        `cbor:"18,keyasint,omitempty"`
