--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -140,7 +140,7 @@
 	b.lacked = answer.revisions()
 	before := b.told
 	b.told, b.asked, b.came = *answer, asked.Add(-answer.StateAge), steady
-	if answer.SameLists {
+	if answer.EntriesUnchanged {
 		b.told.Entries = before.Entries
 	}
 	if answer.SilentAt == before.SilentAt && answer.Term == before.Term {
--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -316,7 +316,7 @@
 	answer.Leader = string(l.steward.options.Self)
 	entries := l.watchers.recentEntries(now)
 	answer.EntryCount, answer.Counting = max(len(entries), l.expected(now)), !l.knowsSize(now)
-	if answer.SameLists = l.toldLists(from, entries, now); !answer.SameLists {
+	if answer.EntriesUnchanged = l.toldLists(from, entries, now); !answer.EntriesUnchanged {
 		answer.Entries = entries
 	}
 	answer.Silent, answer.SilentAt = l.silentNow(now)
--- a/internal/steward/lists_test.go
+++ b/internal/steward/lists_test.go
@@ -30,7 +30,7 @@
 		ask := func(l *leadership, term uint64) {
 			now := time.Now()
 			answer := &WatchAnswer{Term: term}
-			if answer.SameLists = l.toldLists(relay, l.watchers.entries(now), now); !answer.SameLists {
+			if answer.EntriesUnchanged = l.toldLists(relay, l.watchers.entries(now), now); !answer.EntriesUnchanged {
 				answer.Entries = l.watchers.entries(now)
 				told++
 			}
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -214,9 +214,9 @@
 	GrantsAt uint64         `cbor:"27,keyasint,omitempty"`
 	// GrantsAge is how long before the answer the leader confirmed them, at most.
 	GrantsAge time.Duration `cbor:"28,keyasint,omitempty"`
-	// SameLists tells that Entries are left out, and as the caller, a control host, was
+	// EntriesUnchanged tells that Entries are left out, and as the caller, a control host, was
 	// told them last.
-	SameLists bool `cbor:"29,keyasint,omitempty"`
+	EntriesUnchanged bool `cbor:"29,keyasint,omitempty"`
 	// Partial answers came after another one was taken in that was asked for
 	// later, or about as late: only Document, Weights, Roster, Quarantine and
 	// Evacuation, which have revisions, still hold.
