--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -114,7 +114,7 @@
 		b.below, b.belowSince = views, now
 		b.belowAt++
 	}
-	request.BelowAt = b.belowAt
+	request.RelayedRevision = b.belowAt
 	if b.told.BelowAt != b.belowAt {
 		request.Below = b.below
 	}
--- a/internal/steward/watchers.go
+++ b/internal/steward/watchers.go
@@ -67,7 +67,7 @@
 	case request.Relay:
 		next.relay = &RelayView{Host: string(from.Host), DataCentre: string(from.DataCentre)}
 		if len(request.Below) > 0 {
-			next.belowAt = request.BelowAt
+			next.belowAt = request.RelayedRevision
 		}
 	default:
 		return
@@ -75,7 +75,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.byHost[from.Host]
-	if request.Relay && known != nil && request.BelowAt != 0 && request.BelowAt == known.belowAt {
+	if request.Relay && known != nil && request.RelayedRevision != 0 && request.RelayedRevision == known.belowAt {
 		next.views, next.belowAt = known.views, known.belowAt
 	}
 	if known != nil {
