--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -115,7 +115,7 @@
 		b.belowAt++
 	}
 	request.RelayedRevision = b.belowAt
-	if b.told.BelowAt != b.belowAt {
+	if b.told.RelayedRevision != b.belowAt {
 		request.Below = b.below
 	}
 }
--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -321,7 +321,7 @@
 	}
 	answer.Silent, answer.SilentAt = l.silentNow(now)
 	answer.ActiveEntries = l.takerCount(entries, now)
-	answer.BelowAt = l.watchers.belowAt(from.Host)
+	answer.RelayedRevision = l.watchers.belowAt(from.Host)
 	answer.Relaying = answer.EntryCount > entriesAlone
 	answer.Relays = l.relays(now)
 	answer.Loading = l.loader.loading()
--- a/internal/steward/lists_test.go
+++ b/internal/steward/lists_test.go
@@ -71,7 +71,7 @@
 			b.listBelow(request, now)
 			told += len(request.Below)
 			leader.follow(relay, request, now)
-			b.told.BelowAt = leader.belowAt(relay.Host)
+			b.told.RelayedRevision = leader.belowAt(relay.Host)
 			time.Sleep(relayWait)
 			return len(leader.entries(now))
 		}
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -183,8 +183,8 @@
 	Entries    []EntryView `cbor:"15,keyasint,omitempty"`
 	EntryCount int         `cbor:"17,keyasint"`
 	Counting   bool        `cbor:"35,keyasint,omitempty"`
-	// BelowAt is the number of the list of entries that the caller, a control host, told.
-	BelowAt uint64 `cbor:"33,keyasint,omitempty"`
+	// RelayedRevision is the number of the list of entries that the caller, a control host, told.
+	RelayedRevision uint64 `cbor:"33,keyasint,omitempty"`
 	// ActiveEntries is the number of the entries that took requests lately.
 	ActiveEntries int `cbor:"32,keyasint,omitempty"`
 	// Relaying tells that there are more entries than the leader answers by
