--- a/internal/steward/branch.go
+++ b/internal/steward/branch.go
@@ -116,7 +116,7 @@
 	}
 	request.RelayedRevision = b.belowAt
 	if b.told.RelayedRevision != b.belowAt {
-		request.Below = b.below
+		request.RelayedEntries = b.below
 	}
 }
 
--- a/internal/steward/evacuate_test.go
+++ b/internal/steward/evacuate_test.go
@@ -128,7 +128,7 @@
 		}
 		// A relay tells what the entries that ask it hold, and an entry that turned from one to
 		// another is as far as the earlier word.
-		l.follow(entryPeer("c2"), &WatchRequest{Relay: true, Below: []EntryView{{Host: "e1", Evacuation: 3}}}, time.Now())
+		l.follow(entryPeer("c2"), &WatchRequest{Relay: true, RelayedEntries: []EntryView{{Host: "e1", Evacuation: 3}}}, time.Now())
 		if late := l.watchers.countIf(behind(4), time.Now()); late != 1 {
 			t.Errorf("%d behind", late)
 		}
--- a/internal/steward/lists_test.go
+++ b/internal/steward/lists_test.go
@@ -69,7 +69,7 @@
 			b.follow(entryPeer("e1"), &WatchRequest{Entry: &view}, now)
 			request := &WatchRequest{Relay: true}
 			b.listBelow(request, now)
-			told += len(request.Below)
+			told += len(request.RelayedEntries)
 			leader.follow(relay, request, now)
 			b.told.RelayedRevision = leader.belowAt(relay.Host)
 			time.Sleep(relayWait)
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -68,7 +68,7 @@
 	// Below are the entries that ask it, and Loads their sum.
 	// Below is left out where the leader holds the list of number BelowAt.
 	Relay           bool        `cbor:"8,keyasint,omitempty"`
-	Below           []EntryView `cbor:"9,keyasint,omitempty"`
+	RelayedEntries  []EntryView `cbor:"9,keyasint,omitempty"`
 	RelayedRevision uint64      `cbor:"20,keyasint,omitempty"`
 	// Direct tells that the caller, an entry, reaches none of the hosts that it
 	// was told to ask instead of the leader.
--- a/internal/steward/watchers.go
+++ b/internal/steward/watchers.go
@@ -58,7 +58,7 @@
 
 // follow takes in what a watch says of its caller.
 func (w *watchers) follow(from port.Peer, request *WatchRequest, now time.Time) {
-	next := &watcher{views: request.Below, loads: request.Loads, seen: now, idle: request.Idle}
+	next := &watcher{views: request.RelayedEntries, loads: request.Loads, seen: now, idle: request.Idle}
 	switch {
 	case request.Entry != nil:
 		view := *request.Entry
@@ -66,7 +66,7 @@
 		next.views = []EntryView{view}
 	case request.Relay:
 		next.relay = &RelayView{Host: string(from.Host), DataCentre: string(from.DataCentre)}
-		if len(request.Below) > 0 {
+		if len(request.RelayedEntries) > 0 {
 			next.belowAt = request.RelayedRevision
 		}
 	default:
--- a/internal/steward/watchers_test.go
+++ b/internal/steward/watchers_test.go
@@ -35,7 +35,7 @@
 	relayed.follow(entryPeer("e1"), entryRequest("e1", true, Load{Upstream: "a", Requests: 2, Tokens: 20}), now)
 	relayed.follow(entryPeer("e2"), entryRequest("e2", true, Load{Upstream: "a", Requests: 3, Unread: 5}), now)
 	leader.follow(entryPeer("e3"), entryRequest("e3", true, Load{Upstream: "a", Requests: 4}, Load{Upstream: "b", Requests: 1}), now)
-	leader.follow(controlPeer("c2"), &WatchRequest{Relay: true, Below: relayed.entries(now), Loads: relayed.loads()}, now)
+	leader.follow(controlPeer("c2"), &WatchRequest{Relay: true, RelayedEntries: relayed.entries(now), Loads: relayed.loads()}, now)
 	// The relay's own sum counts once, as it stands now and not as it was told.
 	relayed.follow(entryPeer("e2"), entryRequest("e2", true, Load{Upstream: "a", Requests: 1}), now)
 	cases := []struct {
@@ -63,8 +63,8 @@
 func TestEntryThatTurnsToAnotherHostIsListedOnce(t *testing.T) {
 	now := time.Now()
 	w := newWatchers(log.New(io.Discard))
-	w.follow(controlPeer("c2"), &WatchRequest{Relay: true, Below: []EntryView{{Host: "e1", Ready: true}, {Host: "e2", Ready: true}}}, now)
-	w.follow(controlPeer("c3"), &WatchRequest{Relay: true, Below: []EntryView{{Host: "e1", Ready: false}}}, now)
+	w.follow(controlPeer("c2"), &WatchRequest{Relay: true, RelayedEntries: []EntryView{{Host: "e1", Ready: true}, {Host: "e2", Ready: true}}}, now)
+	w.follow(controlPeer("c3"), &WatchRequest{Relay: true, RelayedEntries: []EntryView{{Host: "e1", Ready: false}}}, now)
 	want := []EntryView{{Host: "e1", Ready: false}, {Host: "e2", Ready: true}}
 	if got := w.entries(now); !slices.Equal(got, want) {
 		t.Fatalf("listed %v", got)
