--- a/internal/steward/branch_test.go
+++ b/internal/steward/branch_test.go
@@ -118,18 +118,18 @@
 		watch := func(term uint64) *WatchAnswer {
 			return s.watch(t.Context(), entryPeer("e1"), &WatchRequest{Entry: &EntryView{Host: "e1"}, Term: term})
 		}
-		if a := watch(2); a.Elsewhere || a.StateAge != 100*time.Millisecond {
+		if a := watch(2); a.Redirect || a.StateAge != 100*time.Millisecond {
 			t.Fatalf("told %+v 100 ms after the leader was asked", a)
 		}
 		// Kept open for 120 ms; the leader is asked anew after 30 of them.
 		again := relayingAnswer(3)
 		again.Inventories = nil
 		time.AfterFunc(50*time.Millisecond, func() { s.branch.take(again, asked.Add(130*time.Millisecond), time.Now()) })
-		if a := watch(3); a.Elsewhere || a.StateAge != 90*time.Millisecond {
+		if a := watch(3); a.Redirect || a.StateAge != 90*time.Millisecond {
 			t.Fatalf("told %+v 90 ms after the leader was asked", a)
 		}
 		time.Sleep(branchFresh)
-		if a := watch(2); !a.Elsewhere {
+		if a := watch(2); !a.Redirect {
 			t.Fatalf("told %+v without a fresh word", a)
 		}
 	})
--- a/internal/steward/follower.go
+++ b/internal/steward/follower.go
@@ -296,7 +296,7 @@
 			f.members = append(f.members, ident.Host(name))
 		}
 	}
-	if answer.Elsewhere || answer.Term < f.term {
+	if answer.Redirect || answer.Term < f.term {
 		f.redirected(call.host, answer)
 		f.pause = answer.Pause
 		return false
@@ -318,7 +318,7 @@
 // avoided, for another may answer in time; the leader is the last to be asked, and
 // a late answer of it better than none.
 func (f *Follower) takeLate(call *watched, told func(*WatchAnswer, time.Time)) {
-	if call.err != nil || call.answer.Elsewhere || call.answer.Term < f.term {
+	if call.err != nil || call.answer.Redirect || call.answer.Term < f.term {
 		return
 	}
 	f.meter.late.Inc()
--- a/internal/steward/follower_test.go
+++ b/internal/steward/follower_test.go
@@ -74,7 +74,7 @@
 	hosts.answers["c3"] = nil
 	step("c3", false, false)
 	step("c2", false, true) // the other relay
-	hosts.answers["c2"] = &WatchAnswer{Elsewhere: true, Leader: "c1"}
+	hosts.answers["c2"] = &WatchAnswer{Redirect: true, Leader: "c1"}
 	step("c2", false, false)
 	step("c1", false, true) // one relay answers: the leader is asked, but need not serve
 	hosts.answers["c2"] = nil
@@ -241,7 +241,7 @@
 func followerWithAnOldWord(t *testing.T, term uint64, bound time.Duration, least int) {
 	synctest.Test(t, func(t *testing.T) {
 		hosts := &slowHosts{answer: func(host string, request *WatchRequest) WatchAnswer {
-			return WatchAnswer{Elsewhere: !request.Overdue, Term: 1, Leader: "c1", Relays: twoRelays()}
+			return WatchAnswer{Redirect: !request.Overdue, Term: 1, Leader: "c1", Relays: twoRelays()}
 		}}
 		f := slowFollower(hosts)
 		f.term = term
--- a/internal/steward/inforce_test.go
+++ b/internal/steward/inforce_test.go
@@ -126,7 +126,7 @@
 			f.setWord(time.Now())
 			for start := time.Now(); time.Since(start) < 10*time.Second; time.Sleep(100 * time.Millisecond) {
 				if answered {
-					f.settle(&watched{host: "c1", answer: WatchAnswer{Elsewhere: true, Leader: "c2"}}, nil)
+					f.settle(&watched{host: "c1", answer: WatchAnswer{Redirect: true, Leader: "c2"}}, nil)
 				}
 				if f.Lapsed(time.Now()) {
 					return time.Since(start)
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -150,9 +150,9 @@
 
 // WatchAnswer is what the caller lacked.
 type WatchAnswer struct {
-	// Elsewhere tells to ask another host: one of Relays or, if there are none,
+	// Redirect tells to ask another host: one of Relays or, if there are none,
 	// Leader. The rest is empty then, but for Members.
-	Elsewhere bool `cbor:"1,keyasint,omitempty"`
+	Redirect bool `cbor:"1,keyasint,omitempty"`
 	// Shed tells that the host leads and has no time for the caller.
 	Shed bool `cbor:"34,keyasint,omitempty"`
 	// Leader is the host that leads, empty if none is known.
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -46,7 +46,7 @@
 		for i := range 10 {
 			name := fmt.Sprint("e", i)
 			answer := l.steward.watch(t.Context(), entryPeer(name), askOf(name, 64, everything))
-			if !answer.Elsewhere || answer.Document != nil || answer.Inventories != nil || answer.Pause != redirectPause {
+			if !answer.Redirect || answer.Document != nil || answer.Inventories != nil || answer.Pause != redirectPause {
 				t.Fatalf("entry %d of 64 is told %+v", i, answer)
 			}
 		}
@@ -70,11 +70,11 @@
 		l := restartedLeader()
 		request := askOf("e1", 64, cacheindex.Query{Listed: true})
 		request.Direct = true
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories != nil || answer.Document == nil {
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories != nil || answer.Document == nil {
 			t.Fatalf("told %+v", answer)
 		}
 		time.Sleep(relaysWithin)
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories == nil {
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories == nil {
 			t.Fatalf("told %+v later", answer)
 		}
 	})
@@ -96,11 +96,11 @@
 		l.follow(controlPeer("c2"), &WatchRequest{Relay: true}, now)
 		request := askOf("e1", 64, cacheindex.Query{Listed: true})
 		request.Overdue = true
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories != nil || answer.Document == nil {
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories != nil || answer.Document == nil {
 			t.Fatalf("told %+v", answer)
 		}
 		time.Sleep(relayKept + time.Millisecond)
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Elsewhere || answer.Inventories == nil {
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories == nil {
 			t.Fatalf("told %+v while nobody else can", answer)
 		}
 	})
@@ -236,7 +236,7 @@
 						sent := time.Now()
 						request := askOf(name, 0, cacheindex.Query{Listed: true})
 						follower.describe(request, "c1", sent)
-						if answer := l.steward.watch(ctx, entryPeer(name), request); !answer.Elsewhere {
+						if answer := l.steward.watch(ctx, entryPeer(name), request); !answer.Redirect {
 							follower.take(&watched{answer: *answer, sent: sent}, func(*WatchAnswer, time.Time) {})
 						}
 					}
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -187,7 +187,7 @@
 			return false
 		}
 		answer = lead.watch(context.Background(), entryPeer("e1"), request)
-		return !answer.Elsewhere && answer.Roster != nil
+		return !answer.Redirect && answer.Roster != nil
 	})
 	states := map[string]roster.State{}
 	for _, u := range answer.Roster.Upstreams {
@@ -224,7 +224,7 @@
 	watch := func() *WatchAnswer {
 		lead := f.leader()
 		if lead == nil {
-			return &WatchAnswer{Elsewhere: true}
+			return &WatchAnswer{Redirect: true}
 		}
 		return lead.watch(context.Background(), entryPeer("e1"), request)
 	}
--- a/internal/steward/suspended_test.go
+++ b/internal/steward/suspended_test.go
@@ -79,7 +79,7 @@
 			time.Sleep(time.Until(replica.Status().LeaseEnd.Add(past)))
 			request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Direct: true, Inventories: &cacheindex.Query{}}
 			answer := l.steward.watch(t.Context(), entryPeer("e1"), request)
-			if answer.Elsewhere || answer.InventoryAge != past || answer.StateAge != past {
+			if answer.Redirect || answer.InventoryAge != past || answer.StateAge != past {
 				t.Errorf("%v past its lease: shelves %v old, the rest %v", past, answer.InventoryAge, answer.StateAge)
 			}
 			b := newBranch(NewMachine(), newSharedBook(), log.New(io.Discard))
--- a/internal/steward/watch.go
+++ b/internal/steward/watch.go
@@ -231,7 +231,7 @@
 // may be hundreds of them.
 func (s *Steward) redirect(request *WatchRequest, shed bool, waited time.Duration) *WatchAnswer {
 	s.meter.redirects.Inc()
-	answer := &WatchAnswer{Elsewhere: true, Leader: s.Leader(), Members: s.memberNames(), waited: waited}
+	answer := &WatchAnswer{Redirect: true, Leader: s.Leader(), Members: s.memberNames(), waited: waited}
 	if l := s.leading.Load(); l != nil && request.Entry != nil {
 		answer.Relays = l.relays(time.Now())
 	}
