--- a/internal/steward/enrol.go
+++ b/internal/steward/enrol.go
@@ -37,7 +37,7 @@
 func (v wordVerdict) err() error {
 	switch v {
 	case wordForeign:
-		return ErrForeign
+		return ErrForeignWriter
 	case wordUncertain:
 		return ErrUnavailable
 	}
@@ -139,7 +139,7 @@
 	switch {
 	case err == nil:
 		return wordTaken
-	case errors.Is(err, ErrForeign):
+	case errors.Is(err, ErrForeignWriter):
 		return wordForeign
 	}
 	return wordUncertain
@@ -181,7 +181,7 @@
 		}
 		s.options.Log.Warn("earlier birth is the present life", "upstream", u.ID, "born", u.StartedMs, "follows", u.Follows)
 	case foreignWord:
-		return false, eris.Wrap(ErrForeign, u.ID)
+		return false, eris.Wrap(ErrForeignWriter, u.ID)
 	}
 	if u.State == roster.Serving {
 		l.beat(u.ID, now)
--- a/internal/steward/enrol_test.go
+++ b/internal/steward/enrol_test.go
@@ -39,7 +39,7 @@
 				if i%100 == 0 {
 					u.Service = "nobody"
 				}
-				if err := g.add(context.Background(), u); errors.Is(err, ErrForeign) != (i%100 == 0) {
+				if err := g.add(context.Background(), u); errors.Is(err, ErrForeignWriter) != (i%100 == 0) {
 					t.Errorf("%s: %v", u.ID, err)
 				}
 			})
--- a/internal/steward/later.go
+++ b/internal/steward/later.go
@@ -119,7 +119,7 @@
 	// follows the known one.
 	judged := s.machine.hear(u)
 	if judged == foreignWord {
-		return true, ErrForeign
+		return true, ErrForeignWriter
 	}
 	if l := s.leading.Load(); l != nil && judged == ownWord && !s.machine.wouldChange(u) {
 		// Most words change nothing, and need not wait for a batch at the leader.
--- a/internal/steward/lives_test.go
+++ b/internal/steward/lives_test.go
@@ -20,7 +20,7 @@
 func (f *fleet) announce(s *Steward, u roster.Upstream) (foreign bool) {
 	f.await("an answer to an announcement", func() bool {
 		err := s.Announce(context.Background(), u)
-		foreign = errors.Is(err, ErrForeign)
+		foreign = errors.Is(err, ErrForeignWriter)
 		return err == nil || foreign
 	})
 	return foreign
--- a/internal/steward/submit.go
+++ b/internal/steward/submit.go
@@ -31,9 +31,9 @@
 // ErrConflict reports a document whose number is taken by other content.
 var ErrConflict = errors.New("steward: another configuration has this version; read it and send a higher version")
 
-// ErrForeign reports an announcement that can't be its upstream's own. Nothing
+// ErrForeignWriter reports an announcement that can't be its upstream's own. Nothing
 // was changed by it.
-var ErrForeign = errors.New("steward: not a word of this upstream's own")
+var ErrForeignWriter = errors.New("steward: not a word of this upstream's own")
 
 // PutDocument commits a configuration. Without an error it, or a newer one, is in the
 // log of a quorum and in force at every entry that asks for news. After ErrUnavailable it
