--- a/internal/steward/floor_test.go
+++ b/internal/steward/floor_test.go
@@ -69,7 +69,9 @@
 // loadedRunners have what was ordered already.
 type loadedRunners struct{ has uint64 }
 
-func (r loadedRunners) Order(context.Context, LoadOrder) (OrderResult, error) { return OrderHolds, nil }
+func (r loadedRunners) Order(context.Context, LoadOrder) (OrderResult, error) {
+	return OrderAlreadyLoaded, nil
+}
 
 func (r loadedRunners) Report(context.Context, string, string) (RunnerReport, error) {
 	return RunnerReport{Versions: map[string]uint64{"m": r.has}}, nil
--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -212,7 +212,7 @@
 		switch o.order(ctx, u, model, version, report.Accepted) {
 		case OrderTaken:
 			return givenNow
-		case OrderHolds:
+		case OrderAlreadyLoaded:
 			return givenBefore
 		case OrderRefused, OrderMisdirected:
 			return notGiven
--- a/internal/steward/options.go
+++ b/internal/steward/options.go
@@ -65,8 +65,8 @@
 const (
 	// OrderTaken orders are being carried out.
 	OrderTaken OrderResult = iota + 1
-	// OrderHolds tells that the runner has the version already.
-	OrderHolds
+	// OrderAlreadyLoaded tells that the runner has the version already.
+	OrderAlreadyLoaded
 	// OrderRefused orders changed nothing.
 	OrderRefused
 	// OrderMisdirected: another upstream has the address.
