--- a/internal/steward/fleet_test.go
+++ b/internal/steward/fleet_test.go
@@ -102,7 +102,7 @@
 	defer f.mu.Unlock()
 	f.orders = append(f.orders, o)
 	f.versions[o.Upstream] = o.Version
-	return OrderTaken, nil
+	return OrderAccepted, nil
 }
 
 func (f *fakeRunners) Report(_ context.Context, upstream, _ string) (RunnerReport, error) {
--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -210,7 +210,7 @@
 			return givenBefore
 		}
 		switch o.order(ctx, u, model, version, report.Accepted) {
-		case OrderTaken:
+		case OrderAccepted:
 			return givenNow
 		case OrderAlreadyLoaded:
 			return givenBefore
--- a/internal/steward/options.go
+++ b/internal/steward/options.go
@@ -63,8 +63,8 @@
 type OrderResult uint8
 
 const (
-	// OrderTaken orders are being carried out.
-	OrderTaken OrderResult = iota + 1
+	// OrderAccepted orders are being carried out.
+	OrderAccepted OrderResult = iota + 1
 	// OrderAlreadyLoaded tells that the runner has the version already.
 	OrderAlreadyLoaded
 	// OrderRefused orders changed nothing.
