--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -173,7 +173,7 @@
 	r.sends++
 	defer answer.Body.Close()
 	r.noteLoad(p, answer.Load)
-	if answer.Refusal != Ran {
+	if answer.Refusal != NotRefused {
 		return r.refused(p, answer)
 	}
 	r.mayHaveRun = true
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -100,8 +100,8 @@
 type Refusal uint8
 
 const (
-	// Ran answers state nothing of the kind.
-	Ran Refusal = iota
+	// NotRefused answers state nothing of the kind.
+	NotRefused Refusal = iota
 	// Full upstreams take no further request now.
 	Full
 	// OtherUpstream: the address belongs to another upstream.
