--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -129,7 +129,7 @@
 // latest joins two lists, the older one first, and leaves out the oldest beyond the bound.
 func latest[T any](older, newer []T) []T {
 	list := slices.Concat(older, newer)
-	return list[max(len(list)-steward.MostReported, 0):]
+	return list[max(len(list)-steward.MaxReported, 0):]
 }
 
 // take returns what is to be told.
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -215,17 +215,17 @@
 			told.Crashes = append(told.Crashes, r.Crashes...)
 			return nil
 		})
-		for i := range 3 * steward.MostReported {
+		for i := range 3 * steward.MaxReported {
 			g.reports.add(steward.Report{Crashes: []quarantine.Crash{{Life: quarantine.Incarnation{StartedMs: uint64(i)}}}})
 			time.Sleep(time.Millisecond)
 		}
 		reached.Store(true)
 		time.Sleep(2 * reportAgain)
 		synctest.Wait()
-		if len(told.Crashes) != steward.MostReported {
-			t.Fatalf("%d ends told, want the latest %d", len(told.Crashes), steward.MostReported)
+		if len(told.Crashes) != steward.MaxReported {
+			t.Fatalf("%d ends told, want the latest %d", len(told.Crashes), steward.MaxReported)
 		}
-		if !slices.ContainsFunc(told.Crashes, func(e quarantine.Crash) bool { return e.Life.StartedMs == 3*steward.MostReported-1 }) {
+		if !slices.ContainsFunc(told.Crashes, func(e quarantine.Crash) bool { return e.Life.StartedMs == 3*steward.MaxReported-1 }) {
 			t.Fatal("the latest end is not told")
 		}
 	})
@@ -244,12 +244,12 @@
 			}
 			return ends
 		}
-		g.reports.add(steward.Report{Crashes: endsOf(0, steward.MostReported)})
+		g.reports.add(steward.Report{Crashes: endsOf(0, steward.MaxReported)})
 		tells := 0
 		var told []quarantine.Crash
 		go g.Report(ctx, func(_ context.Context, r *steward.Report) error {
 			if tells++; tells == 1 {
-				g.reports.add(steward.Report{Crashes: endsOf(steward.MostReported, steward.MostReported+1)})
+				g.reports.add(steward.Report{Crashes: endsOf(steward.MaxReported, steward.MaxReported+1)})
 				return steward.ErrUnavailable
 			}
 			told = r.Crashes
@@ -257,7 +257,7 @@
 		})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if len(told) != steward.MostReported || told[len(told)-1].Life.StartedMs != steward.MostReported {
+		if len(told) != steward.MaxReported || told[len(told)-1].Life.StartedMs != steward.MaxReported {
 			t.Fatalf("told %d ends without the latest", len(told))
 		}
 	})
--- a/internal/steward/report.go
+++ b/internal/steward/report.go
@@ -18,11 +18,11 @@
 	// report an upstream's end within a few ms, and each command costs the group two
 	// syncs of a disk.
 	reportGather = 10 * time.Millisecond
-	// MostReported bounds the ends of one report, and the requests that it clears.
-	MostReported = 64
+	// MaxReported bounds the ends of one report, and the requests that it clears.
+	MaxReported = 64
 	// reportMost bounds the prints and ends that one command gathers, 260 KB: two of the
 	// longest reports. What comes beyond is reported again.
-	reportMost = 2 * MostReported * (quarantine.MaxFingerprints + 2)
+	reportMost = 2 * MaxReported * (quarantine.MaxFingerprints + 2)
 	// forgetEvery is how often ends are looked for that no longer count.
 	forgetEvery = 10 * time.Second
 )
--- a/internal/steward/report_test.go
+++ b/internal/steward/report_test.go
@@ -206,7 +206,7 @@
 // or it is refused for ever, and no other of that entry is told after it.
 func TestTheLongestReportIsTaken(t *testing.T) {
 	var longest Report
-	for range MostReported {
+	for range MaxReported {
 		longest.Crashes = append(longest.Crashes, quarantine.Crash{Prints: make([]quarantine.Fingerprint, quarantine.MaxFingerprints)})
 		longest.Served = append(longest.Served, quarantine.Fingerprint{})
 	}
