--- a/internal/steward/inforce_test.go
+++ b/internal/steward/inforce_test.go
@@ -128,7 +128,7 @@
 				if answered {
 					f.settle(&watched{host: "c1", answer: WatchAnswer{Redirect: true, Leader: "c2"}}, nil)
 				}
-				if f.Lapsed(time.Now()) {
+				if f.ConfigExpired(time.Now()) {
 					return time.Since(start)
 				}
 			}
@@ -140,11 +140,11 @@
 		if lapsed := ask(true); lapsed < within || lapsed > within+watcherKept {
 			t.Errorf("answered without news, and stops after %v", lapsed)
 		}
-		if f.Lapsed(time.Now().Add(2 * ledWithin)) {
+		if f.ConfigExpired(time.Now().Add(2 * ledWithin)) {
 			t.Error("cut off since, and does not serve")
 		}
 		f.options.ApplyWithin = 0
-		if f.Lapsed(time.Now()) {
+		if f.ConfigExpired(time.Now()) {
 			t.Error("no bound is told")
 		}
 	})
--- a/internal/steward/lapse.go
+++ b/internal/steward/lapse.go
@@ -10,14 +10,14 @@
 	ledWithin = time.Second
 )
 
-// Lapsed reports whether this entry may no longer serve by the configuration that it
+// ConfigExpired reports whether this entry may no longer serve by the configuration that it
 // holds: a later one may have been acknowledged so long ago that it must be in force. A
 // leader waits for an entry that has stopped asking no longer than watcherKept.
 //
 // Only an entry that the control hosts answer, and tell nothing new, is to stop: they have
 // no time for it, and other entries may have a younger word. One that is cut off from them,
 // or finds them without a leader, goes on with what it knows.
-func (f *Follower) Lapsed(now time.Time) bool {
+func (f *Follower) ConfigExpired(now time.Time) bool {
 	if f.options.ApplyWithin <= 0 {
 		return false
 	}
