--- a/cmd/lovage-fleet/entry.go
+++ b/cmd/lovage-fleet/entry.go
@@ -56,7 +56,7 @@
 		Host: s.Host, DataCentre: string(s.DataCentre), Callers: s.Callers, Sender: upstreams,
 		Budget: gateway.BudgetLimits{Ratio: s.RetryRatio, Extra: s.RetryExtra},
 		Rates:  placement.DefaultRates(), Capacity: gateway.HostCapacity{Cores: s.ProcessorShare * s.ProcessorSpeed, LinkMbps: s.LinkMbps},
-		AnnounceEvery: s.AnnounceEvery(), Lapsed: follower.ConfigExpired, Log: env.Log, Decisions: decision.New(env.Log),
+		AnnounceEvery: s.AnnounceEvery(), ConfigExpired: follower.ConfigExpired, Log: env.Log, Decisions: decision.New(env.Log),
 	})
 	if err != nil {
 		return err
--- a/internal/gateway/candidates_test.go
+++ b/internal/gateway/candidates_test.go
@@ -137,7 +137,7 @@
 func TestAnEntryThatMayServeByAnOldConfigurationRefuses(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	lapsed := false
-	g.options.Lapsed = func(time.Time) bool { return lapsed }
+	g.options.ConfigExpired = func(time.Time) bool { return lapsed }
 	if _, err := g.admit(context.Background(), promptRequest("/stream/x")); err != nil || !g.Ready() {
 		t.Fatalf("ready %v: %v", g.Ready(), err)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,10 +51,10 @@
 	Capacity HostCapacity
 	// AnnounceEvery is how often upstreams announce themselves.
 	AnnounceEvery time.Duration
-	// Lapsed reports whether the configuration held may have been replaced for too long;
+	// ConfigExpired reports whether the configuration held may have been replaced for too long;
 	// nil where that is never so.
-	Lapsed func(now time.Time) bool
-	Log    *log.Logger
+	ConfigExpired func(now time.Time) bool
+	Log           *log.Logger
 	// Decisions takes a line for each request, within its budget.
 	Decisions *decision.Log
 }
@@ -111,7 +111,9 @@
 // Ready reports whether new callers should come.
 func (g *Gateway) Ready() bool { return !g.leaving.Load() && g.Index() != nil && !g.lapsed() }
 
-func (g *Gateway) lapsed() bool { return g.options.Lapsed != nil && g.options.Lapsed(time.Now()) }
+func (g *Gateway) lapsed() bool {
+	return g.options.ConfigExpired != nil && g.options.ConfigExpired(time.Now())
+}
 
 // Leave tells callers and control hosts that this entry takes no new callers.
 // Requests that come all the same are served.
