--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -37,8 +37,8 @@
 	return f.script(n, s)
 }
 
-// Ended implements Sender.
-func (f *scriptedSender) Ended(_ context.Context, s *Send) bool {
+// Crashed implements Sender.
+func (f *scriptedSender) Crashed(_ context.Context, s *Send) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ended[s.Upstream]
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -298,8 +298,8 @@
 	return f.runners[s.Upstream].send(ctx, s)
 }
 
-// Ended implements Sender.
-func (f *modelFleet) Ended(context.Context, *Send) bool { return false }
+// Crashed implements Sender.
+func (f *modelFleet) Crashed(context.Context, *Send) bool { return false }
 
 func (f *modelFleet) count(note func(*fleetResult)) {
 	f.result.mu.Lock()
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), quarantine.LookTimeout)
 	defer cancel()
 	wait.For(ctx, quarantine.LookAfter)
-	ended := g.options.Sender.Ended(ctx, send)
+	ended := g.options.Sender.Crashed(ctx, send)
 	s := g.state
 	s.mu.Lock()
 	attempts := s.lost.Take(life)
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -152,9 +152,9 @@
 // can have reached the upstream, else *outcome.Unknown.
 type Sender interface {
 	Send(ctx context.Context, send *Send) (*Answer, error)
-	// Ended reports whether the process of a send's upstream has ended: nothing
+	// Crashed reports whether the process of a send's upstream has ended: nothing
 	// listens at its address. Without a clear answer it reports false.
-	Ended(ctx context.Context, send *Send) bool
+	Crashed(ctx context.Context, send *Send) bool
 }
 
 // Responder passes an answer to the caller. Exactly one of Done, Break and
