--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -109,7 +109,7 @@
 }
 
 func (r *recorder) Done()              { r.ends += "done" }
-func (r *recorder) Break()             { r.ends += "broken" }
+func (r *recorder) Abort()             { r.ends += "broken" }
 func (r *recorder) Refuse(cause error) { r.ends += "refused"; r.cause = cause }
 
 // kept is a part that stands in the store of the test's configuration.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -28,7 +28,7 @@
 		}
 		r.logEnd(final)
 		if r.begun {
-			respond.Break()
+			respond.Abort()
 		} else {
 			respond.Refuse(final)
 		}
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -166,8 +166,8 @@
 	Piece(data []byte) error
 	// Done ends an answer that is whole.
 	Done()
-	// Break ends an answer that has begun so that it can't look whole.
-	Break()
+	// Abort ends an answer that has begun so that it can't look whole.
+	Abort()
 	// Refuse gives the system's own final answer; nothing has begun.
 	Refuse(cause error)
 }
