--- a/keep/bench_test.go
+++ b/keep/bench_test.go
@@ -11,27 +11,28 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// promptSizes are numbers of prompts: today's, ten times as many, and all of
-// the target at one home, which cells keep from happening.
+// promptSizes are numbers of prompts at one home: the current number, ten times
+// that, and all prompts of the target load, which cells keep from reaching a
+// single home.
 var promptSizes = []int{1_600, 16_000, 160_000}
 
 const benchBlocks = 12
 
-// benchSpread is the time over which the prompts were used.
+// benchSpread is the period over which the prompts are used.
 const benchSpread = time.Minute
 
-func benchUse(prompt int) Use {
-	use := testUse(ident.Team(fmt.Sprint("team-", prompt%100)), 0, benchBlocks)
+func benchUse(number int) Use {
+	use := testUse(ident.Team(fmt.Sprint("team-", number%100)), 0, benchBlocks)
 	for i := range use.Blocks {
-		binary.LittleEndian.PutUint64(use.Blocks[i][:], uint64(prompt+1)*0x9E3779B97F4A7C15)
+		binary.LittleEndian.PutUint64(use.Blocks[i][:], uint64(number+1)*0x9E3779B97F4A7C15)
 		use.Blocks[i][15] = byte(i)
 	}
-	use.Class = ident.Class(fmt.Sprint("class-", prompt%3))
+	use.Class = ident.Class(fmt.Sprint("class-", number%3))
 	return use
 }
 
-// filled is a manager with prompts, half of whose blocks are kept.
-func filled(t testing.TB, prompts int) *Manager {
+// filledManager returns a manager with prompts, half of whose blocks are kept.
+func filledManager(t testing.TB, prompts int) *Manager {
 	m := testManager(t, Options{
 		MaxPrompts: prompts + 1, MaxBlocks: (prompts + 1) * benchBlocks, MaxCopies: prompts * benchBlocks,
 	})
@@ -52,7 +53,7 @@
 func benchmarkSizes(b *testing.B, run func(b *testing.B, m *Manager, prompts int)) {
 	for _, prompts := range promptSizes {
 		b.Run(fmt.Sprint(prompts), func(b *testing.B) {
-			m := filled(b, prompts)
+			m := filledManager(b, prompts)
 			b.ReportAllocs()
 			b.ResetTimer()
 			run(b, m, prompts)
@@ -82,7 +83,7 @@
 			use := &uses[i%len(uses)]
 			pin, ok := m.Pin(epoch.Add(benchSpread), use.Scope, use.Blocks[0])
 			if !ok {
-				b.Fatal("not readable")
+				b.Fatal("block is not readable")
 			}
 			m.Unpin(epoch.Add(benchSpread), pin.ID, 0)
 		}
@@ -112,7 +113,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				m := filled(b, prompts)
+				m := filledManager(b, prompts)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				used := float64(after.HeapAlloc - before.HeapAlloc)
@@ -124,20 +125,20 @@
 	}
 }
 
-// Plans are made ten times a second. One that walks all prompts would take the
-// processor from requests as the number of prompts grows.
-func TestPlanLooksAtABoundedSample(t *testing.T) {
+// Plans are made ten times a second. A plan that valued every prompt would take
+// CPU time from requests as the number of prompts grows.
+func TestPlanValuesABoundedSample(t *testing.T) {
 	for _, prompts := range promptSizes[:2] {
-		m := filled(t, prompts)
-		looked := 0
-		m.rate = func(*prompt, time.Duration) float64 {
-			looked++
+		m := filledManager(t, prompts)
+		valued := 0
+		m.returnRate = func(*prompt, time.Duration) float64 {
+			valued++
 			return 1
 		}
 		m.Plan(epoch.Add(benchSpread+DefaultIdleDelay), testRandom())
-		most := exportSample + maxPlacesPerPlan*len(m.storeList)*prefix.TierCount*(2+replaceBatch*victimSample)
-		if looked == 0 || looked > most {
-			t.Errorf("%d prompts: %d valued in one plan, want at most %d", prompts, looked, most)
+		limit := exportSampleSize + maxPlacementsPerPlan*len(m.storeList)*prefix.TierCount*(2+maxReplacements*victimSampleSize)
+		if valued == 0 || valued > limit {
+			t.Errorf("%d prompts: %d values computed in one plan, want at most %d", prompts, valued, limit)
 		}
 	}
 }
--- a/keep/copy.go
+++ b/keep/copy.go
@@ -6,51 +6,54 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// keptCopy is one block's copy on a store host, in any phase.
+// keptCopy is the copy of one block on a store host, in any phase.
 type keptCopy struct {
-	id      CopyID
-	block   prefix.BlockID
-	phase   Phase
-	store   *storeHost
-	team    *teamUse
-	copy    prefix.Copy
-	started time.Time // when the write was planned
-	// deadline ends the present step of a write or a free.
+	id        CopyID
+	block     prefix.BlockID
+	phase     Phase
+	store     *storeHost
+	team      *teamState
+	copy      prefix.Copy
+	plannedAt time.Time // when the write was planned
+	// deadline is the end of the current step of a write, or the time before
+	// which a free is not attempted again.
 	deadline time.Time
-	tries    int // how often the store was told to free the slot
+	tries    int // number of requests to the store to free the slot
 	pins     int
-	// pinnedUntil is when the last pin ends, whether or not its reader says
-	// that it is done.
+	// pinnedUntil is the time at which the last pin expires, even if its reader
+	// never unpins.
 	pinnedUntil time.Time
-	// inherited is when the pins end that readers hold on an earlier record
-	// of the same slot.
-	inherited time.Time
-	since     time.Time // when the copy was committed
-	// positions in the store's tier list and in the team's.
-	inTier, inTeam int
+	// priorPinsUntil is the time at which the pins on an earlier record of the
+	// same slot expire.
+	priorPinsUntil time.Time
+	committedAt    time.Time // when the copy was committed
+	// tierIndex and teamIndex are the positions in the store's tier list and in
+	// the team's.
+	tierIndex, teamIndex int
 }
 
-// readable tells whether a reader may be given the copy. This is the one place
-// that decides it: a copy that is being written would hand out part of a
-// block, one that is being freed a slot that another block may fill next.
+// readable reports whether readers may use the copy. It is the only place that
+// decides this: a copy that is being written would expose an incomplete block,
+// and one that is being freed a slot that another block may reuse.
 func (c *keptCopy) readable() bool {
 	return c.phase == Committed
 }
 
-// inWrite tells whether the copy is being written.
+// inWrite reports whether the copy is being written.
 func (c *keptCopy) inWrite() bool {
 	return c.phase >= Reserving && c.phase <= Verifying
 }
 
-// pinned tells whether a reader may still be reading.
+// pinned reports whether a reader may still be reading the copy.
 func (c *keptCopy) pinned(now time.Time) bool {
-	return now.Before(c.inherited) || c.pins > 0 && now.Before(c.pinnedUntil)
+	return now.Before(c.priorPinsUntil) || c.pins > 0 && now.Before(c.pinnedUntil)
 }
 
-// bytes is the room the copy takes, also while it is being written.
+// bytes returns the capacity that the copy uses, also while it is being
+// written.
 func (c *keptCopy) bytes() int64 { return c.copy.Bytes }
 
-// copyList is a list of copies without order, with removal in constant time.
+// copyList is an unordered list of copies with constant-time removal.
 type copyList struct {
 	copies []*keptCopy
 	bytes  int64
@@ -62,7 +65,8 @@
 	return len(l.copies) - 1
 }
 
-// remove takes out the copy at a position and returns the one moved there.
+// remove removes the copy at a position and returns the copy that was moved
+// there.
 func (l *copyList) remove(position int) *keptCopy {
 	l.bytes -= l.copies[position].bytes()
 	last := len(l.copies) - 1
--- a/keep/life_test.go
+++ b/keep/copy_test.go
@@ -9,7 +9,7 @@
 )
 
 // committedManager returns a manager with one prompt of five blocks committed
-// on store s1, and the time it is then.
+// on store s1, and the current time.
 func committedManager(t testing.TB, opts Options) (*Manager, time.Time) {
 	t.Helper()
 	m := testManager(t, opts)
@@ -26,16 +26,16 @@
 	t.Helper()
 	pin, ok := m.Pin(now, testUse("a", 1, 1).Scope, block)
 	if !ok {
-		t.Fatalf("block %v: %v, want a pin", block, m.Phase(block))
+		t.Fatalf("block %v in phase %v was not pinned", block, m.Phase(block))
 	}
 	return pin
 }
 
-// A reader is fetching a block when its store host is thought gone and comes
-// back with the same life. The slot is adopted again and its prompt forgotten.
-// The slot must not be freed while the reader may still read: it would see the
-// next block's bytes and have to recompute.
-func TestPinOutlivesLossAndAdoptionOfItsCopy(t *testing.T) {
+// A reader is fetching a block when its store host is considered lost and then
+// returns with the same incarnation. The slot is adopted again and then freed.
+// The free must wait while the reader may still read: it would get the next
+// block's bytes and have to recompute.
+func TestPinSurvivesReadoptionOfItsCopy(t *testing.T) {
 	m, now := committedManager(t, Options{})
 	block := testBlocks(1, 1)[0]
 	pin := mustPin(t, m, now, block)
@@ -46,15 +46,16 @@
 	}
 	m.startFree(now, m.copies[block])
 	if plan := m.Plan(now, testRandom()); len(plan.Frees) != 0 {
-		t.Fatalf("freed under a pin: %+v", plan.Frees)
+		t.Fatalf("copies freed under a pin: %+v", plan.Frees)
 	}
 	if plan := m.Plan(pin.Expires, testRandom()); len(plan.Frees) != 1 {
 		t.Fatalf("%d frees after the pin's lease, want 1", len(plan.Frees))
 	}
 }
 
-// planned returns a manager with one export of one block, just planned.
-func planned(t *testing.T) (*Manager, PlannedBlock, prefix.Copy, time.Time) {
+// plannedManager returns a manager with one planned export of one block, and
+// that block, its slot and the current time.
+func plannedManager(t *testing.T) (*Manager, PlannedBlock, prefix.Copy, time.Time) {
 	t.Helper()
 	m := testManager(t, Options{})
 	m.StoreSeen(epoch, testStatus("s1", 1))
@@ -62,54 +63,54 @@
 	now := epoch.Add(DefaultIdleDelay)
 	plan := m.Plan(now, testRandom())
 	if len(plan.Exports) != 1 || len(plan.Exports[0].Blocks) != 1 {
-		t.Fatalf("plan %+v, want one block", plan)
+		t.Fatalf("plan %+v, want one export of one block", plan)
 	}
 	export := plan.Exports[0]
 	slot := prefix.Copy{Slot: "s", Generation: 7, Bytes: testBytes, Tier: export.Tier}
 	return m, export.Blocks[0], slot, now
 }
 
-// The answers of store and engine come late, twice, crossed or wrong. A reader
-// must get the block only after the store has committed exactly the slot that
-// the engine was told to write; everything else ends in a recompute.
-func TestLifeOfACopy(t *testing.T) {
-	type world struct {
+// Answers of the store and the engine arrive late, twice, out of order or with
+// wrong content. A reader must get the block only after the store has committed
+// exactly the slot that the engine wrote; anything else ends in a recompute.
+func TestCopyPhases(t *testing.T) {
+	type state struct {
 		m    *Manager
 		id   CopyID
 		slot prefix.Copy
 		now  time.Time
 	}
-	type call func(w *world)
+	type call func(s *state)
 	reserved := func(change func(*Reservation)) call {
-		return func(w *world) {
-			answer := Reservation{Granted: true, Incarnation: 1, Copy: w.slot}
+		return func(s *state) {
+			answer := Reservation{Granted: true, Incarnation: 1, Copy: s.slot}
 			change(&answer)
-			w.m.Reserved(w.now, w.id, answer)
+			s.m.Reserved(s.now, s.id, answer)
 		}
 	}
 	granted := reserved(func(*Reservation) {})
-	written := func(w *world) {
-		w.slot.Checksum = 42
-		w.m.Written(w.now, w.id, w.slot.Bytes, 42)
+	written := func(s *state) {
+		s.slot.Checksum = 42
+		s.m.Written(s.now, s.id, s.slot.Bytes, 42)
 	}
 	committed := func(change func(*prefix.Copy)) call {
-		return func(w *world) {
-			state := w.slot
-			change(&state)
-			w.m.Committed(w.now, w.id, state)
+		return func(s *state) {
+			reported := s.slot
+			change(&reported)
+			s.m.Committed(s.now, s.id, reported)
 		}
 	}
 	asWritten := committed(func(*prefix.Copy) {})
 	failed := func(failure Failure) call {
-		return func(w *world) { w.m.Failed(w.now, w.id, failure) }
+		return func(s *state) { s.m.Failed(s.now, s.id, failure) }
 	}
 	seen := func(incarnation ident.Incarnation) call {
-		return func(w *world) { w.m.StoreSeen(w.now, testStatus("s1", incarnation)) }
+		return func(s *state) { s.m.StoreSeen(s.now, testStatus("s1", incarnation)) }
 	}
 	wait := func(length time.Duration) call {
-		return func(w *world) {
-			w.now = w.now.Add(length)
-			w.m.Plan(w.now, testRandom())
+		return func(s *state) {
+			s.now = s.now.Add(length)
+			s.m.Plan(s.now, testRandom())
 		}
 	}
 	cases := []struct {
@@ -134,27 +135,27 @@
 		{"reserved by another writer", []call{reserved(func(r *Reservation) { r.Granted = false })}, Absent},
 		{"committed by another writer", []call{reserved(func(r *Reservation) { r.Granted, r.Committed = false, true })}, Committed},
 		{"committed in a tier that does not exist", []call{reserved(func(r *Reservation) { r.Committed, r.Copy.Tier = true, 9 })}, Absent},
-		{"no room", []call{reserved(func(r *Reservation) { r.Full = true })}, Absent},
-		{"reserved by an earlier life", []call{reserved(func(r *Reservation) { r.Incarnation = 0 })}, Absent},
+		{"tier is full", []call{reserved(func(r *Reservation) { r.Full = true })}, Absent},
+		{"reserved by a previous incarnation", []call{reserved(func(r *Reservation) { r.Incarnation = 0 })}, Absent},
 		{"engine lost the block", []call{granted, failed(FailedEngine)}, Absent},
-		{"store lost while writing", []call{granted, failed(FailedStore)}, Absent},
+		{"store fails while writing", []call{granted, failed(FailedStore)}, Absent},
 		{"store restarts while writing", []call{granted, seen(2), written, asWritten}, Absent},
 		{"store restarts after commit", []call{granted, written, asWritten, seen(2)}, Absent},
-		{"report of an earlier life", []call{granted, written, asWritten, seen(0)}, Committed},
+		{"report of a previous incarnation", []call{granted, written, asWritten, seen(0)}, Committed},
 		{"no answer to the reservation", []call{wait(DefaultWriteTimeout)}, Absent},
 		{"no answer from the engine", []call{granted, wait(DefaultWriteTimeout)}, Absent},
 		{"late answer after the timeout", []call{granted, written, wait(DefaultWriteTimeout), asWritten}, Absent},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			m, block, slot, now := planned(t)
-			w := &world{m: m, id: block.ID, slot: slot, now: now}
+			m, block, slot, now := plannedManager(t)
+			s := &state{m: m, id: block.ID, slot: slot, now: now}
 			for _, call := range c.calls {
-				call(w)
+				call(s)
 				checkManager(t, m)
 			}
 			got := m.Phase(block.Block)
-			_, readable := m.Pin(w.now, testUse("a", 1, 1).Scope, block.Block)
+			_, readable := m.Pin(s.now, testUse("a", 1, 1).Scope, block.Block)
 			if got != c.want || readable != (got == Committed) {
 				t.Fatalf("phase %v, readable %v, want %v", got, readable, c.want)
 			}
@@ -162,8 +163,8 @@
 	}
 }
 
-// A reader that belongs to another team or version asks for a block by a name
-// that was made wrongly. It must not get it.
+// A reader of another team or version requests a block by an ID that was
+// computed incorrectly. The pin must be refused.
 func TestPinRefusesAnotherScope(t *testing.T) {
 	m, now := committedManager(t, Options{})
 	for _, scope := range []prefix.Scope{
@@ -172,13 +173,13 @@
 		{Team: "a", Model: "m", Version: "v1", Adapter: "x"},
 	} {
 		if _, ok := m.Pin(now, scope, testBlocks(1, 1)[0]); ok {
-			t.Errorf("%+v may read a block of team a and version v1", scope)
+			t.Errorf("%+v pinned a block of team a and version v1", scope)
 		}
 	}
 }
 
-// A store host that was read from is asked to free a slot. The reader must have
-// ended or run out of its lease first, also when it never says so.
+// A copy with active pins is to be freed. Each reader must have unpinned or its
+// lease must have expired first, even if a reader never unpins.
 func TestFreeWaitsForPins(t *testing.T) {
 	m, now := committedManager(t, Options{})
 	block := testBlocks(1, 1)[0]
@@ -186,7 +187,7 @@
 	second := mustPin(t, m, now.Add(time.Second), block)
 	m.startFree(now, m.copies[block])
 	if _, ok := m.Pin(now, testUse("a", 1, 1).Scope, block); ok {
-		t.Fatal("a copy that is to be freed got another reader")
+		t.Fatal("a copy that is being freed was pinned")
 	}
 	m.Unpin(now, first.ID, 0)
 	m.Unpin(now, first.ID, 0)
@@ -202,28 +203,29 @@
 	m.Freed(now, frees[0].ID, true)
 	m.Freed(now, frees[0].ID, true)
 	if m.Phase(block) != Absent {
-		t.Fatalf("phase %v after the free", m.Phase(block))
+		t.Fatalf("phase %v after the free, want absent", m.Phase(block))
 	}
 	checkManager(t, m)
 }
 
-// A free is refused: another process freed the slot before, and nobody says so.
-// The copy must not be tried for ever, nor keep its host from taking exports.
-func TestFreeThatFailsIsGivenUp(t *testing.T) {
+// The store refuses a free because another process has freed the slot without a
+// report to this one. The copy must not be retried forever, and the host must
+// not be paused for exports.
+func TestFailedFreeIsAbandoned(t *testing.T) {
 	m, now := committedManager(t, Options{})
 	block := testBlocks(1, 1)[0]
 	m.startFree(now, m.copies[block])
 	for range maxFreeTries {
 		frees := m.Plan(now, testRandom()).Frees
 		if len(frees) != 1 {
-			t.Fatalf("%d frees, want one more try", len(frees))
+			t.Fatalf("%d frees, want 1 retry", len(frees))
 		}
 		m.Freed(now, frees[0].ID, false)
 		now = now.Add(DefaultRetry)
 	}
 	m.Plan(now, testRandom())
-	if m.Phase(block) != Absent || m.stores["s1"].faults.active(now) {
-		t.Fatalf("phase %v after %d refusals, host paused: %v", m.Phase(block), maxFreeTries, m.stores["s1"].faults)
+	if m.Phase(block) != Absent || m.stores["s1"].faultBackoff.active(now) {
+		t.Fatalf("phase %v after %d refusals, host paused: %v", m.Phase(block), maxFreeTries, m.stores["s1"].faultBackoff)
 	}
 	checkManager(t, m)
 }
--- a/keep/cycle.go
+++ b/keep/cycle.go
@@ -6,120 +6,124 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// cycle is the rhythm in which one class uses one prompt: bursts of uses with
-// about the same time from the start of one to the start of the next, as when
-// a lot is on sale once in every round.
+// cycle tracks the rhythm in which one class uses one prompt: bursts of uses
+// whose starts are about the same time apart, as when an item is on sale once
+// per round.
 type cycle struct {
-	class ident.Class
-	start time.Time // of the last burst
-	last  time.Time // last use
-	gap   time.Duration
-	// spread is how far successive gaps have differed, averaged.
+	class      ident.Class
+	burstStart time.Time // start of the last burst
+	lastUse    time.Time
+	gap        time.Duration
+	// spread is the moving average of the difference between successive gaps.
 	spread time.Duration
-	// agreed counts the gaps in a row that were like the one before.
-	agreed int
+	// similarGaps is the number of consecutive gaps similar to the one before.
+	similarGaps int
 }
 
-// Bounds of cycles.
+// Parameters of cycles.
 const (
-	// maxCycles bounds the classes whose rhythm is followed for one prompt.
+	// maxCycles is the maximum number of classes whose cycles are tracked for
+	// one prompt.
 	maxCycles = 2
-	// cycleTolerance is how far two gaps may differ to be alike, as a part of
-	// the gap.
+	// cycleTolerance is the maximum difference between similar gaps, as a
+	// fraction of the gap.
 	cycleTolerance = 0.05
-	// regularClass is the part of a class's gaps that must have been like the
-	// one before for a single gap to be trusted.
-	regularClass = 0.6
-	// firstSpread is the spread assumed of a single gap, as a part of it.
+	// minClassRegularity is the minimum fraction of a class's gaps that are
+	// similar to the one before for a prefetch based on a single gap.
+	minClassRegularity = 0.6
+	// firstSpread is the assumed spread after a single gap, as a fraction of
+	// the gap.
 	firstSpread = 0.02
-	// agreementStep is the weight of one gap in a class's agreement.
-	agreementStep = 0.05
+	// regularityWeight is the weight of one gap in a class's regularity.
+	regularityWeight = 0.05
 	// prefetchLead is how long before an expected return its prefetch begins,
-	// beside twice the spread.
+	// in addition to twice the spread.
 	prefetchLead = 10 * time.Second
 )
 
-// comparison is what a use told about a rhythm.
-type comparison uint8
+// gapComparison is the result of comparing a gap with the one before.
+type gapComparison uint8
 
 const (
-	notCompared comparison = iota
-	unlike
-	alike
+	gapNotCompared gapComparison = iota
+	gapDiffers
+	gapSimilar
 )
 
-// use counts one use. Uses less than quiet apart belong to one burst.
-func (c *cycle) use(now time.Time, quiet time.Duration) comparison {
-	burst := now.Sub(c.last) < quiet
-	c.last = now
+// recordUse records one use and compares its gap with the one before. Uses less
+// than maxBurstGap apart belong to one burst.
+func (c *cycle) recordUse(now time.Time, maxBurstGap time.Duration) gapComparison {
+	burst := now.Sub(c.lastUse) < maxBurstGap
+	c.lastUse = now
 	if burst {
-		return notCompared
+		return gapNotCompared
 	}
-	former := c.gap
-	c.gap = now.Sub(c.start)
-	c.start = now
-	if former == 0 {
+	previous := c.gap
+	c.gap = now.Sub(c.burstStart)
+	c.burstStart = now
+	if previous == 0 {
 		c.spread = time.Duration(firstSpread * float64(c.gap))
-		return notCompared
+		return gapNotCompared
 	}
-	difference := (c.gap - former).Abs()
+	difference := (c.gap - previous).Abs()
 	if float64(difference) > cycleTolerance*float64(c.gap) {
-		c.agreed = 0
+		c.similarGaps = 0
 		c.spread = time.Duration(firstSpread * float64(c.gap))
-		return unlike
+		return gapDiffers
 	}
-	if c.agreed == 0 {
+	if c.similarGaps == 0 {
 		c.spread = difference
 	}
-	c.agreed++
+	c.similarGaps++
 	c.spread = (c.spread + difference) / 2
-	return alike
+	return gapSimilar
 }
 
-// due returns when a prefetch for the next burst should begin, and when the
-// burst is expected. It returns false while no two gaps were alike, or none is
-// known in a class that is regular.
-func (c *cycle) due(regular bool) (begin, expected time.Time, ok bool) {
-	if c.agreed == 0 && (!regular || c.gap == 0) {
+// nextPrefetch returns when a prefetch for the next burst should begin, and
+// when the burst is expected. It returns false if no two successive gaps were
+// similar, unless the class is regular and one gap is known.
+func (c *cycle) nextPrefetch(regular bool) (begin, expected time.Time, ok bool) {
+	if c.similarGaps == 0 && (!regular || c.gap == 0) {
 		return time.Time{}, time.Time{}, false
 	}
-	expected = c.start.Add(c.gap)
+	expected = c.burstStart.Add(c.gap)
 	return expected.Add(-2*c.spread - prefetchLead), expected, true
 }
 
-// compared counts whether a gap of a class was like the one before.
-func (l *learner) compared(class ident.Class, result comparison) {
-	if result == notCompared {
+// recordComparison updates a class's regularity with the result of a
+// comparison.
+func (l *learner) recordComparison(class ident.Class, result gapComparison) {
+	if result == gapNotCompared {
 		return
 	}
 	g := l.classRecord(class)
-	like := float32(0)
-	if result == alike {
-		like = 1
+	similar := float32(0)
+	if result == gapSimilar {
+		similar = 1
 	}
-	g.agreement += agreementStep * (like - g.agreement)
+	g.regularity += regularityWeight * (similar - g.regularity)
 }
 
-// regular tells whether most gaps of a class are like the one before.
+// regular reports whether most gaps of a class are similar to the one before.
 func (l *learner) regular(class ident.Class) bool {
 	g := l.classes[class]
-	return g != nil && g.agreement >= regularClass
+	return g != nil && g.regularity >= minClassRegularity
 }
 
-// followCycle counts a use of a prompt by a class and sets the time of its next
-// prefetch.
-func (m *Manager) followCycle(now time.Time, p *prompt, class ident.Class) {
+// recordCycle records a use of a prompt by a class and sets the time of its
+// next prefetch.
+func (m *Manager) recordCycle(now time.Time, p *prompt, class ident.Class) {
 	c := p.cycleOf(class)
 	if c == nil {
 		if len(p.cycles) < maxCycles {
-			p.cycles = append(p.cycles, cycle{class: class, start: now, last: now})
+			p.cycles = append(p.cycles, cycle{class: class, burstStart: now, lastUse: now})
 		}
 	} else {
-		m.learner.compared(class, c.use(now, max(m.residency(p), prefetchLead)))
+		m.learner.recordComparison(class, c.recordUse(now, max(m.residency(p), prefetchLead)))
 	}
 	p.prefetchAt = time.Time{}
 	for i := range p.cycles {
-		begin, _, ok := p.cycles[i].due(m.learner.regular(p.cycles[i].class))
+		begin, _, ok := p.cycles[i].nextPrefetch(m.learner.regular(p.cycles[i].class))
 		if ok && begin.After(now) && (p.prefetchAt.IsZero() || begin.Before(p.prefetchAt)) {
 			p.prefetchAt = begin
 		}
@@ -135,24 +139,25 @@
 	return nil
 }
 
-// cyclePrefetch decides on the prefetch of a prompt whose time for one has
-// come. It is left out while the runner still holds the prompt, and where the
-// return is so uncertain that the blocks would be evicted before it.
+// cyclePrefetch decides on the prefetch of a prompt whose prefetch time has
+// come. The prefetch is omitted where the runner is expected to hold the prompt
+// until the return, and where the return is so uncertain that the blocks would
+// be evicted before it.
 func (m *Manager) cyclePrefetch(now time.Time, p *prompt) (Prefetch, bool) {
 	begin := p.prefetchAt
 	p.prefetchAt = time.Time{}
 	for i := range p.cycles {
 		c := &p.cycles[i]
-		at, expected, ok := c.due(m.learner.regular(c.class))
-		if !ok || !at.Equal(begin) || now.After(expected) {
+		cycleBegin, expected, ok := c.nextPrefetch(m.learner.regular(c.class))
+		if !ok || !cycleBegin.Equal(begin) || now.After(expected) {
 			continue
 		}
 		residency := m.residency(p)
-		held := p.onRunner > 0 && now.Sub(p.lastUse) < residency-expected.Sub(now)
-		if held || residency < expected.Sub(begin) {
+		heldUntilReturn := p.blocksOnRunner > 0 && now.Sub(p.lastUse) < residency-expected.Sub(now)
+		if heldUntilReturn || residency < expected.Sub(begin) {
 			continue
 		}
-		chance := float64(c.agreed+1) / float64(c.agreed+2)
+		chance := float64(c.similarGaps+1) / float64(c.similarGaps+2)
 		return m.prefetchOf(p, c.class, chance, expected)
 	}
 	return Prefetch{}, false
--- a/keep/world_test.go
+++ b/keep/fakestore_test.go
@@ -15,20 +15,20 @@
 	generation uint64
 	block      prefix.BlockID
 	phase      Phase
-	content    uint64 // what a read returns; half of it while writing
+	content    uint64 // what a read returns; half the value while partly written
 	bytes      int64
 	tier       prefix.Tier
 }
 
 // fakeStore arbitrates slots as a real store host does. Slots are reused, so
-// that a stale reader meets another block's content.
+// that a stale reader would get another block's content.
 type fakeStore struct {
 	name        ident.Upstream
 	incarnation ident.Incarnation
 	generation  uint64
 	slots       []fakeSlot
 	byBlock     map[prefix.BlockID]int
-	// skipGeneration is a seeded fault: reads are served whatever is there.
+	// skipGeneration is a seeded fault: reads and writes ignore the generation.
 	skipGeneration bool
 }
 
@@ -87,14 +87,14 @@
 	return nil
 }
 
-// write fills a slot, the first half or all of it.
-func (s *fakeStore) write(name string, generation, content uint64, whole bool) bool {
+// write fills a slot, half of it if complete is false.
+func (s *fakeStore) write(name string, generation, content uint64, complete bool) bool {
 	slot := s.find(name, generation)
 	if slot == nil || slot.phase != Reserving {
 		return false
 	}
 	slot.content = content
-	if !whole {
+	if !complete {
 		slot.content = content / 2
 	}
 	return true
@@ -123,8 +123,8 @@
 	}
 }
 
-// restart begins a new life: empty, or with the committed slots under new
-// generations.
+// restart starts a new incarnation, either empty or with the committed slots
+// under new generations.
 func (s *fakeStore) restart(empty bool) {
 	s.incarnation++
 	for i := range s.slots {
@@ -140,18 +140,18 @@
 	}
 }
 
-// fakePrompt is one prompt with the content its blocks must have.
+// fakePrompt is one prompt with the expected content of its blocks.
 type fakePrompt struct {
-	scope  prefix.Scope
-	class  ident.Class
-	blocks []prefix.BlockID
-	truth  []uint64
+	scope       prefix.Scope
+	class       ident.Class
+	blocks      []prefix.BlockID
+	wantContent []uint64
 }
 
 const harnessBlockTokens = 4
 
-// newFakePrompt makes a prompt. Prompts with the same topic have the same
-// tokens, whatever their team and version: only the key keeps them apart.
+// newFakePrompt returns a prompt. Prompts with the same topic have the same
+// tokens whatever their team and version; only the key distinguishes them.
 func newFakePrompt(scope prefix.Scope, topic, blocks int, dropTeam bool) fakePrompt {
 	tokens := make([]uint32, blocks*harnessBlockTokens)
 	for i := range tokens {
@@ -168,7 +168,7 @@
 	}
 	for i := range p.blocks {
 		text := fmt.Sprint(scope, tokens[:(i+1)*harnessBlockTokens])
-		p.truth = append(p.truth, xxhash.Sum64String(text))
+		p.wantContent = append(p.wantContent, xxhash.Sum64String(text))
 	}
 	return p
 }
--- a/keep/faults_test.go
+++ b/keep/faults_test.go
@@ -8,12 +8,12 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// testPlanner drives exports at ten plans a second.
+// testPlanner runs a manager at ten plans a second and completes its exports.
 type testPlanner struct {
 	t   *testing.T
 	m   *Manager
 	now time.Time
-	// stores counts the blocks committed by store.
+	// stores and teams count the committed blocks by store and by team.
 	stores map[ident.Upstream]int
 	teams  map[ident.Team]int
 }
@@ -55,12 +55,12 @@
 	}
 }
 
-// Store hosts are full, slow, dead, or back with nothing. Prompts that are
-// still on the runner must go to the other store host and not wait for this
-// one, and a host that is well again must be used again.
+// Store hosts are full, slow, lost, or restarted empty. Prompts that are still
+// on the runner must be exported to the other store host without waiting for
+// this one, and a recovered host must be used again.
 func TestStoreHostFaults(t *testing.T) {
 	const prompts, blocks = 6, 4
-	tell := func(p *testPlanner, incarnation ident.Incarnation) {
+	reportStores := func(p *testPlanner, incarnation ident.Incarnation) {
 		p.m.StoreSeen(p.now, testStatus("s1", incarnation))
 		other := testStatus("s2", 1)
 		other.DataCentre = "far"
@@ -68,7 +68,7 @@
 	}
 	setup := func(t *testing.T) *testPlanner {
 		p := newTestPlanner(t, Options{})
-		tell(p, 1)
+		reportStores(p, 1)
 		p.use("a", 1, prompts, blocks)
 		return p
 	}
@@ -79,13 +79,13 @@
 		}
 		return count
 	}
-	onFirst := func(end func(p *testPlanner, e Export)) func(p *testPlanner) func(Export) bool {
+	onFirst := func(respond func(p *testPlanner, e Export)) func(p *testPlanner) func(Export) bool {
 		return func(p *testPlanner) func(Export) bool {
 			return func(e Export) bool {
 				if e.Store != "s1" {
 					return true
 				}
-				end(p, e)
+				respond(p, e)
 				return false
 			}
 		}
@@ -115,50 +115,50 @@
 			}
 		})
 	}
-	t.Run("dies", func(t *testing.T) {
+	t.Run("lost", func(t *testing.T) {
 		p := setup(t)
 		p.run(5*time.Second, nil)
 		if p.stores["s2"] != 0 {
-			t.Fatalf("the near host was free, used %v", p.stores)
+			t.Fatalf("the near host was available, but the blocks went to %v", p.stores)
 		}
 		p.m.StoreGone("s1", 1)
 		if got := readable(p); got != 0 {
-			t.Fatalf("%d blocks readable on a dead host", got)
+			t.Fatalf("%d blocks readable on a lost host, want 0", got)
 		}
 		p.run(5*time.Second, nil)
 		if got := readable(p); got != prompts*blocks {
-			t.Fatalf("%d blocks readable 5 s after the death, want %d", got, prompts*blocks)
+			t.Fatalf("%d blocks readable 5 s after the loss, want %d", got, prompts*blocks)
 		}
 	})
-	t.Run("comes back empty", func(t *testing.T) {
+	t.Run("restarts empty", func(t *testing.T) {
 		p := setup(t)
 		p.run(5*time.Second, nil)
-		tell(p, 2)
+		reportStores(p, 2)
 		if got := readable(p); got != 0 {
-			t.Fatalf("%d blocks readable of an earlier life", got)
+			t.Fatalf("%d blocks readable from a previous incarnation, want 0", got)
 		}
 		p.run(5*time.Second, nil)
 		if got := readable(p); got != prompts*blocks {
-			t.Fatalf("%d blocks readable again, want %d", got, prompts*blocks)
+			t.Fatalf("%d blocks readable after the restart, want %d", got, prompts*blocks)
 		}
 	})
-	t.Run("comes back with old content", func(t *testing.T) {
+	t.Run("restarts with old content", func(t *testing.T) {
 		p := setup(t)
 		p.run(5*time.Second, nil)
 		block := testBlocks(1, 1)[0]
 		old, _ := p.m.Source(block)
-		tell(p, 2)
+		reportStores(p, 2)
 		if p.m.Adopt(p.now, old) {
-			t.Fatal("a copy of an earlier life was adopted")
+			t.Fatal("a copy of a previous incarnation was adopted")
 		}
-		fresh := old
-		fresh.Incarnation = 2
-		fresh.Copy.Generation++
-		if !p.m.Adopt(p.now, fresh) || p.m.Adopt(p.now, fresh) {
-			t.Fatal("a copy that survived the restart was not adopted once")
+		restarted := old
+		restarted.Incarnation = 2
+		restarted.Copy.Generation++
+		if !p.m.Adopt(p.now, restarted) || p.m.Adopt(p.now, restarted) {
+			t.Fatal("a copy that survived the restart was not adopted exactly once")
 		}
-		if got, _ := p.m.Source(block); got != fresh {
-			t.Fatalf("source %+v, want %+v", got, fresh)
+		if got, _ := p.m.Source(block); got != restarted {
+			t.Fatalf("source %+v, want %+v", got, restarted)
 		}
 	})
 	t.Run("refuses a reader", func(t *testing.T) {
@@ -168,19 +168,19 @@
 		pin := mustPin(t, p.m, p.now, block)
 		p.m.Unpin(p.now, pin.ID, FailedVerify)
 		if p.m.Phase(block) != Absent {
-			t.Fatal("a copy that failed a reader is given to others")
+			t.Fatal("a copy that failed verification is still readable")
 		}
 		p.run(5*time.Second, nil)
 		if got := readable(p); got != prompts*blocks {
-			t.Fatalf("%d blocks readable, want the lost one written again", got)
+			t.Fatalf("%d blocks readable, want the dropped one written again", got)
 		}
 	})
 }
 
-// A store host writes ten times slower than its link says. Writes must not pile
-// up on it until all time out.
-func TestSlowStoreNarrowsTheWindow(t *testing.T) {
-	m, block, slot, now := planned(t)
+// A store host writes ten times slower than its reported link rate. Writes must
+// not queue up on it until all of them time out.
+func TestSlowStoreNarrowsTheWriteWindow(t *testing.T) {
+	m, block, slot, now := plannedManager(t)
 	s := m.stores["s1"]
 	before := s.writeWindow(m.exportRate(s))
 	late := now.Add(DefaultWriteTimeout - time.Second)
@@ -188,16 +188,16 @@
 	m.Reserved(now, block.ID, Reservation{Granted: true, Incarnation: 1, Copy: slot})
 	m.Written(late, block.ID, slot.Bytes, 1)
 	if !m.Committed(late, block.ID, slot) {
-		t.Fatal("not committed")
+		t.Fatal("the slow write was not committed")
 	}
 	if after := s.writeWindow(m.exportRate(s)); after*2 > before {
-		t.Fatalf("window %d after a slow write, %d before", after, before)
+		t.Fatalf("write window %d after a slow write, want at most half of %d", after, before)
 	}
 }
 
-// Two prompts share a beginning, and plans follow one another before answers
-// come. No block may be written twice at once.
-func TestOneWriteForEachBlock(t *testing.T) {
+// Two prompts share a beginning, and several plans are made before any answer
+// arrives. No block may be written twice at the same time.
+func TestNoBlockIsWrittenTwice(t *testing.T) {
 	m := testManager(t, Options{})
 	m.StoreSeen(epoch, testStatus("s1", 1))
 	shared := testUse("a", 1, 4)
@@ -225,10 +225,10 @@
 	}
 }
 
-// A store host says that its link moves 16 GB a second and takes 64 MB. An
-// export that is larger than it can take in time fails as a whole, is tried
-// again and fails again, and nothing is ever kept there.
-func TestVerySlowStoreStillTakesWrites(t *testing.T) {
+// A store host reports a link of 16 GB/s but writes 64 MB/s. An export larger
+// than the host can write within the timeout fails as a whole on each attempt,
+// so that nothing is ever kept there.
+func TestVerySlowStoreStillReceivesWrites(t *testing.T) {
 	const prompts, blocks = 4, 30
 	m := testManager(t, Options{Residency: time.Hour})
 	m.StoreSeen(epoch, testStatus("s1", 1))
@@ -241,19 +241,19 @@
 		done time.Time
 	}
 	var queue []export
-	free := epoch // when the host has written what it was given
+	idleAt := epoch // time at which the host has written all it received
 	for now := epoch; now.Before(epoch.Add(15 * time.Minute)); now = now.Add(100 * time.Millisecond) {
 		for len(queue) > 0 && !queue[0].done.After(now) {
-			writeKnown(m, now, queue[0].plan)
+			writeCurrent(m, now, queue[0].plan)
 			queue = queue[1:]
 		}
 		plan := m.Plan(now, random)
 		for _, e := range plan.Exports {
-			if free.Before(now) {
-				free = now
+			if idleAt.Before(now) {
+				idleAt = now
 			}
-			free = free.Add(time.Duration(len(e.Blocks)) * time.Second)
-			queue = append(queue, export{plan: Plan{Exports: []Export{e}}, done: free})
+			idleAt = idleAt.Add(time.Duration(len(e.Blocks)) * time.Second)
+			queue = append(queue, export{plan: Plan{Exports: []Export{e}}, done: idleAt})
 		}
 	}
 	readable := 0
@@ -261,13 +261,13 @@
 		readable += m.Readable(testBlocks(1+i, blocks), 0)
 	}
 	if readable < prompts*blocks*9/10 {
-		t.Fatalf("%d of %d blocks readable after 15 minutes, each takes a second; %+v", readable, prompts*blocks, m.Stats())
+		t.Fatalf("%d of %d blocks readable after 15 minutes at one second per block; %+v", readable, prompts*blocks, m.Stats())
 	}
 }
 
-// writeKnown carries exports through like writeAll, but leaves out those whose
-// attempt has ended meanwhile.
-func writeKnown(m *Manager, now time.Time, plan Plan) {
+// writeCurrent completes the writes of a plan as writeAll does, but skips
+// blocks whose attempt has ended in the meantime.
+func writeCurrent(m *Manager, now time.Time, plan Plan) {
 	for _, e := range plan.Exports {
 		for _, b := range e.Blocks {
 			slot := prefix.Copy{Slot: "s", Generation: uint64(b.ID), Bytes: b.Bytes, Tier: e.Tier}
--- a/keep/fuzz_test.go
+++ b/keep/fuzz_test.go
@@ -8,14 +8,15 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// FuzzManager applies any sequence of uses, reports and results, also ones
-// that no store or engine should send. All counts and indices must agree after
-// each, and only committed copies may be given out.
+// FuzzManager applies arbitrary sequences of uses, reports and results,
+// including invalid ones that no store or engine should send. All counts and
+// indexes must be consistent after each step, and readers may get only
+// committed copies.
 func FuzzManager(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 1, 1, 4, 0, 2, 0, 0, 200, 3, 1, 0, 0, 4, 1, 0, 0, 5, 1, 0, 0, 6, 0, 0, 0})
 	f.Add([]byte{0, 0, 0, 0, 1, 1, 9, 0, 2, 0, 0, 200, 3, 1, 3, 0, 9, 0, 0, 0, 0, 0, 1, 0, 10, 1, 0, 0, 2, 0, 0, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w := &fuzzWorld{
+		w := &fuzzState{
 			m:   testManager(t, Options{MaxPrompts: 4, MaxBlocks: 16, MaxCopies: 10, MaxPins: 3, MaxStores: 2, MaxRecords: 3}),
 			now: epoch,
 		}
@@ -26,12 +27,12 @@
 	})
 }
 
-type fuzzWorld struct {
+type fuzzState struct {
 	m   *Manager
 	now time.Time
 }
 
-func (w *fuzzWorld) step(t *testing.T, kind, a, b, c byte) {
+func (w *fuzzState) step(t *testing.T, kind, a, b, c byte) {
 	m := w.m
 	store := ident.Upstream([]string{"s1", "s2", "s3"}[a%3])
 	id := CopyID(a % 32)
--- a/keep/gaps.go
+++ b/keep/gaps.go
@@ -7,15 +7,15 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Shape of a record of gaps: two buckets for each doubling, from one second to
+// Buckets of a gap record: two for each doubling of the age, from one second to
 // about 24 days.
 const (
 	bucketsPerDoubling = 2
 	bucketCount        = 43
 )
 
-// ageLimits[k] is the lower end of bucket k in seconds; the last entry ends
-// the last bucket.
+// ageLimits[k] is the lower limit of bucket k in seconds; the last element is
+// the upper limit of the last bucket.
 var ageLimits = func() [bucketCount + 1]float64 {
 	var limits [bucketCount + 1]float64
 	for k := 1; k <= bucketCount; k++ {
@@ -24,7 +24,6 @@
 	return limits
 }()
 
-// bucketOf returns the bucket of an age.
 func bucketOf(age time.Duration) int {
 	seconds := age.Seconds()
 	if seconds < 1 {
@@ -34,26 +33,27 @@
 	return min(k, bucketCount-1)
 }
 
-// bucketStart is the age at which bucket k begins.
+// bucketStart returns the age at which bucket k begins.
 func bucketStart(k int) time.Duration {
 	return time.Duration(ageLimits[k] * float64(time.Second))
 }
 
-// gapRecord counts, for each bucket of age, how many prompts reached it
-// without returning and how many returned in it. Their ratio is the hazard.
-// Counting who reached an age keeps prompts that still wait from being
+// gapRecord counts, for each age bucket, the prompts that reached it without
+// returning and those that returned in it. The ratio of the two is the hazard.
+// Counting the prompts that reached an age keeps those still waiting from being
 // mistaken for prompts that return.
 type gapRecord struct {
 	reached  [bucketCount]float32
 	returned [bucketCount]float32
 	lastUse  uint64
-	// agreement is the part of the gaps of single prompts that were like the
-	// one before; it is kept for classes only.
-	agreement float32
+	// regularity is the moving average of the fraction of gaps between uses of
+	// one prompt that were similar to the previous gap. Only class records have
+	// it.
+	regularity float32
 }
 
-// recordWindow is the number of prompts after which older ones begin to fade:
-// the counts are halved, so that a change of habit shows.
+// recordWindow is the number of prompts at which the counts are halved, so that
+// older observations decay and a change of behaviour shows.
 const recordWindow = 512
 
 func (g *gapRecord) reach(k int) {
@@ -67,26 +67,26 @@
 	}
 }
 
-// backOff is how many prompts of the wider record one narrow record weighs in.
-const backOff = 8
+// priorWeight is the weight of the wider estimate in a hazard, in prompts.
+const priorWeight = 8
 
-// hazard blends the record with a wider estimate.
+// hazard returns the hazard in bucket k, blended with a wider estimate.
 func (g *gapRecord) hazard(k int, wider float64) float64 {
 	if g == nil {
 		return wider
 	}
 	reached := float64(g.reached[k])
 	returned := min(float64(g.returned[k]), reached)
-	return (returned + backOff*wider) / (reached + backOff)
+	return (returned + priorWeight*wider) / (reached + priorWeight)
 }
 
-// gapKey names a record; an empty team means all teams of the class.
+// gapKey identifies a record; an empty team means all teams of the class.
 type gapKey struct {
 	team  ident.Team
 	class ident.Class
 }
 
-// learner holds the records.
+// learner holds the gap records.
 type learner struct {
 	limit   int
 	tick    uint64
@@ -103,7 +103,7 @@
 	}
 }
 
-// levels are the records that bear on one team and class, narrowest first.
+// levels are the records that apply to one team and class, narrowest first.
 type levels struct {
 	own, class, all *gapRecord
 }
@@ -112,8 +112,8 @@
 	return levels{own: l.records[key], class: l.classes[key.class], all: &l.all}
 }
 
-// priorHazard is the chance of return in a bucket before anything is known. It
-// falls with age, as for most caches.
+// priorHazard is the assumed hazard without observations, for bucket 0. It
+// falls with age, as in most caches.
 const priorHazard = 0.1
 
 func (v levels) hazard(k int) float64 {
@@ -121,7 +121,8 @@
 	return v.own.hazard(k, v.class.hazard(k, v.all.hazard(k, prior)))
 }
 
-// support is how many prompts the narrowest useful record has seen in a bucket.
+// support returns how many prompts reached bucket k in the team's or the
+// class's record, whichever is larger.
 func (v levels) support(k int) float64 {
 	best := 0.0
 	if v.own != nil {
@@ -133,14 +134,14 @@
 	return best
 }
 
-// reach counts that a prompt has reached a bucket of age.
+// reach records that a prompt reached an age bucket.
 func (l *learner) reach(key gapKey, k int) {
 	l.record(key).reach(k)
 	l.classRecord(key.class).reach(k)
 	l.all.reach(k)
 }
 
-// returned counts that a prompt returned in a bucket of age.
+// returned records that a prompt returned in an age bucket.
 func (l *learner) returned(key gapKey, k int) {
 	l.record(key).returned[k]++
 	l.classRecord(key.class).returned[k]++
@@ -161,11 +162,12 @@
 	return g
 }
 
-// evictSample is how many records are looked at to find one long unused.
-const evictSample = 8
+// evictSampleSize is the number of records examined by evict.
+const evictSampleSize = 8
 
-// evict drops the least recently used of a few records. Go's map iteration
-// begins anywhere, which is good enough for a sample and costs no list.
+// evict removes the least recently used record of a sample. Go starts map
+// iteration at an arbitrary element, which is random enough for a sample and
+// needs no separate list.
 func (l *learner) evict() {
 	var victim gapKey
 	oldest := uint64(math.MaxUint64)
@@ -175,7 +177,7 @@
 			victim, oldest = key, g.lastUse
 		}
 		seen++
-		if seen >= evictSample {
+		if seen >= evictSampleSize {
 			break
 		}
 	}
@@ -187,8 +189,9 @@
 	if g != nil {
 		return g
 	}
-	// Classes are few; more than the limit of records means that the names
-	// are not classes, and they share the record of everything.
+	// There are few classes. More than the limit of records means that the
+	// names are not classes; these have no record of their own and use that of
+	// all prompts.
 	if len(l.classes) >= l.limit {
 		return &gapRecord{}
 	}
@@ -197,34 +200,34 @@
 	return g
 }
 
-// minWait keeps the index of a prompt that is just about to return finite, in
-// seconds.
+// minWait is a lower limit of the expected time kept, in seconds. It keeps the
+// index of a prompt that is about to return finite.
 const minWait = 1.0
 
-// index is the worth of keeping a prompt of some age: the expected number of
-// returns for each second of keeping, if it is dropped at the best time. It is
-// the Gittins index of the prompt. A fixed horizon would value wrongly either
-// prompts that return late or those that return soon or never.
+// gittinsIndex returns the Gittins index of keeping a prompt of the given age:
+// the expected number of returns per second kept, if the prompt is dropped at
+// the best time. A fixed horizon would misjudge either prompts that return late
+// or prompts that return soon or never.
 //
-// Returns before the age useful do not count: the runner still holds the prompt
+// Returns before the age useful don't count: the runner still holds the prompt
 // then, and the copy saves nothing.
-func (v levels) index(age, useful time.Duration) float64 {
+func (v levels) gittinsIndex(age, useful time.Duration) float64 {
 	from := age.Seconds()
-	start := useful.Seconds()
-	alive, chance, wait, best := 1.0, 0.0, 0.0, 0.0
+	usefulFrom := useful.Seconds()
+	remaining, chance, wait, best := 1.0, 0.0, 0.0, 0.0
 	for k := bucketOf(age); k < bucketCount; k++ {
 		low := max(ageLimits[k], from)
 		high := ageLimits[k+1]
 		part := (high - low) / (high - ageLimits[k])
-		gone := alive * v.hazard(k) * part
-		counted := max(high-max(low, start), 0) / (high - low)
-		chance += gone * counted
-		wait += gone * ((low+high)/2 - from)
-		alive -= gone
-		kept := max(wait+alive*(high-from), minWait)
+		returning := remaining * v.hazard(k) * part
+		counted := max(high-max(low, usefulFrom), 0) / (high - low)
+		chance += returning * counted
+		wait += returning * ((low+high)/2 - from)
+		remaining -= returning
+		kept := max(wait+remaining*(high-from), minWait)
 		best = max(best, chance/kept)
-		// Even if all the rest returned at once, later times would be no better.
-		if chance+alive < best*kept {
+		// No later time is better, even if all remaining prompts returned now.
+		if chance+remaining < best*kept {
 			break
 		}
 	}
--- a/keep/harness_test.go
+++ b/keep/harness_test.go
@@ -11,10 +11,11 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// decisions is how many decisions the interleaving harness makes in all.
+// decisions is the total number of decisions that the interleaving harness
+// makes.
 var decisions = flag.Int("keep.decisions", 60_000, "decisions of the interleaving harness")
 
-// seededFault is a safeguard left out, to show that the harness sees it.
+// seededFault selects a safeguard to disable, which the harness must detect.
 type seededFault int
 
 const (
@@ -26,8 +27,8 @@
 	faultFreeUnderPin
 )
 
-// harness runs two managers, both of which may believe to be the home of a
-// prompt, over shared store hosts. Every answer is an operation that is
+// harness runs two managers, both of which may consider themselves the home of
+// a prompt, over shared store hosts. Every answer is an operation that is
 // delivered later, in any order, twice or never.
 type harness struct {
 	random   *rand.Rand
@@ -35,9 +36,9 @@
 	fault    seededFault
 	stores   []*fakeStore
 	managers [2]*Manager
-	told     [2]map[ident.Upstream]ident.Incarnation
+	reported [2]map[ident.Upstream]ident.Incarnation
 	prompts  []fakePrompt
-	cached   map[prefix.BlockID]uint64 // the engine's cache
+	cached   map[prefix.BlockID]uint64 // engine cache: content by block
 	pending  []func()
 	pins     [2]map[PinID]Pin
 
@@ -60,7 +61,7 @@
 	}
 	for i := range h.managers {
 		h.managers[i] = testManager(t, Options{MaxPrompts: 20, WriteTimeout: 20 * time.Second, IdleDelay: 100 * time.Millisecond, Retry: time.Second})
-		h.told[i] = make(map[ident.Upstream]ident.Incarnation)
+		h.reported[i] = make(map[ident.Upstream]ident.Incarnation)
 		h.pins[i] = make(map[PinID]Pin)
 	}
 	for _, team := range []ident.Team{"red", "blue", "green"} {
@@ -74,8 +75,9 @@
 	return h
 }
 
-// later queues an answer. Some are lost and some arrive twice.
-func (h *harness) later(deliver func()) {
+// queue queues an answer for later delivery. One in 20 is lost and one in 20 is
+// delivered twice.
+func (h *harness) queue(deliver func()) {
 	if h.random.IntN(20) == 0 || len(h.pending) > 500 {
 		return
 	}
@@ -105,23 +107,23 @@
 	case 8, 9, 10, 11:
 		h.read(home)
 	case 12, 13:
-		h.tell(home)
+		h.reportStore(home)
 	case 14:
-		h.disturb()
+		h.injectFault()
 	case 15:
 		h.adopt(home)
 	}
 }
 
-func (h *harness) prompt() *fakePrompt { return &h.prompts[h.random.IntN(len(h.prompts))] }
+func (h *harness) randomPrompt() *fakePrompt { return &h.prompts[h.random.IntN(len(h.prompts))] }
 
 func (h *harness) use(home int) {
-	p := h.prompt()
+	p := h.randomPrompt()
 	for i, block := range p.blocks {
 		if held, ok := h.cached[block]; ok {
-			h.check("engine reuse", held == p.truth[i])
+			h.check("engine reuse", held == p.wantContent[i])
 		}
-		h.cached[block] = p.truth[i]
+		h.cached[block] = p.wantContent[i]
 	}
 	h.managers[home].Used(h.now, Use{
 		Scope: p.scope, Class: p.class, Blocks: p.blocks,
@@ -136,11 +138,11 @@
 	}
 }
 
-func (h *harness) tell(home int) {
+func (h *harness) reportStore(home int) {
 	s := h.stores[h.random.IntN(len(h.stores))]
 	status := testStatus(s.name, s.incarnation)
 	status.Capacity = [prefix.TierCount]int64{20 * testBytes, 20 * testBytes}
-	h.told[home][s.name] = s.incarnation
+	h.reported[home][s.name] = s.incarnation
 	if h.fault == faultIgnoreIncarnation {
 		status.Incarnation = 1
 	}
@@ -153,7 +155,7 @@
 	for _, export := range plan.Exports {
 		s := h.store(export.Store)
 		for _, planned := range export.Blocks {
-			h.later(func() { h.reserve(m, s, planned, export.Tier) })
+			h.queue(func() { h.reserve(m, s, planned, export.Tier) })
 		}
 	}
 	for _, free := range plan.Frees {
@@ -163,9 +165,9 @@
 			h.check("freed under pin", !live || pin.Source.Store != free.Store || pin.Source.Copy.Generation != free.Generation)
 		}
 		s := h.store(free.Store)
-		h.later(func() {
+		h.queue(func() {
 			s.freeGeneration(free.Block, free.Generation)
-			h.later(func() { m.Freed(h.now, free.ID, true) })
+			h.queue(func() { m.Freed(h.now, free.ID, true) })
 		})
 	}
 }
@@ -176,7 +178,7 @@
 			return s
 		}
 	}
-	panic("unknown store " + name)
+	panic("unknown store host " + name)
 }
 
 func (h *harness) reserve(m *Manager, s *fakeStore, planned PlannedBlock, tier prefix.Tier) {
@@ -184,31 +186,31 @@
 	if h.fault == faultIgnoreIncarnation {
 		answer.Incarnation = 1
 	}
-	h.later(func() {
+	h.queue(func() {
 		if m.Reserved(h.now, planned.ID, answer) == Write {
-			h.later(func() { h.write(m, s, planned, answer.Copy, false) })
+			h.queue(func() { h.write(m, s, planned, answer.Copy, false) })
 		}
 	})
 }
 
-// write fills the slot in two steps, so that a read can fall between them.
+// write fills the slot in two steps, so that a read can happen between them.
 func (h *harness) write(m *Manager, s *fakeStore, planned PlannedBlock, slot prefix.Copy, second bool) {
 	content, held := h.cached[planned.Block]
 	if !held || !s.write(slot.Slot, slot.Generation, content, second) {
-		h.later(func() { m.Failed(h.now, planned.ID, FailedEngine) })
+		h.queue(func() { m.Failed(h.now, planned.ID, FailedEngine) })
 		return
 	}
 	if !second {
-		h.later(func() { h.write(m, s, planned, slot, true) })
+		h.queue(func() { h.write(m, s, planned, slot, true) })
 		return
 	}
-	h.later(func() {
+	h.queue(func() {
 		if m.Written(h.now, planned.ID, planned.Bytes, content) != Commit {
 			return
 		}
-		h.later(func() {
+		h.queue(func() {
 			state, ok := s.commit(slot.Slot, slot.Generation, content)
-			h.later(func() {
+			h.queue(func() {
 				if ok && m.Committed(h.now, planned.ID, state) {
 					h.commits++
 				}
@@ -217,7 +219,8 @@
 	})
 }
 
-// pin asks the manager, or goes around it where the fault says so.
+// pin requests a pin from the manager, or bypasses the manager's checks for
+// some seeded faults.
 func (h *harness) pin(home int, p *fakePrompt, block prefix.BlockID) (Pin, bool) {
 	m := h.managers[home]
 	if h.fault == faultReadBeforeCommit {
@@ -232,28 +235,29 @@
 	return pin, ok
 }
 
-// readTries is how many blocks a read tries before it gives up, since most
+// readTries is the maximum number of blocks that a read tries, since most
 // blocks have no copy most of the time.
 const readTries = 16
 
 func (h *harness) read(home int) {
 	for range readTries {
-		p := h.prompt()
+		p := h.randomPrompt()
 		i := h.random.IntN(len(p.blocks))
 		if pin, ok := h.pin(home, p, p.blocks[i]); ok {
-			h.begin(home, p, i, pin)
+			h.beginRead(home, p, i, pin)
 			return
 		}
 	}
 }
 
-func (h *harness) begin(home int, p *fakePrompt, i int, pin Pin) {
-	h.check("old incarnation", pin.Source.Incarnation == h.told[home][pin.Source.Store])
+func (h *harness) beginRead(home int, p *fakePrompt, i int, pin Pin) {
+	h.check("old incarnation", pin.Source.Incarnation == h.reported[home][pin.Source.Store])
 	h.pins[home][pin.ID] = pin
-	h.later(func() { h.fetch(home, p, i, pin) })
+	h.queue(func() { h.fetch(home, p, i, pin) })
 }
 
-// fetch is the engine reading a slot at some time within the pin's lease.
+// fetch simulates the engine reading a slot. It may happen at any time, also
+// after the pin's lease has expired.
 func (h *harness) fetch(home int, p *fakePrompt, i int, pin Pin) {
 	if _, held := h.pins[home][pin.ID]; !held {
 		return
@@ -269,9 +273,9 @@
 		h.reads++
 		h.check("other generation", slot.generation == pin.Source.Copy.Generation)
 		h.check("not committed", slot.phase == Committed)
-		h.check("other content", slot.content == p.truth[i])
+		h.check("other content", slot.content == p.wantContent[i])
 	}
-	h.later(func() { h.managers[home].Unpin(h.now, pin.ID, failure) })
+	h.queue(func() { h.managers[home].Unpin(h.now, pin.ID, failure) })
 }
 
 func (h *harness) adopt(home int) {
@@ -281,10 +285,10 @@
 		return
 	}
 	source := Source{Block: s.slots[i].block, Store: s.name, Incarnation: s.incarnation, Copy: s.state(i)}
-	h.later(func() { h.managers[home].Adopt(h.now, source) })
+	h.queue(func() { h.managers[home].Adopt(h.now, source) })
 }
 
-func (h *harness) disturb() {
+func (h *harness) injectFault() {
 	s := h.stores[h.random.IntN(len(h.stores))]
 	switch h.random.IntN(48) {
 	case 0, 6:
@@ -321,12 +325,12 @@
 	}
 }
 
-// A caller must never get an answer that was built on another team's, another
-// version's, a freed or a half-written block. Answers of stores and engines
-// come late, twice, crossed or never, stores restart empty or with old slots,
-// two homes write and free at once; the store's generation and the manager's
-// phases must hold whatever the order.
-func TestNoForeignOrPartialBlockIsRead(t *testing.T) {
+// A caller must never get an answer computed from a block of another team or
+// version, or from a freed or incomplete block. Answers of stores and engines
+// arrive late, twice, out of order or never, stores restart empty or with old
+// slots, and two homes write and free concurrently. The store's generations and
+// the manager's phases must prevent wrong reads in any order.
+func TestNoWrongOrPartialBlockIsRead(t *testing.T) {
 	t.Parallel()
 	const seeds = 6
 	total := harness{}
@@ -349,14 +353,14 @@
 		"commits": total.commits, "reads": total.reads, "frees": total.frees, "refusals": total.refused,
 	} {
 		if count < total.decisions/1000 {
-			t.Errorf("only %d %s in %d decisions: the harness tests little", count, name, total.decisions)
+			t.Errorf("only %d %s in %d decisions: the harness covers too little", count, name, total.decisions)
 		}
 	}
 }
 
-// The harness above is only worth its pass if it fails without a safeguard.
-// Each case leaves one out and must be seen.
-func TestHarnessCatchesSeededFaults(t *testing.T) {
+// The harness is meaningful only if it fails when a safeguard is missing. Each
+// case disables one safeguard, and the harness must report the violation.
+func TestHarnessDetectsSeededFaults(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name  string
@@ -375,7 +379,7 @@
 			h := newHarness(t, 1, c.fault)
 			h.run(t, 20_000)
 			if h.violations[c.want] == 0 {
-				t.Fatalf("not seen: violations %v", h.violations)
+				t.Fatalf("fault not detected: violations %v", h.violations)
 			}
 		})
 	}
--- a/keep/invariants_test.go
+++ b/keep/invariants_test.go
@@ -6,7 +6,8 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// checkManager recomputes every count and index of a manager.
+// checkManager recomputes all counts and indexes of a manager and compares
+// them.
 func checkManager(t testing.TB, m *Manager) {
 	t.Helper()
 	checkCopies(t, m)
@@ -22,13 +23,13 @@
 		tiers   [prefix.TierCount]int64
 	}
 	byStore := make(map[*storeHost]*sums)
-	byTeam := make(map[*teamUse][prefix.TierCount]int64)
+	byTeam := make(map[*teamState][prefix.TierCount]int64)
 	for block, c := range m.copies {
 		if c.block != block || m.byID[c.id] != c || c.phase == Absent || m.stores[c.store.status.Store] != c.store {
-			t.Fatalf("copy %+v is broken", c)
+			t.Fatalf("copy %+v is inconsistent with the indexes", c)
 		}
 		tier := c.copy.Tier
-		if c.store.tiers[tier].copies[c.inTier] != c || c.team.tiers[tier].copies[c.inTeam] != c || m.teams[c.team.team] != c.team {
+		if c.store.tiers[tier].copies[c.tierIndex] != c || c.team.tiers[tier].copies[c.teamIndex] != c || m.teams[c.team.team] != c.team {
 			t.Fatalf("copy %+v is not in its lists", c)
 		}
 		s := byStore[c.store]
@@ -66,14 +67,14 @@
 		}
 	}
 	if len(m.byID) != len(m.copies) || len(m.storeList) != len(m.stores) {
-		t.Fatalf("%d copies, %d by id; %d stores, %d listed", len(m.copies), len(m.byID), len(m.stores), len(m.storeList))
+		t.Fatalf("%d copies, %d by ID; %d stores, %d in the list", len(m.copies), len(m.byID), len(m.stores), len(m.storeList))
 	}
 }
 
 func checkPrompts(t testing.TB, m *Manager) {
 	t.Helper()
 	count, waiting := 0, 0
-	teamPrompts := make(map[*teamUse]int)
+	teamPrompts := make(map[*teamState]int)
 	users := make(map[prefix.BlockID]uint32)
 	for p := m.prompts.newest; p != nil; p = p.older {
 		count++
@@ -81,31 +82,31 @@
 		copies := 0
 		for _, block := range p.blocks {
 			users[block]++
-			if m.prompts.of(block) == p && m.copies[block] != nil {
+			if m.prompts.ownerOf(block) == p && m.copies[block] != nil {
 				copies++
 			}
 		}
-		if copies != p.copies || !p.used || m.ages[p.inAges] != p {
-			t.Fatalf("prompt %+v has %d copies", p, copies)
+		if copies != p.copies || !p.tracked || m.ages[p.ageIndex] != p {
+			t.Fatalf("prompt %+v is inconsistent; it has %d copies", p, copies)
 		}
 		if p.waiting >= 0 {
 			waiting++
 			if m.waiting[p.waiting] != p {
-				t.Fatalf("prompt %+v is not in the waiting list", p)
+				t.Fatalf("prompt %+v is not at its index in the waiting list", p)
 			}
 		}
 	}
 	if count != m.prompts.count || waiting != len(m.waiting) || count != len(m.ages) {
-		t.Fatalf("%d prompts of %d, %d waiting of %d", count, m.prompts.count, waiting, len(m.waiting))
+		t.Fatalf("%d prompts, %d recorded; %d waiting, %d listed", count, m.prompts.count, waiting, len(m.waiting))
 	}
 	for block, use := range m.prompts.byBlock {
-		if use.owner != nil && !use.owner.used || use.users != users[block] {
+		if use.owner != nil && !use.owner.tracked || use.users != users[block] {
 			t.Fatalf("block %v counts %d users, want %d; owner %+v", block, use.users, users[block], use.owner)
 		}
 	}
-	for last, p := range m.prompts.byLast {
-		if !p.used || p.blocks[len(p.blocks)-1] != last {
-			t.Fatalf("block %v is not the last of %+v", last, p)
+	for last, p := range m.prompts.byLastBlock {
+		if !p.tracked || p.blocks[len(p.blocks)-1] != last {
+			t.Fatalf("block %v is not the last block of %+v", last, p)
 		}
 	}
 	for name, team := range m.teams {
@@ -133,7 +134,7 @@
 			t.Fatalf("store %q counts %d bytes read, want %d", s.status.Store, s.reading, reading[s])
 		}
 	}
-	if len(m.pins) > m.opts.MaxPins || len(m.pinQueue) > 2*m.opts.MaxPins || len(m.lingering) > len(m.pinQueue) {
-		t.Fatalf("%d pins, %d queued, %d lingering", len(m.pins), len(m.pinQueue), len(m.lingering))
+	if len(m.pins) > m.opts.MaxPins || len(m.pinQueue) > 2*m.opts.MaxPins || len(m.orphanedPins) > len(m.pinQueue) {
+		t.Fatalf("limits exceeded: %d pins, %d queued, %d orphaned", len(m.pins), len(m.pinQueue), len(m.orphanedPins))
 	}
 }
--- a/keep/learning_test.go
+++ b/keep/learning_test.go
@@ -8,7 +8,8 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// train lets prompts of a class return after a gap, again and again.
+// train runs a number of rounds in which the prompts of a class return after a
+// gap. It returns the time at which they end.
 func train(m *Manager, class ident.Class, team ident.Team, first, prompts, rounds int, gap func(i int) time.Duration) time.Time {
 	random := testRandom()
 	next := make([]time.Time, prompts)
@@ -31,10 +32,10 @@
 	return end
 }
 
-// Prompts of one class return in minutes, of another almost never. When room
-// is short the second must go, and a team not seen before is judged by its
-// class until it has a record of its own.
-func TestWorthIsLearnedByClassAndTeam(t *testing.T) {
+// Prompts of one class return within minutes, those of another almost never.
+// When capacity is short the second class must be evicted first, and an unknown
+// team is judged by its class until it has a record of its own.
+func TestValueIsLearnedByClassAndTeam(t *testing.T) {
 	m := testManager(t, Options{})
 	now := train(m, "often", "a", 0, 10, 30, func(int) time.Duration { return 3 * time.Minute })
 	for i := range 300 {
@@ -44,22 +45,23 @@
 		m.Used(now, use)
 		m.Plan(now, testRandom())
 	}
-	index := func(team ident.Team, class ident.Class) float64 {
-		return m.learner.levels(gapKey{team: team, class: class}).index(time.Minute, 0)
+	gittinsIndex := func(team ident.Team, class ident.Class) float64 {
+		return m.learner.levels(gapKey{team: team, class: class}).gittinsIndex(time.Minute, 0)
 	}
-	if index("a", "often") < 5*index("a", "once") {
-		t.Errorf("worth %v for returns in minutes, %v for none", index("a", "often"), index("a", "once"))
+	if gittinsIndex("a", "often") < 5*gittinsIndex("a", "once") {
+		t.Errorf("index %v for returns within minutes, %v for almost none", gittinsIndex("a", "often"), gittinsIndex("a", "once"))
 	}
-	if index("new", "often") < 5*index("new", "once") {
-		t.Errorf("for a new team: worth %v for returns in minutes, %v for none", index("new", "often"), index("new", "once"))
+	if gittinsIndex("new", "often") < 5*gittinsIndex("new", "once") {
+		t.Errorf("new team: index %v for returns within minutes, %v for almost none", gittinsIndex("new", "often"), gittinsIndex("new", "once"))
 	}
-	if middle := index("a", "new"); middle <= index("a", "once") || middle >= index("a", "often") {
-		t.Errorf("a new class is worth %v, not between the known ones", middle)
+	if middle := gittinsIndex("a", "new"); middle <= gittinsIndex("a", "once") || middle >= gittinsIndex("a", "often") {
+		t.Errorf("a new class has index %v, want one between those of the known classes", middle)
 	}
 }
 
-// A change of habit must show: a class that returned in minutes stops to.
-func TestRecordFades(t *testing.T) {
+// A change of behaviour must show in the record: a class that returned within
+// minutes stops returning.
+func TestGapRecordDecays(t *testing.T) {
 	m := testManager(t, Options{})
 	key := gapKey{team: "a", class: "c"}
 	for range 5000 {
@@ -76,11 +78,11 @@
 	}
 }
 
-// Schemas return every 90 minutes and have left the runner by then. Fetched
-// just before, the first token comes without waiting for the link; fetched for
-// prompts without a pattern, the link and the runner's room are wasted; over a
-// busy link, callers would wait for it.
-func TestPrefetchWhereTheRecordSupportsIt(t *testing.T) {
+// Schemas return every 90 minutes, when the runner has evicted them. A prefetch
+// shortly before avoids the wait for the link at the first token. A prefetch of
+// prompts without a pattern wastes link and runner capacity, and one over a
+// busy link makes callers wait.
+func TestPrefetchNeedsRegularGapsAndAnIdleLink(t *testing.T) {
 	run := func(linkBusy float64, gap func(i int) time.Duration) (fetched int, early time.Duration) {
 		p := newTestPlanner(t, Options{})
 		p.m.StoreSeen(p.now, testStatus("s1", 1))
@@ -111,7 +113,7 @@
 	regular := func(int) time.Duration { return 90 * time.Minute }
 	fetched, at := run(0, regular)
 	if fetched != 1 || at > 90*time.Minute || at < 45*time.Minute {
-		t.Errorf("regular gaps of 90 minutes: %d prefetches, at %v", fetched, at)
+		t.Errorf("regular gaps of 90 minutes: %d prefetches, the last after %v", fetched, at)
 	}
 	if fetched, _ = run(busyLink, regular); fetched != 0 {
 		t.Errorf("regular gaps over a busy link: %d prefetches", fetched)
@@ -122,10 +124,11 @@
 	}
 }
 
-// A lot is on sale every 20 minutes, give or take some seconds, and other work
-// touches its history in between. The buyers' first question must find it on a
-// runner: fetched much earlier it is evicted again, fetched later they wait.
-func TestPrefetchFollowsTheCycleOfAClass(t *testing.T) {
+// A prompt is used in bursts every 20 minutes, give or take a few seconds, with
+// unrelated uses in between. The first request of a burst must find the prompt
+// on a runner: prefetched much earlier it is evicted again, prefetched later
+// the callers wait.
+func TestPrefetchFollowsAClassCycle(t *testing.T) {
 	p := newTestPlanner(t, Options{Residency: 100 * time.Second})
 	p.m.StoreSeen(p.now, testStatus("s1", 1))
 	random := testRandom()
@@ -153,11 +156,11 @@
 		}
 	}
 	if len(leads) != 2 {
-		t.Fatalf("%d prefetches, want one before the fourth and the fifth sale", len(leads))
+		t.Fatalf("%d prefetches, want one each before the fourth and the fifth burst", len(leads))
 	}
 	for _, lead := range leads {
 		if lead < 2*time.Second || lead > 40*time.Second {
-			t.Errorf("fetched %v before the sale", lead)
+			t.Errorf("prefetched %v before the burst, want 2s to 40s", lead)
 		}
 	}
 }
--- a/keep/manager_test.go
+++ b/keep/manager_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// testBlocks makes the chain of one prompt.
+// testBlocks returns the block chain of one prompt.
 func testBlocks(prompt, count int) []prefix.BlockID {
 	blocks := make([]prefix.BlockID, count)
 	for i := range blocks {
@@ -59,7 +59,8 @@
 	}
 }
 
-// writeAll carries the exports of a plan through to committed.
+// writeAll completes the writes of a plan's exports and returns the number of
+// committed blocks.
 func writeAll(t testing.TB, m *Manager, now time.Time, plan Plan) int {
 	t.Helper()
 	count := 0
@@ -68,14 +69,14 @@
 			slot := prefix.Copy{Slot: "s", Generation: uint64(100 + i), Bytes: planned.Bytes, Tier: export.Tier}
 			granted := Reservation{Granted: true, Incarnation: export.StoreIncarnation, Copy: slot}
 			if m.Reserved(now, planned.ID, granted) != Write {
-				t.Fatalf("reservation of a planned block was not written")
+				t.Fatalf("a granted reservation was not followed by a write")
 			}
 			slot.Checksum = 42
 			if m.Written(now, planned.ID, planned.Bytes, slot.Checksum) != Commit {
-				t.Fatalf("written block was not committed")
+				t.Fatalf("a written block was not followed by a commit")
 			}
 			if !m.Committed(now, planned.ID, slot) {
-				t.Fatalf("committed block is not readable")
+				t.Fatalf("a commit was not accepted")
 			}
 			count++
 		}
@@ -102,12 +103,12 @@
 	}
 }
 
-// The same prompt comes back longer, a little shorter, much shorter, or with
-// another end; another prompt begins alike. A return that is taken for a new
-// prompt hides the gap and doubles the record, a new prompt taken for a return
-// ends the life of the one that it replaces.
+// A prompt returns longer, slightly shorter, much shorter, or with another
+// tail; a different prompt has the same beginning. Taking a return for a new
+// prompt loses the gap and tracks the prompt twice; taking a new prompt for a
+// return discards the one that it replaces.
 func TestReturningPrompts(t *testing.T) {
-	type use struct{ end, blocks int }
+	type use struct{ tail, blocks int }
 	cases := []struct {
 		name string
 		uses []use
@@ -117,15 +118,15 @@
 		{"longer", []use{{1, 8}, {1, 9}, {1, 16}}, 1},
 		{"much longer", []use{{1, 8}, {1, 30}}, 2},
 		{"a little shorter", []use{{1, 8}, {1, 7}, {1, 8}}, 1},
-		{"much shorter, again and again", []use{{1, 8}, {1, 3}, {1, 8}, {1, 3}, {1, 9}, {1, 4}}, 2},
-		{"other end", []use{{1, 8}, {2, 8}}, 1},
+		{"much shorter, repeatedly", []use{{1, 8}, {1, 3}, {1, 8}, {1, 3}, {1, 9}, {1, 4}}, 2},
+		{"another tail", []use{{1, 8}, {2, 8}}, 1},
 		{"common beginning", []use{{1, 30}, {2, 30}}, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := testManager(t, Options{})
 			for i, u := range c.uses {
-				one := testUse("a", u.end, u.blocks)
+				one := testUse("a", u.tail, u.blocks)
 				copy(one.Blocks[:min(6, u.blocks)], testBlocks(0, 6))
 				m.Used(epoch.Add(time.Duration(i)*time.Minute), one)
 				checkManager(t, m)
@@ -138,8 +139,8 @@
 }
 
 // A prompt that returns often shares its beginning with one that is used once.
-// The one-off must not take the value of the shared blocks down with it.
-func TestSharedBlocksKeepTheGreaterWorth(t *testing.T) {
+// The prompt used once must not lower the value of the shared blocks.
+func TestSharedBlocksKeepTheMoreValuableOwner(t *testing.T) {
 	m := testManager(t, Options{})
 	now := train(m, "often", "a", 0, 10, 30, func(int) time.Duration { return 3 * time.Minute })
 	for i := range 100 {
@@ -154,14 +155,14 @@
 	once.Class = "once"
 	copy(once.Blocks, often.Blocks)
 	m.Used(now, once)
-	if owner := m.prompts.of(often.Blocks[0]); owner == nil || owner.key.class != "often" {
-		t.Fatalf("the shared block is valued by class %q", owner.key.class)
+	if owner := m.prompts.ownerOf(often.Blocks[0]); owner == nil || owner.key.class != "often" {
+		t.Fatalf("the shared block is owned by class %q, want often", owner.key.class)
 	}
-	m.forget(now, m.prompts.of(often.Blocks[0]))
+	m.forget(now, m.prompts.ownerOf(often.Blocks[0]))
 	checkManager(t, m)
 	m.Used(now, once)
-	if owner := m.prompts.of(often.Blocks[0]); owner == nil || owner.key.class != "once" {
-		t.Fatalf("the block left behind is valued by %v", owner)
+	if owner := m.prompts.ownerOf(often.Blocks[0]); owner == nil || owner.key.class != "once" {
+		t.Fatalf("the remaining block is owned by %v, want class once", owner)
 	}
 }
 
@@ -173,6 +174,6 @@
 		t.Errorf("stores %+v", stores)
 	}
 	if len(teams) != 1 || teams[0].Team != "a" || teams[0].Prompts != 1 {
-		t.Errorf("teams %+v, want the one that holds most", teams)
+		t.Errorf("teams %+v, want only the one that holds the most", teams)
 	}
 }
--- a/keep/model_test.go
+++ b/keep/model_test.go
@@ -13,43 +13,43 @@
 )
 
 // Sizes of the model: one runner whose cache holds a tenth of the prompts, one
-// store host that holds a quarter, and a link that cannot move everything.
+// store host that holds a quarter, and a link too slow to move all of them.
 const (
-	modelBlocks     = 10 // of one prompt
-	modelRunnerRoom = 40 // prompts
-	modelStoreRoom  = 100
-	modelLength     = 12 * time.Hour
-	modelWarmUp     = 4 * time.Hour
-	modelPlanEvery  = time.Second
+	modelBlocks         = 10 // blocks of one prompt
+	modelRunnerCapacity = 40 // prompts
+	modelStoreCapacity  = 100
+	modelLength         = 12 * time.Hour
+	modelWarmUp         = 4 * time.Hour
+	modelPlanEvery      = time.Second
 )
 
-// modelKind is a kind of prompt.
+// modelKind describes one kind of prompt.
 type modelKind struct {
-	class  ident.Class
-	team   ident.Team
-	count  int
-	median time.Duration // of the gaps
-	spread float64       // of the logarithm of the gaps
-	ends   float64       // chance that a use is the last; a new prompt follows
+	class     ident.Class
+	team      ident.Team
+	count     int
+	median    time.Duration // median gap
+	spread    float64       // standard deviation of the gap's logarithm
+	endChance float64       // probability that a use is the last; a new prompt follows
 }
 
-// modelWorkloads are two mixes: many short gaps beside prompts used once, and
-// long regular gaps beside a night batch that is used once.
+// modelWorkloads are two mixes: many short gaps with some prompts used once,
+// and long regular gaps with a night batch that is used once.
 var modelWorkloads = map[string][]modelKind{
 	"auction": {
 		{class: "clock", team: "buyers", count: 120, median: 6 * time.Minute, spread: 0.8},
 		{class: "history", team: "growers", count: 120, median: 2 * time.Hour, spread: 0.1},
-		{class: "review", team: "audit", count: 60, median: 20 * time.Minute, spread: 1, ends: 0.7},
-		{class: "draft", team: "desk", count: 100, median: 10 * time.Minute, spread: 0.5, ends: 0.9},
+		{class: "review", team: "audit", count: 60, median: 20 * time.Minute, spread: 1, endChance: 0.7},
+		{class: "draft", team: "desk", count: 100, median: 10 * time.Minute, spread: 0.5, endChance: 0.9},
 	},
 	"ledger": {
 		{class: "schema", team: "desk", count: 150, median: 3 * time.Hour, spread: 0.2},
 		{class: "clerk", team: "clerks", count: 30, median: 15 * time.Minute, spread: 0.6},
-		{class: "batch", team: "night", count: 40, median: 20 * time.Minute, spread: 0.5, ends: 0.97},
+		{class: "batch", team: "night", count: 40, median: 20 * time.Minute, spread: 0.5, endChance: 0.97},
 	},
 }
 
-// modelPrompt is one prompt of the model and when it is used next.
+// modelPrompt is one prompt of the model, with the time of its next use.
 type modelPrompt struct {
 	kind   *modelKind
 	number int
@@ -71,27 +71,27 @@
 	return p
 }
 
-// model drives a manager over a workload in virtual time.
+// model runs a manager over a workload in virtual time.
 type model struct {
-	t       testing.TB
-	manager *Manager
-	random  *rand.Rand
-	now     time.Time
-	queue   modelQueue
-	byBlock map[prefix.BlockID]*modelPrompt
-	cache   []*modelPrompt // of the runner, least recently used first
-	numbers int
-	link    int64     // bytes a second
-	from    time.Time // start of what is counted
+	t                  testing.TB
+	manager            *Manager
+	random             *rand.Rand
+	now                time.Time
+	queue              modelQueue
+	byBlock            map[prefix.BlockID]*modelPrompt
+	cache              []*modelPrompt // prompts cached by the runner, least recently used first
+	lastNumber         int
+	linkBytesPerSecond int64
+	countFrom          time.Time // uses are counted from this time on
 
 	uses, recomputed, fetched int
 	exported                  int64
 }
 
-// policies are the ways of valuing a prompt that the benchmark compares.
+// policies are the ways of valuing a prompt that BenchmarkPolicies compares.
 var policies = []struct {
-	name string
-	rate func(m *model) func(p *prompt, age time.Duration) float64
+	name       string
+	returnRate func(m *model) func(p *prompt, age time.Duration) float64
 }{
 	{"learned", nil},
 	{"least recently used", func(*model) func(*prompt, time.Duration) float64 {
@@ -114,41 +114,41 @@
 	}},
 }
 
-func newModel(t testing.TB, workload string, policy int, link int64, seed uint64) *model {
+func newModel(t testing.TB, workload string, policy int, linkBytesPerSecond int64, seed uint64) *model {
 	m := &model{
-		t:       t,
-		random:  rand.New(rand.NewPCG(seed, 7)),
-		now:     epoch,
-		byBlock: make(map[prefix.BlockID]*modelPrompt),
-		link:    link,
-		from:    epoch.Add(modelWarmUp),
+		t:                  t,
+		random:             rand.New(rand.NewPCG(seed, 7)),
+		now:                epoch,
+		byBlock:            make(map[prefix.BlockID]*modelPrompt),
+		linkBytesPerSecond: linkBytesPerSecond,
+		countFrom:          epoch.Add(modelWarmUp),
 	}
 	m.manager = testManager(t, Options{TeamGuaranteed: 1e-9, TeamMaximum: 1, LinkMaximum: 1})
-	if rate := policies[policy].rate; rate != nil {
-		m.manager.rate = rate(m)
+	if returnRate := policies[policy].returnRate; returnRate != nil {
+		m.manager.returnRate = returnRate(m)
 	}
 	kinds := modelWorkloads[workload]
 	for i := range kinds {
 		for range kinds[i].count {
-			p := m.fresh(&kinds[i])
+			p := m.newPrompt(&kinds[i])
 			p.next = epoch.Add(time.Duration(m.random.Float64() * float64(p.kind.median)))
 			heap.Push(&m.queue, p)
 		}
 	}
-	m.tellStore("s1", modelStoreRoom)
+	m.reportStore("s1", modelStoreCapacity)
 	return m
 }
 
-func (m *model) tellStore(name ident.Upstream, prompts int64) {
+func (m *model) reportStore(name ident.Upstream, prompts int64) {
 	status := testStatus(name, 1)
 	status.Capacity = [prefix.TierCount]int64{prompts * modelBlocks * testBytes, 0}
-	status.LinkBytesPerSecond = m.link
+	status.LinkBytesPerSecond = m.linkBytesPerSecond
 	m.manager.StoreSeen(m.now, status)
 }
 
-func (m *model) fresh(kind *modelKind) *modelPrompt {
-	m.numbers++
-	p := &modelPrompt{kind: kind, number: m.numbers}
+func (m *model) newPrompt(kind *modelKind) *modelPrompt {
+	m.lastNumber++
+	p := &modelPrompt{kind: kind, number: m.lastNumber}
 	m.byBlock[testBlocks(p.number, 1)[0]] = p
 	return p
 }
@@ -165,7 +165,7 @@
 
 func (m *model) use(p *modelPrompt) {
 	blocks := testBlocks(p.number, modelBlocks)
-	if !m.now.Before(m.from) {
+	if !m.now.Before(m.countFrom) {
 		m.uses += modelBlocks
 		if !p.cached {
 			readable := m.manager.Readable(blocks, 0)
@@ -176,9 +176,9 @@
 	m.insert(p)
 	use := testUse(p.kind.team, p.number, modelBlocks)
 	use.Class = p.kind.class
-	if m.random.Float64() < p.kind.ends {
+	if m.random.Float64() < p.kind.endChance {
 		delete(m.byBlock, blocks[0])
-		p = m.fresh(p.kind)
+		p = m.newPrompt(p.kind)
 	}
 	gap := float64(p.kind.median) * math.Exp(p.kind.spread*m.random.NormFloat64())
 	p.next = m.now.Add(time.Duration(gap))
@@ -186,7 +186,8 @@
 	m.manager.Used(m.now, use)
 }
 
-// insert puts a prompt into the runner's cache and tells what falls out.
+// insert adds a prompt to the runner's cache and reports the evicted blocks to
+// the manager.
 func (m *model) insert(p *modelPrompt) {
 	for i, other := range m.cache {
 		if other == p {
@@ -196,7 +197,7 @@
 	}
 	p.cached = true
 	m.cache = append(m.cache, p)
-	if len(m.cache) <= modelRunnerRoom {
+	if len(m.cache) <= modelRunnerCapacity {
 		return
 	}
 	out := m.cache[0]
@@ -220,37 +221,37 @@
 	}
 }
 
-func (m *model) share() float64 { return float64(m.recomputed) / float64(m.uses) }
+func (m *model) recomputedShare() float64 { return float64(m.recomputed) / float64(m.uses) }
 
-// One of two store hosts dies. From five seconds on callers must find what the
-// other can hold: within a tenth of the share that is recomputed when the dead
-// one was never there.
-func TestBackToTheBestAfterAStoreDies(t *testing.T) {
+// One of two store hosts is lost. From five seconds later on, callers must find
+// what the other host can hold: the recomputed share may be at most a tenth
+// higher than without the lost host from the start.
+func TestRecomputedShareRecoversAfterAStoreIsLost(t *testing.T) {
 	t.Parallel()
-	const death, length = time.Hour, 100 * time.Minute
-	const room = 60
-	share := func(both bool) float64 {
+	const lossAfter, length = time.Hour, 100 * time.Minute
+	const capacity = 60
+	recomputedShare := func(both bool) float64 {
 		m := newModel(t, "auction", 0, modelBlocks*testBytes, 3)
-		m.from = epoch.Add(death + 5*time.Second)
-		m.tellStore("s1", room)
+		m.countFrom = epoch.Add(lossAfter + 5*time.Second)
+		m.reportStore("s1", capacity)
 		if both {
-			m.tellStore("s2", room)
+			m.reportStore("s2", capacity)
 		}
-		m.run(epoch.Add(death))
+		m.run(epoch.Add(lossAfter))
 		m.manager.StoreGone("s2", 1)
 		m.run(epoch.Add(length))
-		return m.share()
+		return m.recomputedShare()
 	}
-	best, after := share(false), share(true)
-	t.Logf("recomputed %.3f after the death, %.3f without the host", after, best)
+	best, after := recomputedShare(false), recomputedShare(true)
+	t.Logf("recomputed share %.3f after the loss, %.3f without the lost host", after, best)
 	if after > 1.1*best {
-		t.Fatalf("recomputed %.3f after the death, %.3f if it was never there", after, best)
+		t.Fatalf("recomputed share %.3f after the loss, want at most a tenth more than %.3f", after, best)
 	}
 }
 
 // BenchmarkPolicies compares ways of valuing a prompt by the share of prompt
 // blocks recomputed, over a link that moves one prompt in two seconds and one
-// five times slower.
+// that is five times slower.
 func BenchmarkPolicies(b *testing.B) {
 	const prompt = modelBlocks * testBytes
 	for _, workload := range []string{"auction", "ledger"} {
@@ -260,7 +261,7 @@
 					for range b.N {
 						m := newModel(b, workload, i, link, 1)
 						m.run(epoch.Add(modelLength))
-						b.ReportMetric(100*m.share(), "recomputed-%")
+						b.ReportMetric(100*m.recomputedShare(), "recomputed-%")
 						b.ReportMetric(float64(m.exported)/float64(link)/modelLength.Seconds()*100, "link-%")
 					}
 				})
--- a/keep/options.go
+++ b/keep/options.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// Options are the bounds, budgets and times of a manager. Zero fields take the
-// defaults.
+// Options are the limits, budgets and times of a manager. Zero fields take the
+// default values.
 type Options struct {
 	MaxPrompts int
 	MaxBlocks  int
 	MaxCopies  int
 	MaxPins    int
 	MaxStores  int
-	MaxRecords int // records of gaps, one for each team and class
-	// Share is this process's part of each store's room and link, for
-	// example one over the number of entry processes that are homes.
+	MaxRecords int // gap records, one for each team and class
+	// Share is this process's share of each store's capacity and link, for
+	// example one divided by the number of entry processes that are homes.
 	Share float64
 	// TeamGuaranteed is the share of a tier that all teams together are
-	// guaranteed, split evenly over the teams present; TeamCeiling is the
-	// most that one team may hold of a tier.
+	// guaranteed, split evenly over the teams present. TeamMaximum is the
+	// maximum share of a tier for one team.
 	TeamGuaranteed float64
 	TeamMaximum    float64
-	// LinkShare is the part of a link that exports may use, LinkCeiling the
-	// most that one team may take of that while others wait.
+	// LinkShare is the share of a link that exports may use. LinkMaximum is the
+	// maximum part of LinkShare for one team while others wait.
 	LinkShare   float64
 	LinkMaximum float64
-	// WriteTimeout bounds each step of a write, PinLease the time a reader
-	// has.
+	// WriteTimeout is the time limit of each step of a write. PinLease is the
+	// lease of a reader's pin.
 	WriteTimeout time.Duration
 	PinLease     time.Duration
-	// IdleDelay is how long a prompt rests before it is exported over an idle
-	// link; a prompt that comes back sooner finds its blocks on the engine.
+	// IdleDelay is how long a prompt must be unused before it is exported over
+	// an idle link; a prompt that returns sooner finds its blocks on the
+	// engine.
 	IdleDelay time.Duration
-	// Residency is how long an engine is expected to hold an unused block
-	// before anything is known about it.
+	// Residency is the initial estimate of how long an engine holds an unused
+	// block.
 	Residency time.Duration
-	// Retry is the pause after a failure.
+	// Retry is the delay after a failure.
 	Retry time.Duration
-	// PrefetchChance is the least chance of return that is worth a prefetch.
+	// PrefetchChance is the minimum probability of a return for a prefetch.
 	PrefetchChance float64
 }
 
@@ -83,7 +84,7 @@
 	return o
 }
 
-// setDefault fills a field that has its zero value.
+// setDefault assigns value to a field that is zero.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -91,7 +92,7 @@
 	}
 }
 
-// Validate reports the first field out of range.
+// Validate returns an error for the first field that is out of range.
 func (o Options) Validate() error {
 	counts := []struct {
 		name  string
@@ -114,10 +115,10 @@
 		value float64
 	}{
 		{"share", o.Share},
-		{"team floor", o.TeamGuaranteed},
-		{"team ceiling", o.TeamMaximum},
+		{"team guaranteed share", o.TeamGuaranteed},
+		{"team maximum share", o.TeamMaximum},
 		{"link share", o.LinkShare},
-		{"link ceiling", o.LinkMaximum},
+		{"link maximum share", o.LinkMaximum},
 		{"prefetch chance", o.PrefetchChance},
 	}
 	for _, s := range shares {
--- a/keep/pin.go
+++ b/keep/pin.go
@@ -6,23 +6,24 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// heldPin is one reader's pin. The copy's identity tells whether it is still
-// the copy that was pinned.
-type heldPin struct {
+// activePin is one reader's pin on a copy. The pointer identifies the copy that
+// was pinned, which may have been dropped or replaced since.
+type activePin struct {
 	copy    *keptCopy
 	expires time.Time
 }
 
-// expiringPin is a pin in order of expiry; all have the same lease.
-type expiringPin struct {
+// pinExpiry is an entry of the pin queue, which is ordered by expiry because
+// all pins have the same lease.
+type pinExpiry struct {
 	id      PinID
 	block   prefix.BlockID
 	expires time.Time
 }
 
-// Pin gives a reader the committed copy of a block under a lease. It returns
-// false when there is none that may be read or too many pins are held. scope
-// is that of the reader's prompt.
+// Pin pins the committed copy of a block for a reader under a lease. It returns
+// false if no copy is readable, the scope doesn't match or MaxPins is reached.
+// scope is the scope of the reader's prompt.
 func (m *Manager) Pin(now time.Time, scope prefix.Scope, block prefix.BlockID) (Pin, bool) {
 	m.expirePins(now)
 	c := m.copies[block]
@@ -30,10 +31,10 @@
 		m.stats.Unreadable++
 		return Pin{}, false
 	}
-	// The name of a block contains its scope, so a mismatch means that a name
-	// was made wrongly. The reader then recomputes instead of reading what
-	// belongs to another team or version.
-	if p := m.prompts.of(block); p != nil && p.scope != scope {
+	// A block ID contains its scope, so a mismatch means that an ID was
+	// computed incorrectly. The reader then recomputes instead of reading data
+	// of another team or version.
+	if p := m.prompts.ownerOf(block); p != nil && p.scope != scope {
 		m.stats.ScopeMismatches++
 		return Pin{}, false
 	}
@@ -41,22 +42,22 @@
 		return Pin{}, false
 	}
 	m.compactPinQueue()
-	m.lastPin++
+	m.lastPinID++
 	pin := Pin{
-		ID:      m.lastPin,
+		ID:      m.lastPinID,
 		Source:  c.source(),
 		Expires: now.Add(m.opts.PinLease),
 	}
 	c.pins++
 	c.pinnedUntil = pin.Expires
 	c.store.reading += c.bytes()
-	m.pins[pin.ID] = heldPin{copy: c, expires: pin.Expires}
-	m.pinQueue = append(m.pinQueue, expiringPin{id: pin.ID, block: block, expires: pin.Expires})
+	m.pins[pin.ID] = activePin{copy: c, expires: pin.Expires}
+	m.pinQueue = append(m.pinQueue, pinExpiry{id: pin.ID, block: block, expires: pin.Expires})
 	return pin, true
 }
 
-// Source describes the committed copy of a block without pinning it, for a
-// prediction. A reader must pin.
+// Source returns the committed copy of a block without pinning it, for
+// predictions. Readers must pin.
 func (m *Manager) Source(block prefix.BlockID) (Source, bool) {
 	c := m.copies[block]
 	if c == nil || !c.readable() {
@@ -65,8 +66,8 @@
 	return c.source(), true
 }
 
-// Readable is how many blocks from position from on have a committed copy
-// without a hole.
+// Readable returns the number of consecutive blocks with a committed copy,
+// starting at position from.
 func (m *Manager) Readable(blocks []prefix.BlockID, from int) int {
 	count := 0
 	for i := max(from, 0); i < len(blocks); i++ {
@@ -88,8 +89,8 @@
 	}
 }
 
-// Unpin ends a reader's pin. A failure of zero means that it read the block;
-// FailedVerify means that the copy was not what was asked for, and drops it.
+// Unpin ends a reader's pin. A zero failure means that the block was read.
+// FailedVerify means that the copy was not the one requested; it is dropped.
 func (m *Manager) Unpin(now time.Time, id PinID, failure Failure) {
 	pin, ok := m.pins[id]
 	if !ok {
@@ -101,7 +102,7 @@
 	switch failure {
 	case FailedStore:
 		m.stats.StoreFailures++
-		c.store.faults.extend(now, m.opts.Retry)
+		c.store.faultBackoff.extend(now, m.opts.Retry)
 	case FailedVerify:
 		m.stats.VerifyFailures++
 		if c.phase == Committed {
@@ -110,14 +111,14 @@
 	}
 }
 
-func (m *Manager) release(id PinID, pin heldPin) {
+func (m *Manager) release(id PinID, pin activePin) {
 	delete(m.pins, id)
 	pin.copy.pins--
 	pin.copy.store.reading -= pin.copy.bytes()
 }
 
-// compactPinQueue drops the entries of pins that have ended, once there are
-// more of them than pins.
+// compactPinQueue removes the entries of ended pins once the queue reaches
+// twice the maximum number of pins.
 func (m *Manager) compactPinQueue() {
 	if len(m.pinQueue) < 2*m.opts.MaxPins {
 		return
@@ -125,7 +126,7 @@
 	kept := m.pinQueue[:0]
 	for _, queued := range m.pinQueue {
 		_, held := m.pins[queued.id]
-		_, lingers := m.lingering[queued.block]
+		_, lingers := m.orphanedPins[queued.block]
 		if held || lingers {
 			kept = append(kept, queued)
 		}
@@ -133,8 +134,8 @@
 	m.pinQueue = kept
 }
 
-// expirePins ends the pins whose lease has run out, so that a reader that
-// died does not keep a copy for ever.
+// expirePins ends the pins whose lease has expired, so that a reader that
+// crashed does not keep a copy forever.
 func (m *Manager) expirePins(now time.Time) {
 	done := 0
 	for done < len(m.pinQueue) && !now.Before(m.pinQueue[done].expires) {
@@ -142,8 +143,8 @@
 		if pin, ok := m.pins[due.id]; ok {
 			m.release(due.id, pin)
 		}
-		if until, ok := m.lingering[due.block]; ok && !now.Before(until) {
-			delete(m.lingering, due.block)
+		if until, ok := m.orphanedPins[due.block]; ok && !now.Before(until) {
+			delete(m.orphanedPins, due.block)
 		}
 		done++
 	}
--- a/keep/plan.go
+++ b/keep/plan.go
@@ -10,62 +10,64 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// Bounds of one plan and of what is in flight.
+// Limits of one plan and of concurrent writes.
 const (
 	maxExportsPerPlan = 8
-	// maxPlacesPerPlan bounds the search for room where all tiers are full of
-	// what is worth more.
-	maxPlacesPerPlan = 16
-	// MaxExportBlocks bounds the blocks of one export.
+	// maxPlacementsPerPlan bounds the search for capacity when all tiers are
+	// full of more valuable copies.
+	maxPlacementsPerPlan = 16
+	// MaxExportBlocks is the maximum number of blocks in one export.
 	MaxExportBlocks = 64
-	// MaxWrites bounds the copies being written at once.
+	// MaxWrites is the maximum number of copies being written.
 	MaxWrites = 512
-	// exportSample is how many waiting prompts one plan looks at.
-	exportSample = 64
+	// exportSampleSize is the number of waiting prompts that one plan examines.
+	exportSampleSize = 64
 )
 
 // Thresholds of a plan.
 const (
-	// idleLink is the share of a link in use below which it counts as idle.
+	// idleLink is the link utilization below which a link counts as idle.
 	idleLink = 0.5
-	// busyLink is the share above which not even urgent exports are sent.
+	// busyLink is the link utilization from which on no exports are sent, not
+	// even urgent ones.
 	busyLink = 0.9
-	// readAhead is how many seconds of reads may be pinned on a link before it
-	// no longer counts as idle.
-	readAhead = 0.25
-	// urgentShare is the part of the residency after which an export is
-	// urgent.
-	urgentShare = 0.5
-	// lostShare is the part of the residency after which the runner has
-	// evicted the blocks, whether or not its event came.
-	lostShare = 4
-	// fullShare is the part of a tier above which only prompts worth more than
-	// what was freed last are written.
-	fullShare = 0.9
-	// headroom is the part of a tier kept free while prompts wait.
+	// idleReadSeconds is how many seconds of reads may be pinned on a link that
+	// counts as idle.
+	idleReadSeconds = 0.25
+	// urgentResidencyFactor is the fraction of the residency after which an
+	// export is urgent.
+	urgentResidencyFactor = 0.5
+	// lostResidencyFactor is the multiple of the residency after which the
+	// runner is assumed to have evicted the blocks, even without an eviction
+	// event.
+	lostResidencyFactor = 4
+	// nearlyFullShare is the utilization of a tier above which only prompts
+	// more valuable than the last freed copy are written.
+	nearlyFullShare = 0.9
+	// headroom is the fraction of a tier kept free while prompts wait.
 	headroom = 0.02
-	// hysteresis is how much more a prompt must be worth than what makes
-	// room for it, so that two prompts don't replace each other in turn.
+	// hysteresis is the minimum ratio of a prompt's value to that of the copies
+	// freed for it; it keeps two prompts from replacing each other in turn.
 	hysteresis = 1.5
 )
 
-// Plan decides what to do now. Call it about ten times a second.
+// Plan returns the actions to take now. Call it about ten times a second.
 func (m *Manager) Plan(now time.Time, random *rand.Rand) Plan {
 	m.expirePins(now)
 	m.expireWrites(now)
-	plan := Plan{Prefetches: m.agePrompts(now)}
+	plan := Plan{Prefetches: m.advanceAges(now)}
 	plan.Exports = m.planExports(now, random)
-	m.yield(now, random)
+	m.freeExcess(now, random)
 	plan.Frees = m.planFrees(now)
 	return plan
 }
 
-// enqueueExport puts a prompt in the list of those with blocks to export.
-func (m *Manager) enqueueExport(p *prompt) {
-	if p.waiting >= 0 || p.onRunner == 0 || !p.used {
+// addWaiting adds a prompt to the waiting list if it has blocks to export.
+func (m *Manager) addWaiting(p *prompt) {
+	if p.waiting >= 0 || p.blocksOnRunner == 0 || !p.tracked {
 		return
 	}
-	if m.firstMissing(p) >= p.onRunner {
+	if m.firstMissing(p) >= p.blocksOnRunner {
 		return
 	}
 	p.waiting = len(m.waiting)
@@ -73,7 +75,7 @@
 	p.team.waiting++
 }
 
-func (m *Manager) leaveExports(p *prompt) {
+func (m *Manager) removeWaiting(p *prompt) {
 	if p.waiting < 0 {
 		return
 	}
@@ -85,7 +87,8 @@
 	p.team.waiting--
 }
 
-// firstMissing is the position of the first block of a prompt without a copy.
+// firstMissing returns the position of the first block of a prompt without a
+// copy.
 func (m *Manager) firstMissing(p *prompt) int {
 	for i, block := range p.blocks {
 		if m.copies[block] == nil {
@@ -95,31 +98,33 @@
 	return len(p.blocks)
 }
 
-// exportChoice is a prompt that may be exported now.
-type exportChoice struct {
+// exportCandidate is a prompt that may be exported now.
+type exportCandidate struct {
 	prompt *prompt
-	worth  float64
+	value  float64
 	urgent bool
 }
 
-// planExports takes the best of a sample of the waiting prompts. The sample
-// keeps the cost of a plan the same however many wait.
+// planExports plans the exports of the best candidates in a sample of the
+// waiting prompts. Sampling keeps the cost of a plan independent of the number
+// of waiting prompts.
 func (m *Manager) planExports(now time.Time, random *rand.Rand) []Export {
 	var exports []Export
-	choices := m.sampleWaiting(now, random)
-	for _, choice := range choices[:min(maxPlacesPerPlan, len(choices))] {
+	candidates := m.sampleCandidates(now, random)
+	for _, candidate := range candidates[:min(maxPlacementsPerPlan, len(candidates))] {
 		if len(exports) >= maxExportsPerPlan || len(m.writing) >= MaxWrites || len(m.copies) >= m.opts.MaxCopies {
 			break
 		}
-		at := m.placeFor(now, random, choice)
-		if at.store == nil {
-			// A link opens again in a moment, room does not.
-			if at.linkOpen {
-				choice.prompt.retryAt = now.Add(m.opts.IdleDelay)
+		placement := m.placeExport(now, random, candidate)
+		if placement.store == nil {
+			// With the link open, the tiers are full: capacity takes longer to
+			// become available than a link.
+			if placement.linkOpen {
+				candidate.prompt.retryAt = now.Add(m.opts.IdleDelay)
 			}
 			continue
 		}
-		export := m.export(now, choice, at)
+		export := m.export(now, candidate, placement)
 		if len(export.Blocks) > 0 {
 			exports = append(exports, export)
 		}
@@ -127,25 +132,25 @@
 	return exports
 }
 
-// sampleWaiting returns those of a random sample of the waiting prompts that
-// may be exported now, the best first.
-func (m *Manager) sampleWaiting(now time.Time, random *rand.Rand) []exportChoice {
+// sampleCandidates returns the candidates in a random sample of the waiting
+// prompts, best first.
+func (m *Manager) sampleCandidates(now time.Time, random *rand.Rand) []exportCandidate {
 	sample := m.sample[:0]
-	for i := range min(exportSample, len(m.waiting)) {
+	for i := range min(exportSampleSize, len(m.waiting)) {
 		m.swapWaiting(i, i+random.IntN(len(m.waiting)-i))
 		sample = append(sample, m.waiting[i])
 	}
 	m.sample = sample
-	m.choices = m.choices[:0]
+	m.candidates = m.candidates[:0]
 	for _, p := range sample {
-		if choice, ok := m.considerExport(now, p); ok {
-			m.choices = append(m.choices, choice)
+		if candidate, ok := m.exportCandidateFor(now, p); ok {
+			m.candidates = append(m.candidates, candidate)
 		}
 	}
-	slices.SortFunc(m.choices, func(a, b exportChoice) int {
+	slices.SortFunc(m.candidates, func(a, b exportCandidate) int {
 		return cmp.Compare(b.rank(), a.rank())
 	})
-	return m.choices
+	return m.candidates
 }
 
 func (m *Manager) swapWaiting(i, j int) {
@@ -154,100 +159,101 @@
 	m.waiting[j].waiting = j
 }
 
-// urgentWeight is how much more an urgent export ranks: the chance to make it
-// passes, while the others can wait.
+// urgentWeight is the factor by which urgent exports rank higher: their blocks
+// may be evicted soon, while other exports can wait.
 const urgentWeight = 4
 
-func (c exportChoice) rank() float64 {
+func (c exportCandidate) rank() float64 {
 	if c.urgent {
-		return c.worth * urgentWeight
+		return c.value * urgentWeight
 	}
-	return c.worth
+	return c.value
 }
 
-func (m *Manager) considerExport(now time.Time, p *prompt) (exportChoice, bool) {
+func (m *Manager) exportCandidateFor(now time.Time, p *prompt) (exportCandidate, bool) {
 	residency := m.residency(p)
 	age := now.Sub(p.lastUse)
-	if residency == 0 || age > lostShare*residency || p.onRunner == 0 {
-		m.leaveExports(p)
-		return exportChoice{}, false
+	if residency == 0 || age > lostResidencyFactor*residency || p.blocksOnRunner == 0 {
+		m.removeWaiting(p)
+		return exportCandidate{}, false
 	}
-	if now.Before(p.retryAt) || m.overLinkCeiling(now, p.team) {
-		return exportChoice{}, false
+	if now.Before(p.retryAt) || m.overLinkMaximum(now, p.team) {
+		return exportCandidate{}, false
 	}
-	urgent := age.Seconds() > urgentShare*residency.Seconds()
+	urgent := age.Seconds() > urgentResidencyFactor*residency.Seconds()
 	if !urgent && age < m.opts.IdleDelay {
-		return exportChoice{}, false
+		return exportCandidate{}, false
 	}
-	return exportChoice{
+	return exportCandidate{
 		prompt: p,
-		worth:  m.worth(now, p),
+		value:  m.value(now, p),
 		urgent: urgent,
 	}, true
 }
 
-// overLinkCeiling tells whether a team has had its part of the links lately
-// while other teams wait.
-func (m *Manager) overLinkCeiling(now time.Time, t *teamUse) bool {
+// overLinkMaximum reports whether a team's recent exports exceed its maximum
+// share of the links while other teams wait.
+func (m *Manager) overLinkMaximum(now time.Time, t *teamState) bool {
 	if t.waiting == len(m.waiting) {
 		return false
 	}
-	t.fade(now)
+	t.decay(now)
 	rate := 0.0
 	for _, s := range m.storeList {
 		rate += m.exportRate(s)
 	}
-	// A steady use of u bytes a second settles at u × half-life / ln 2.
-	return t.link > rate*m.opts.LinkMaximum*linkHalfLife.Seconds()/math.Ln2
+	// At a constant u bytes a second, recentExportBytes converges to u ×
+	// half-life / ln 2.
+	return t.recentExportBytes > rate*m.opts.LinkMaximum*linkHalfLife.Seconds()/math.Ln2
 }
 
-// exportRate is what exports of this process may use of a store's link, in
-// bytes a second.
+// exportRate returns the bytes per second that this process's exports may use
+// of a store's link.
 func (m *Manager) exportRate(s *storeHost) float64 {
 	return float64(s.status.LinkBytesPerSecond) * m.opts.LinkShare * m.opts.Share
 }
 
-// export makes the copies of the next blocks of a prompt and takes their part
-// of the link.
-func (m *Manager) export(now time.Time, choice exportChoice, at exportPlace) Export {
-	p := choice.prompt
+// export creates the copies of the next blocks of a prompt and charges them to
+// the link budgets.
+func (m *Manager) export(now time.Time, candidate exportCandidate, placement exportPlacement) Export {
+	p := candidate.prompt
 	export := Export{
 		Scope:             p.scope,
 		Runner:            p.runner,
 		RunnerIncarnation: p.runnerIncarnation,
-		Store:             at.store.status.Store,
-		StoreIncarnation:  at.store.status.Incarnation,
-		Tier:              at.tier,
-		Urgent:            choice.urgent,
-	}
-	// The engine answers once for all blocks: more than the host takes in a
-	// step's time would all time out together.
-	window := at.store.writeWindow(m.exportRate(at.store)) - at.store.writing
-	limit := min(at.blocks, MaxExportBlocks, MaxWrites-len(m.writing), m.opts.MaxCopies-len(m.copies))
+		Store:             placement.store.status.Store,
+		StoreIncarnation:  placement.store.status.Incarnation,
+		Tier:              placement.tier,
+		Urgent:            candidate.urgent,
+	}
+	// The engine answers once for all blocks, so an export larger than the host
+	// can write within a step's timeout would time out as a whole.
+	window := placement.store.writeWindow(m.exportRate(placement.store)) - placement.store.writing
+	limit := min(placement.blocks, MaxExportBlocks, MaxWrites-len(m.writing), m.opts.MaxCopies-len(m.copies))
 	limit = min(limit, max(int(window/p.bytes), 1))
-	for _, block := range p.blocks[:min(p.onRunner, len(p.blocks))] {
+	for _, block := range p.blocks[:min(p.blocksOnRunner, len(p.blocks))] {
 		if len(export.Blocks) >= limit {
 			break
 		}
-		// A block that has a copy in any phase is not written again.
+		// A block with a copy in any phase is not written again.
 		if m.copies[block] != nil {
 			continue
 		}
-		c := m.newCopy(now, block, at.store, p.team, prefix.Copy{Bytes: p.bytes, Tier: at.tier})
+		c := m.newCopy(now, block, placement.store, p.team, prefix.Copy{Bytes: p.bytes, Tier: placement.tier})
 		m.writing = append(m.writing, c)
-		at.store.grown[at.tier] += p.bytes
+		placement.store.plannedBytes[placement.tier] += p.bytes
 		export.Blocks = append(export.Blocks, PlannedBlock{ID: c.id, Block: block, Bytes: p.bytes})
 	}
-	if m.firstMissing(p) >= p.onRunner {
-		m.leaveExports(p)
+	if m.firstMissing(p) >= p.blocksOnRunner {
+		m.removeWaiting(p)
 	}
 	if len(export.Blocks) == 0 {
 		return export
 	}
 	bytes := int64(len(export.Blocks)) * p.bytes
-	at.store.bucket.take(bytes)
-	p.team.fade(now)
-	p.team.link += float64(bytes)
+	placement.store.bucket.take(bytes)
+	p.team.decay(now)
+	p.team.recentExportBytes += float64(bytes)
 	m.stats.Exports++
 	m.stats.ExportedBlocks += uint64(len(export.Blocks))
 	return export
--- a/keep/prompt.go
+++ b/keep/prompt.go
@@ -7,33 +7,33 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// prompt is what is remembered of one prompt, also when no copy of it is left:
-// without it a return could not be told from a new prompt.
+// prompt is the state of one prompt. It is kept also when no copy is left,
+// since a return could not be told apart from a new prompt without it.
 type prompt struct {
-	used    bool
+	tracked bool
 	scope   prefix.Scope
 	key     gapKey
-	team    *teamUse
+	team    *teamState
 	blocks  []prefix.BlockID
-	bytes   int64 // of one block
+	bytes   int64 // size of one block
 	saved   time.Duration
 	lastUse time.Time
 	uses    int
-	// copies counts the copies of the blocks that this prompt owns.
+	// copies is the number of copies among the blocks that this prompt owns.
 	copies            int
 	runner            ident.Upstream
 	runnerIncarnation ident.Incarnation
 	runnerDataCentre  ident.DataCentre
-	// onRunner is how many blocks, from the first, the runner is thought to
-	// hold still.
-	onRunner int
-	// reached is the bucket of age the prompt is in; ageTimer when the next
-	// begins.
-	reached  int
-	ageTimer time.Time
-	inAges   int // position in the age queue, -1 if not in it
-	retryAt  time.Time
-	// position in the list of prompts with blocks to export, -1 if not in it.
+	// blocksOnRunner is the number of leading blocks that the runner is assumed
+	// to hold still.
+	blocksOnRunner int
+	// ageBucket is the age bucket that the prompt is in; nextAgeCheck is the
+	// time at which the next bucket begins or a prefetch is due.
+	ageBucket    int
+	nextAgeCheck time.Time
+	ageIndex     int // index in the age queue, -1 if not in it
+	retryAt      time.Time
+	// waiting is the index in Manager.waiting, -1 if not in it.
 	waiting      int
 	prefetched   bool
 	cycles       []cycle
@@ -41,34 +41,35 @@
 	newer, older *prompt
 }
 
-// blockUse is what the prompts make of one block. Prompts share blocks when
+// blockUse records the prompts that use one block. Prompts share blocks when
 // one continues another or both begin with a team's instructions.
 type blockUse struct {
-	// owner is the prompt that the block is valued by, nil if none is known.
+	// owner is the prompt that determines the block's value, nil if unknown.
 	owner *prompt
 	users uint32
 }
 
-// promptTable holds the prompts, by block, by last block and by recency.
+// promptTable indexes the prompts by block, by last block and by time of last
+// use.
 type promptTable struct {
-	byBlock map[prefix.BlockID]blockUse
-	byLast  map[prefix.BlockID]*prompt
-	count   int
-	newest  *prompt
-	oldest  *prompt
+	byBlock     map[prefix.BlockID]blockUse
+	byLastBlock map[prefix.BlockID]*prompt
+	count       int
+	newest      *prompt
+	oldest      *prompt
 }
 
 func newPromptTable() promptTable {
 	return promptTable{
-		byBlock: make(map[prefix.BlockID]blockUse),
-		byLast:  make(map[prefix.BlockID]*prompt),
+		byBlock:     make(map[prefix.BlockID]blockUse),
+		byLastBlock: make(map[prefix.BlockID]*prompt),
 	}
 }
 
 func (t *promptTable) len() int { return t.count }
 
-// of returns the prompt that a block is valued by.
-func (t *promptTable) of(block prefix.BlockID) *prompt {
+// ownerOf returns the prompt that determines the value of a block.
+func (t *promptTable) ownerOf(block prefix.BlockID) *prompt {
 	return t.byBlock[block].owner
 }
 
--- a/keep/runner.go
+++ b/keep/runner.go
@@ -7,24 +7,25 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// runnerCache is what is learned of one engine's cache.
+// runnerCache is what is known of one engine's cache.
 type runnerCache struct {
 	incarnation ident.Incarnation
-	// residency is how long an unused block lasts, in seconds.
+	// residency is the estimated time that an unused block stays cached, in
+	// seconds.
 	residency float64
 }
 
-// Weights of the residency estimate: it falls quickly when blocks go early,
-// because a block exported too late is lost, and rises slowly.
+// Weights of the residency estimate. It falls quickly when blocks are evicted
+// early, because a block exported too late is lost, and rises slowly.
 const (
 	residencyFall = 0.3
 	residencyRise = 0.05
 )
 
-// MaxRunners bounds the engines whose caches are followed.
+// MaxRunners is the maximum number of engines tracked.
 const MaxRunners = 1024
 
-func (m *Manager) runnerUsed(runner ident.Upstream, incarnation ident.Incarnation) {
+func (m *Manager) recordRunner(runner ident.Upstream, incarnation ident.Incarnation) {
 	r := m.runners[runner]
 	if r == nil {
 		if len(m.runners) >= MaxRunners {
@@ -36,16 +37,17 @@
 	r.incarnation = max(r.incarnation, incarnation)
 }
 
-// RunnerSeen takes the word that an engine is in a life. It stands above what
-// uses say, which may come late and from a life with a higher number.
+// RunnerSeen sets the current incarnation of an engine. It overrides the
+// incarnations reported with uses, which may arrive late and carry a higher
+// number.
 func (m *Manager) RunnerSeen(runner ident.Upstream, incarnation ident.Incarnation) {
 	if r := m.runners[runner]; r != nil {
 		r.incarnation = incarnation
 	}
 }
 
-// RunnerGone forgets an engine whose lease ran out. The blocks it held cannot
-// be exported any more.
+// RunnerGone removes an engine whose lease expired. The blocks it held can no
+// longer be exported.
 func (m *Manager) RunnerGone(runner ident.Upstream, incarnation ident.Incarnation) {
 	r := m.runners[runner]
 	if r != nil && r.incarnation <= incarnation {
@@ -53,14 +55,14 @@
 	}
 }
 
-// RunnerEvicted takes the word that an engine evicted a block.
+// RunnerEvicted records that an engine evicted a block.
 func (m *Manager) RunnerEvicted(now time.Time, runner ident.Upstream, incarnation ident.Incarnation, block prefix.BlockID) {
 	r := m.runners[runner]
-	p := m.prompts.of(block)
+	p := m.prompts.ownerOf(block)
 	if r == nil || r.incarnation != incarnation || p == nil || p.runner != runner {
 		return
 	}
-	m.runnerLost(p, block)
+	m.recordRunnerLost(p, block)
 	age := now.Sub(p.lastUse).Seconds()
 	step := residencyRise
 	if age < r.residency {
@@ -69,22 +71,22 @@
 	r.residency += step * (age - r.residency)
 }
 
-// runnerLost records that the runner of a prompt has a block no more, so that
-// none from there on can be exported.
-func (m *Manager) runnerLost(p *prompt, block prefix.BlockID) {
+// recordRunnerLost records that the runner of a prompt no longer has a block,
+// so that neither it nor the blocks after it can be exported.
+func (m *Manager) recordRunnerLost(p *prompt, block prefix.BlockID) {
 	if p == nil {
 		return
 	}
-	for i, held := range p.blocks[:min(p.onRunner, len(p.blocks))] {
+	for i, held := range p.blocks[:min(p.blocksOnRunner, len(p.blocks))] {
 		if held == block {
-			p.onRunner = i
+			p.blocksOnRunner = i
 			return
 		}
 	}
 }
 
-// residency is how long a prompt's blocks are expected to stay on its runner
-// after their last use, zero if the runner is gone or lives again.
+// residency returns how long a prompt's blocks are expected to stay on its
+// runner after their last use, or zero if the runner is gone or has restarted.
 func (m *Manager) residency(p *prompt) time.Duration {
 	r := m.runners[p.runner]
 	if r == nil || r.incarnation != p.runnerIncarnation {
--- a/keep/store.go
+++ b/keep/store.go
@@ -7,92 +7,96 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// storeHost is one store host as this process sees it.
+// storeHost is this process's view of one store host.
 type storeHost struct {
 	status StoreStatus
 	tiers  [prefix.TierCount]copyList
-	// full and faults pause a tier that had no room and a host that failed.
-	full   [prefix.TierCount]pause
-	faults pause
-	bucket linkBucket
-	// writing is how many bytes are being written to the host, window how
-	// many may be; zero means not learned yet.
-	writing int64
-	window  float64
-	reading int64 // bytes that pinned readers may be fetching
-	// freeing is how many bytes of a tier are being freed.
+	// fullBackoff pauses a tier that had no capacity left, faultBackoff a host
+	// that failed.
+	fullBackoff  [prefix.TierCount]backoff
+	faultBackoff backoff
+	bucket       linkBucket
+	// writing is the number of bytes being written to the host, windowBytes the
+	// maximum of that; zero means not yet initialized.
+	writing     int64
+	windowBytes float64
+	reading     int64 // bytes that pinned readers may be fetching
+	// freeing is the number of bytes being freed, by tier.
 	freeing [prefix.TierCount]int64
-	// grown is how many bytes were planned for a tier since the last report.
-	grown [prefix.TierCount]int64
-	// marginal is the worth of the copy freed last for want of room.
-	marginal [prefix.TierCount]float64
+	// plannedBytes is the number of bytes planned since the host's last report,
+	// less those freed, by tier.
+	plannedBytes [prefix.TierCount]int64
+	// lastFreedValue is the value of the copy last freed to gain capacity, by
+	// tier.
+	lastFreedValue [prefix.TierCount]float64
 }
 
-// pause keeps work from a place that refused it. Each refusal in a row doubles
-// the pause: with a constant one, a host that is always full would be tried
-// again just when the prompts come back, and never the host beside it.
-type pause struct {
-	until time.Time
-	count int
+// backoff pauses the use of a tier or host that refused a request. The pause
+// doubles with each consecutive refusal: with a constant pause, a host that is
+// always full would be tried again whenever the prompts become due, and the
+// other hosts never.
+type backoff struct {
+	until    time.Time
+	refusals int
 }
 
-// Bounds of a pause. A full tier is asked again sooner than a host that fails,
-// because others free room in it all the time.
+// Limits of a pause. A full tier is retried sooner than a failed host, because
+// other processes free capacity in it continually.
 const (
-	maxPause  = time.Minute
-	fullPause = time.Second
+	maxBackoff         = time.Minute
+	initialFullBackoff = time.Second
 )
 
-// extend starts the next pause. Refusals during a pause are the same one, told
-// again by work that was already under way.
-func (p *pause) extend(now time.Time, first time.Duration) {
+// extend starts the next pause. Refusals during a pause belong to requests sent
+// before it and have no effect.
+func (p *backoff) extend(now time.Time, first time.Duration) {
 	if p.active(now) {
 		return
 	}
 	length := first
-	for range min(p.count, 10) {
-		length = min(2*length, maxPause)
+	for range min(p.refusals, 10) {
+		length = min(2*length, maxBackoff)
 	}
-	p.count++
+	p.refusals++
 	p.until = now.Add(length)
 }
 
-func (p *pause) active(now time.Time) bool { return now.Before(p.until) }
+func (p *backoff) active(now time.Time) bool { return now.Before(p.until) }
 
-// Bounds of the write window, in seconds of the export rate. A host that is
-// slower than its link says, because its disk or its network is, would pile up
-// writes until all of them time out.
+// Limits of the write window, in seconds at the export rate. Without a window,
+// writes to a host whose disk or network is slower than its reported link rate
+// would queue up until all of them time out.
 const (
 	maxWindow = 2.0
 	minWindow = 0.02
-	// slowWrite is how many times the expected time, beyond a second, makes
-	// a write slow.
-	slowWrite = 4
+	// slowWriteFactor is the multiple of the expected time, plus one second,
+	// beyond which a write counts as slow.
+	slowWriteFactor = 4
 )
 
 func (s *storeHost) writeWindow(rate float64) int64 {
-	if s.window == 0 {
-		s.window = rate * linkBurst
+	if s.windowBytes == 0 {
+		s.windowBytes = rate * linkBurst
 	}
-	return int64(s.window)
+	return int64(s.windowBytes)
 }
 
-// learnWrite widens the window after a write in time and halves it after a
-// slow one.
-func (s *storeHost) learnWrite(bytes int64, took time.Duration, rate float64) {
+// recordWrite widens the window after a write that finished in time and halves
+// it after a slow one.
+func (s *storeHost) recordWrite(bytes int64, took time.Duration, rate float64) {
 	if rate <= 0 {
 		return
 	}
 	expected := float64(bytes+s.writing) / rate
-	if took.Seconds() > 1+slowWrite*expected {
-		s.narrow(rate)
+	if took.Seconds() > 1+slowWriteFactor*expected {
+		s.narrowWindow(rate)
 		return
 	}
-	s.window = min(s.window+float64(bytes), rate*maxWindow)
+	s.windowBytes = min(s.windowBytes+float64(bytes), rate*maxWindow)
 }
 
-func (s *storeHost) narrow(rate float64) {
-	s.window = max(s.window/2, rate*minWindow)
+func (s *storeHost) narrowWindow(rate float64) {
+	s.windowBytes = max(s.windowBytes/2, rate*minWindow)
 }
 
 // linkBucket is a token bucket over a link's bytes.
@@ -101,10 +105,10 @@
 	last   time.Time
 }
 
-// linkBurst is how many seconds of a link's share may be used at once.
+// linkBurst is the burst size, in seconds of a link's share.
 const linkBurst = 1.0
 
-// open refills the bucket and tells whether anything is left in it.
+// open refills the bucket and reports whether it has tokens left.
 func (b *linkBucket) open(now time.Time, rate float64) bool {
 	if b.last.IsZero() {
 		b.tokens = rate * linkBurst
@@ -115,14 +119,15 @@
 	return b.tokens > 0
 }
 
-// take uses bytes. The bucket may go into debt by one export, so that an
-// export larger than the burst is possible at all.
+// take removes tokens. One export may take the bucket below zero; otherwise an
+// export larger than the burst would be impossible.
 func (b *linkBucket) take(bytes int64) {
 	b.tokens -= float64(bytes)
 }
 
-// StoreSeen takes a store host's report. A larger incarnation means that the
-// host restarted: all its earlier copies are gone or have other generations.
+// StoreSeen applies a store host's status report. A higher incarnation means
+// that the host restarted: its earlier copies are gone or have other
+// generations.
 func (m *Manager) StoreSeen(now time.Time, status StoreStatus) {
 	s := m.stores[status.Store]
 	if s == nil {
@@ -140,14 +145,14 @@
 	}
 	if status.Incarnation > s.status.Incarnation {
 		m.dropStoreCopies(s)
-		s.faults = pause{}
-		s.full = [prefix.TierCount]pause{}
+		s.faultBackoff = backoff{}
+		s.fullBackoff = [prefix.TierCount]backoff{}
 	}
 	s.status = status
-	s.grown = [prefix.TierCount]int64{}
+	s.plannedBytes = [prefix.TierCount]int64{}
 }
 
-// StoreGone drops a store host whose lease ran out, with all its copies.
+// StoreGone removes a store host whose lease expired, and all its copies.
 func (m *Manager) StoreGone(store ident.Upstream, incarnation ident.Incarnation) {
 	s := m.stores[store]
 	if s == nil || s.status.Incarnation > incarnation {
@@ -171,8 +176,8 @@
 	}
 }
 
-// Adopt takes a committed copy that a store host lists and that this process
-// did not write, for example after it became the home of the prompt. Copies of
+// Adopt adds a committed copy that a store host lists and that this process did
+// not write, for example after becoming the home of the prompt. Copies of
 // blocks that no known prompt uses are adopted too, so that they can be freed.
 func (m *Manager) Adopt(now time.Time, source Source) bool {
 	s := m.stores[source.Store]
@@ -183,7 +188,7 @@
 		return false
 	}
 	team := ident.Team("")
-	if p := m.prompts.of(source.Block); p != nil {
+	if p := m.prompts.ownerOf(source.Block); p != nil {
 		team = p.scope.Team
 	}
 	c := m.newCopy(now, source.Block, s, m.team(team), source.Copy)
@@ -191,8 +196,8 @@
 	return true
 }
 
-// Vanished takes the word of a store host that it has a copy no more: another
-// process freed it, or a reader was refused.
+// Vanished removes a copy that a store host reports as gone, because another
+// process freed it or a reader was refused.
 func (m *Manager) Vanished(store ident.Upstream, block prefix.BlockID, generation uint64) {
 	c := m.copies[block]
 	if c == nil || c.phase < Committed || c.store.status.Store != store || c.copy.Generation != generation {
@@ -201,11 +206,11 @@
 	m.dropCopy(c)
 }
 
-// validCopy refuses what a faulty store host may send and that would corrupt
-// the accounts of room.
+// validCopy rejects descriptions from a faulty store host that would corrupt
+// the capacity accounting.
 func validCopy(c prefix.Copy) bool {
 	return int(c.Tier) < prefix.TierCount && c.Bytes >= 0 && c.Bytes <= maxBlockBytes
 }
 
-// maxBlockBytes bounds one block.
+// maxBlockBytes is the maximum size of one block.
 const maxBlockBytes = 1 << 34
--- a/keep/team.go
+++ b/keep/team.go
@@ -9,39 +9,41 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// teamUse is what one team holds and has moved.
-type teamUse struct {
+// teamState is the capacity and link use of one team.
+type teamState struct {
 	team    ident.Team
 	tiers   [prefix.TierCount]copyList
-	freeing [prefix.TierCount]int64 // bytes of them that are being freed
+	freeing [prefix.TierCount]int64 // bytes being freed, by tier
 	prompts int
-	// link is the team's recent exports in bytes, halved every linkHalfLife.
-	link    float64
-	linkAt  time.Time
-	waiting int // prompts with blocks to export
+	// recentExportBytes is the decaying sum of the team's exports in bytes,
+	// halved every linkHalfLife, as of recentExportsAt.
+	recentExportBytes float64
+	recentExportsAt   time.Time
+	waiting           int // prompts with blocks to export
 }
 
-// linkHalfLife is how fast a team's use of the links fades.
+// linkHalfLife is the half-life of a team's recorded link use.
 const linkHalfLife = 10 * time.Second
 
-func (m *Manager) team(name ident.Team) *teamUse {
+func (m *Manager) team(name ident.Team) *teamState {
 	t := m.teams[name]
 	if t == nil {
-		t = &teamUse{team: name}
+		t = &teamState{team: name}
 		m.teams[name] = t
 	}
 	return t
 }
 
-// staying is how many bytes a team has in a tier that are not being freed.
-func (t *teamUse) staying(tier prefix.Tier) int64 {
+// retained returns the bytes that a team has in a tier and that are not being
+// freed.
+func (t *teamState) retained(tier prefix.Tier) int64 {
 	return t.tiers[tier].bytes - t.freeing[tier]
 }
 
-// releaseTeam forgets a team that holds nothing, so that teams which are gone
-// take no memory and no part of the floor. The teams kept are bounded by the
-// prompts and copies.
-func (m *Manager) releaseTeam(t *teamUse) {
+// dropTeamIfUnused removes a team that holds nothing, so that inactive teams
+// use no memory and no part of the guaranteed share. The number of teams is
+// bounded by the numbers of prompts and copies.
+func (m *Manager) dropTeamIfUnused(t *teamState) {
 	if t.prompts > 0 {
 		return
 	}
@@ -53,8 +55,9 @@
 	delete(m.teams, t.team)
 }
 
-// room is this process's part of a tier over all store hosts, in bytes.
-func (m *Manager) room(tier prefix.Tier) float64 {
+// totalCapacityShare returns this process's share of a tier over all store
+// hosts, in bytes.
+func (m *Manager) totalCapacityShare(tier prefix.Tier) float64 {
 	total := 0.0
 	for _, s := range m.storeList {
 		total += float64(s.status.Capacity[tier])
@@ -62,46 +65,48 @@
 	return total * m.opts.Share
 }
 
-// Budget is what one team is promised and allowed of each tier, as shares of
-// this process's part. Zero fields mean the defaults of Options.
+// Budget is the guaranteed and the maximum share of each tier for one team, as
+// fractions of this process's share. Zero fields mean the defaults of Options.
 type Budget struct {
 	Guaranteed float64
 	Maximum    float64
 }
 
-// SetBudgets replaces the budgets that operators have set for teams.
+// SetBudgets replaces the budgets that operators configured for teams.
 func (m *Manager) SetBudgets(budgets map[ident.Team]Budget) {
 	m.budgets = maps.Clone(budgets)
 }
 
-// floor is what a team may hold of a tier without being asked to give way.
-func (m *Manager) floor(t *teamUse, tier prefix.Tier) float64 {
-	if floor := m.budgets[t.team].Guaranteed; floor > 0 {
-		return m.room(tier) * floor
+// guaranteed returns the bytes of a tier that a team may hold without having to
+// free any for other teams.
+func (m *Manager) guaranteed(t *teamState, tier prefix.Tier) float64 {
+	if guaranteed := m.budgets[t.team].Guaranteed; guaranteed > 0 {
+		return m.totalCapacityShare(tier) * guaranteed
 	}
-	return m.room(tier) * m.opts.TeamGuaranteed / float64(max(len(m.teams), 1))
+	return m.totalCapacityShare(tier) * m.opts.TeamGuaranteed / float64(max(len(m.teams), 1))
 }
 
-// ceiling is the most that one team may hold of a tier while others want room.
-func (m *Manager) ceiling(t *teamUse, tier prefix.Tier) float64 {
-	if ceiling := m.budgets[t.team].Maximum; ceiling > 0 {
-		return m.room(tier) * ceiling
+// maximum returns the maximum bytes of a tier for one team while others need
+// capacity.
+func (m *Manager) maximum(t *teamState, tier prefix.Tier) float64 {
+	if maximum := m.budgets[t.team].Maximum; maximum > 0 {
+		return m.totalCapacityShare(tier) * maximum
 	}
 	if len(m.teams) <= 1 {
-		return m.room(tier)
+		return m.totalCapacityShare(tier)
 	}
-	return m.room(tier) * m.opts.TeamMaximum
+	return m.totalCapacityShare(tier) * m.opts.TeamMaximum
 }
 
-// fade brings a team's use of the links up to date.
-func (t *teamUse) fade(now time.Time) {
-	if t.linkAt.IsZero() {
-		t.linkAt = now
+// decay updates the team's recent exports to the current time.
+func (t *teamState) decay(now time.Time) {
+	if t.recentExportsAt.IsZero() {
+		t.recentExportsAt = now
 	}
-	halvings := now.Sub(t.linkAt).Seconds() / linkHalfLife.Seconds()
+	halvings := now.Sub(t.recentExportsAt).Seconds() / linkHalfLife.Seconds()
 	if halvings < 0.1 {
 		return
 	}
-	t.link *= math.Exp2(-halvings)
-	t.linkAt = now
+	t.recentExportBytes *= math.Exp2(-halvings)
+	t.recentExportsAt = now
 }
--- a/keep/types.go
+++ b/keep/types.go
@@ -8,35 +8,36 @@
 )
 
 // CopyID identifies one attempt to keep one block. Results carry it, so that a
-// late answer to an earlier attempt changes nothing.
+// late result of an earlier attempt has no effect.
 type CopyID uint64
 
 // PinID identifies one reader's pin on one copy.
 type PinID uint64
 
-// Phase is where a copy is in its life.
+// Phase is the phase of a copy.
 type Phase uint8
 
-// The phases of a copy. Only a committed copy is given to readers.
+// Phases of a copy. Only a committed copy is given to readers.
 const (
 	// Absent means that there is no copy.
 	Absent Phase = iota
-	// Reserving means that the store was asked for a slot.
+	// Reserving means that a slot was requested from the store.
 	Reserving
 	// Writing means that the slot is reserved and the engine may write it.
 	Writing
-	// Verifying means that the engine has written and the store checks.
+	// Verifying means that the engine has written the slot and the store
+	// verifies it.
 	Verifying
-	// Committed means that the store has verified length and checksum.
+	// Committed means that the store has verified the length and the checksum.
 	Committed
-	// Freeing means that no new reader gets the copy and that it is freed
-	// once the pins have ended.
+	// Freeing means that the copy gets no new readers and is freed once its
+	// pins have ended.
 	Freeing
 )
 
 var phaseNames = [...]string{"absent", "reserving", "writing", "verifying", "committed", "freeing"}
 
-// String returns the name used in dumps and metrics.
+// String returns the name of the phase in dumps and metrics.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -44,25 +45,26 @@
 	return "unknown"
 }
 
-// Use is one finished request with a prompt worth keeping.
+// Use describes one finished request with a prompt worth keeping.
 type Use struct {
 	Scope prefix.Scope
 	Class ident.Class
 	// Blocks are the full blocks of the prompt, in order.
 	Blocks []prefix.BlockID
-	// Runner is the engine that holds the blocks now.
+	// Runner is the engine that holds the blocks.
 	Runner            ident.Upstream
 	RunnerIncarnation ident.Incarnation
 	RunnerDataCentre  ident.DataCentre
-	// BlockBytes is the size of one block, Saved the time that reusing one
-	// block saves against recomputing it. Zero means not known: the request
-	// computed nothing.
+	// BlockBytes is the size of one block. Saved is the time that reusing one
+	// block saves compared with recomputing it; zero means unknown, because the
+	// request computed nothing.
 	BlockBytes int64
 	Saved      time.Duration
 }
 
-// Source is one committed copy as given to a reader. The store refuses any
-// other incarnation or generation, and the engine checks length and checksum.
+// Source identifies one committed copy for a reader. The store refuses any
+// other incarnation or generation, and the engine checks the length and the
+// checksum.
 type Source struct {
 	Block       prefix.BlockID
 	Store       ident.Upstream
@@ -70,15 +72,15 @@
 	Copy        prefix.Copy
 }
 
-// Pin is a reader's hold on one copy.
+// Pin keeps one copy from being freed while a reader uses it.
 type Pin struct {
 	ID     PinID
 	Source Source
-	// Expires is when the reader must have stopped reading.
+	// Expires is the time by which the reader must have stopped reading.
 	Expires time.Time
 }
 
-// StoreStatus is a store host's report on itself.
+// StoreStatus is the status that a store host reports.
 type StoreStatus struct {
 	Store       ident.Upstream
 	Incarnation ident.Incarnation
@@ -86,9 +88,9 @@
 	// Capacity and Used are in bytes, by tier.
 	Capacity [prefix.TierCount]int64
 	Used     [prefix.TierCount]int64
-	// LinkBytesPerSecond is the capacity of the host's link.
+	// LinkBytesPerSecond is the capacity of the host's network link.
 	LinkBytesPerSecond int64
-	// LinkBusy is the share of the link in use, 0 to 1.
+	// LinkBusy is the fraction of the link in use, 0 to 1.
 	LinkBusy float64
 }
 
@@ -100,9 +102,9 @@
 }
 
 // Export is a decision to copy blocks of one prompt from an engine to a store
-// host. For each block the caller reserves a slot and reports by Reserved,
-// tells the engine to write and reports by Written, asks the store to commit
-// and reports by Committed; whatever fails is reported by Failed.
+// host. For each block the caller reserves a slot and calls Reserved with the
+// answer, instructs the engine to write and calls Written, requests the commit
+// from the store and calls Committed. It calls Failed if any step fails.
 type Export struct {
 	Scope             prefix.Scope
 	Runner            ident.Upstream
@@ -115,7 +117,8 @@
 	Urgent bool
 }
 
-// Free is a decision to free one slot. The caller reports by Freed.
+// Free is a decision to free one slot. The caller reports the outcome with
+// Freed.
 type Free struct {
 	ID         CopyID
 	Block      prefix.BlockID
@@ -123,71 +126,74 @@
 	Generation uint64
 }
 
-// Prefetch is a decision to bring a prompt back to an engine before its
-// expected return. The caller chooses the engine, pins the copies and imports.
+// Prefetch is a decision to load a prompt into an engine before its expected
+// return. The caller chooses the engine, pins the copies and imports them.
 type Prefetch struct {
 	Scope  prefix.Scope
 	Class  ident.Class
 	Blocks []prefix.BlockID
 	// Bytes is the sum of the blocks' sizes.
 	Bytes int64
-	// Chance is that of a return while the prefetch is of use.
+	// Chance is the probability of a return while the prefetched blocks are
+	// useful.
 	Chance float64
-	// Expected is when the return is expected; zero means that the record
-	// gives no time, only that it is near.
+	// Expected is the time of the expected return. Zero means that a return is
+	// likely soon, at an unknown time.
 	Expected time.Time
 }
 
-// Timed reports whether the record gives the time of the return. On the
-// workloads of the policy benchmark only such prefetches pay: those that go by
-// age alone fetch many prompts that don't return in time.
+// Timed reports whether the time of the return is known. In the workloads of
+// the policy benchmark only timed prefetches pay off: those based on age alone
+// fetch many prompts that don't return in time.
 func (p Prefetch) Timed() bool { return !p.Expected.IsZero() }
 
-// Plan is what should be done now.
+// Plan lists the actions to take now.
 type Plan struct {
 	Exports    []Export
 	Frees      []Free
 	Prefetches []Prefetch
 }
 
-// Reservation is a store's answer to a request for a slot.
+// Reservation is a store's answer to a slot request.
 type Reservation struct {
-	// Granted is true when the caller is the one to write the slot.
+	// Granted is true when the caller is to write the slot.
 	Granted bool
-	// Full is true when the tier has no room.
+	// Full is true when the tier has no capacity left.
 	Full bool
-	// Committed is true when the store has the block already; Copy then
+	// Committed is true when the store already has the block; Copy then
 	// describes it.
 	Committed   bool
 	Incarnation ident.Incarnation
 	Copy        prefix.Copy
 }
 
-// Step is what the caller does next with a copy.
+// Step is the caller's next action for a copy.
 type Step uint8
 
-// The steps.
+// Steps of a write.
 const (
 	// Stop means that nothing is left to do: the copy exists, the attempt
-	// failed, or it is not known any more.
+	// failed or it is unknown.
 	Stop Step = iota
-	// Write means that the engine shall write the reserved slot.
+	// Write means that the engine is to write the reserved slot.
 	Write
-	// Commit means that the store shall verify and commit the slot.
+	// Commit means that the store is to verify and commit the slot.
 	Commit
 )
 
-// Failure is why an attempt to keep or read a copy ended.
+// Failure is the reason why an attempt to keep or read a copy ended.
 type Failure uint8
 
-// The failures.
+// Failures of an attempt.
 const (
-	// FailedStore means that the store host did not answer or broke off.
+	// FailedStore means that the store host did not answer or dropped the
+	// connection.
 	FailedStore Failure = iota + 1
-	// FailedEngine means that the engine did not answer or has the block no
-	// more.
+	// FailedEngine means that the engine did not answer or no longer has the
+	// block.
 	FailedEngine
-	// FailedVerify means that length, checksum or generation did not match.
+	// FailedVerify means that the length, the checksum or the generation did
+	// not match.
 	FailedVerify
 	// FailedRace means that another writer holds the reservation.
 	FailedRace
--- a/keep/view.go
+++ b/keep/view.go
@@ -9,38 +9,39 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// StoreView is what this process has on one store host, for dumps.
+// StoreView is this process's state for one store host, for dumps.
 type StoreView struct {
 	Store       ident.Upstream    `json:"store" cbor:"store"`
 	Incarnation ident.Incarnation `json:"incarnation" cbor:"incarnation"`
 	// Held, Freeing and Share are in bytes, by tier: what this process holds,
-	// what of it is being freed, and its part of the tier.
+	// what of that is being freed, and its share of the tier.
 	Held    [prefix.TierCount]int64 `json:"held" cbor:"held"`
 	Freeing [prefix.TierCount]int64 `json:"freeing" cbor:"freeing"`
 	Share   [prefix.TierCount]int64 `json:"share" cbor:"share"`
-	// Full tells which tiers refused for want of room a moment ago.
+	// Full is true for the tiers that recently refused a slot for lack of
+	// capacity.
 	Full [prefix.TierCount]bool `json:"full" cbor:"full"`
-	// Paused tells that the host failed and is left alone for a while.
+	// Paused is true while the host is not used after a failure.
 	Paused bool `json:"paused" cbor:"paused"`
-	// Writing is how many bytes are being written, Window how many may be,
-	// Reading how many pinned readers may be fetching.
+	// Writing is the number of bytes being written, Window the maximum of that,
+	// Reading the number of bytes that pinned readers may be fetching.
 	Writing int64 `json:"writing" cbor:"writing"`
 	Window  int64 `json:"window" cbor:"window"`
 	Reading int64 `json:"reading" cbor:"reading"`
 }
 
-// TeamView is what one team has, for dumps.
+// TeamView is the state of one team, for dumps.
 type TeamView struct {
 	Team    ident.Team `json:"team" cbor:"team"`
 	Prompts int        `json:"prompts" cbor:"prompts"`
-	// Held, Floor and Ceiling are in bytes, by tier: what the team holds, is
-	// promised and is allowed while others want room.
+	// Held, Guaranteed and Maximum are in bytes, by tier: what the team holds,
+	// its guaranteed share, and its maximum share while others need capacity.
 	Held       [prefix.TierCount]int64 `json:"held" cbor:"held"`
 	Guaranteed [prefix.TierCount]int64 `json:"floor" cbor:"floor"`
 	Maximum    [prefix.TierCount]int64 `json:"ceiling" cbor:"ceiling"`
 }
 
-// Stores describes the store hosts in the order of their names.
+// Stores returns a view of each store host, ordered by name.
 func (m *Manager) Stores(now time.Time) []StoreView {
 	views := make([]StoreView, 0, len(m.storeList))
 	for _, s := range m.storeList {
@@ -48,15 +49,15 @@
 			Store:       s.status.Store,
 			Incarnation: s.status.Incarnation,
 			Freeing:     s.freeing,
-			Paused:      s.faults.active(now),
+			Paused:      s.faultBackoff.active(now),
 			Writing:     s.writing,
 			Window:      s.writeWindow(m.exportRate(s)),
 			Reading:     s.reading,
 		}
 		for tier := range prefix.Tier(prefix.TierCount) {
 			view.Held[tier] = s.tiers[tier].bytes
-			view.Share[tier] = int64(m.capacity(s, tier))
-			view.Full[tier] = s.full[tier].active(now)
+			view.Share[tier] = int64(m.capacityShare(s, tier))
+			view.Full[tier] = s.fullBackoff[tier].active(now)
 		}
 		views = append(views, view)
 	}
@@ -64,7 +65,7 @@
 	return views
 }
 
-// Teams describes the teams that hold most, at most limit of them.
+// Teams returns views of the teams that hold the most, at most limit of them.
 func (m *Manager) Teams(limit int) []TeamView {
 	views := make([]TeamView, 0, len(m.teams))
 	for _, t := range m.teams {
@@ -90,8 +91,8 @@
 func (m *Manager) viewBudget(v *TeamView) {
 	t := m.teams[v.Team]
 	for tier := range prefix.Tier(prefix.TierCount) {
-		v.Guaranteed[tier] = int64(m.floor(t, tier))
-		v.Maximum[tier] = int64(m.ceiling(t, tier))
+		v.Guaranteed[tier] = int64(m.guaranteed(t, tier))
+		v.Maximum[tier] = int64(m.maximum(t, tier))
 	}
 }
 
--- a/keep/write.go
+++ b/keep/write.go
@@ -6,15 +6,16 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// Reserved takes a store's answer to the request for a slot.
+// Reserved handles a store's answer to a slot request and returns the next
+// step.
 func (m *Manager) Reserved(now time.Time, id CopyID, answer Reservation) Step {
-	c := m.inPhase(id, Reserving)
+	c := m.matchAttempt(id, Reserving)
 	if c == nil {
 		return Stop
 	}
 	if answer.Incarnation != c.store.status.Incarnation {
 		m.stats.OldIncarnation++
-		m.endWrite(now, c)
+		m.abandonWrite(now, c)
 		return Stop
 	}
 	switch {
@@ -22,11 +23,11 @@
 		m.Failed(now, id, FailedVerify)
 		return Stop
 	case answer.Committed:
-		m.replaceCopy(c, answer.Copy)
+		m.updateCopy(c, answer.Copy)
 		m.commit(now, c)
 		return Stop
 	case answer.Full:
-		c.store.full[c.copy.Tier].extend(now, fullPause)
+		c.store.fullBackoff[c.copy.Tier].extend(now, initialFullBackoff)
 		m.dropCopy(c)
 		return Stop
 	case !answer.Granted:
@@ -35,13 +36,14 @@
 	}
 	c.copy.Slot = answer.Copy.Slot
 	c.copy.Generation = answer.Copy.Generation
-	m.advance(now, c, Writing)
+	m.setPhase(now, c, Writing)
 	return Write
 }
 
-// Written takes the engine's word that it has written a block in full.
+// Written handles an engine's report that a block is completely written and
+// returns the next step.
 func (m *Manager) Written(now time.Time, id CopyID, bytes int64, checksum uint64) Step {
-	c := m.inPhase(id, Writing)
+	c := m.matchAttempt(id, Writing)
 	if c == nil {
 		return Stop
 	}
@@ -52,59 +54,62 @@
 		m.Failed(now, id, FailedVerify)
 		return Stop
 	}
-	m.replaceCopy(c, written)
-	m.advance(now, c, Verifying)
+	m.updateCopy(c, written)
+	m.setPhase(now, c, Verifying)
 	return Commit
 }
 
-// Committed takes the store's word that it has verified and committed a slot.
-// The copy becomes readable if the store describes the slot that was written.
+// Committed handles a store's report that it verified and committed a slot. The
+// copy becomes readable if state matches the slot that was written; Committed
+// reports whether it does.
 func (m *Manager) Committed(now time.Time, id CopyID, state prefix.Copy) bool {
-	c := m.inPhase(id, Verifying)
+	c := m.matchAttempt(id, Verifying)
 	if c == nil {
 		return false
 	}
-	// The slot may have been given to another writer after this one's
-	// reservation ran out. Its content would then be read under this block's
-	// name, so anything but an exact match ends the attempt.
+	// The store may have given the slot to another writer after this
+	// reservation expired. A reader would then get that writer's content as
+	// this block, so anything but an exact match ends the attempt.
 	if state != c.copy {
 		m.Failed(now, id, FailedVerify)
 		return false
 	}
 	m.commit(now, c)
-	c.store.learnWrite(c.bytes(), now.Sub(c.started), m.exportRate(c.store))
+	c.store.recordWrite(c.bytes(), now.Sub(c.plannedAt), m.exportRate(c.store))
 	return true
 }
 
-// Failed ends an attempt that is not committed yet.
+// Failed ends an attempt that is not yet committed.
 func (m *Manager) Failed(now time.Time, id CopyID, failure Failure) {
 	c := m.byID[id]
 	if c == nil || !c.inWrite() {
 		m.stats.Unmatched++
 		return
 	}
-	p := m.prompts.of(c.block)
+	p := m.prompts.ownerOf(c.block)
 	switch failure {
 	case FailedStore:
-		// The pause is the store's, not the prompt's: another may take it.
+		// Only the store is paused, not the prompt: another store may accept
+		// it.
 		m.stats.StoreFailures++
-		c.store.faults.extend(now, m.opts.Retry)
+		c.store.faultBackoff.extend(now, m.opts.Retry)
 		m.dropCopy(c)
 		return
 	case FailedEngine:
 		m.stats.EngineFailures++
-		m.runnerLost(p, c.block)
+		m.recordRunnerLost(p, c.block)
 	case FailedVerify:
 		m.stats.VerifyFailures++
 	case FailedRace:
 		m.stats.Races++
 	}
-	m.endWrite(now, c)
+	m.abandonWrite(now, c)
 }
 
-// inPhase returns the copy of an attempt if it is in a phase, and counts the
-// result as unmatched if not: it is late, repeated or crossed.
-func (m *Manager) inPhase(id CopyID, phase Phase) *keptCopy {
+// matchAttempt returns the copy of an attempt if it is in the given phase.
+// Otherwise the result is late, duplicate or out of order, and counts as
+// unmatched.
+func (m *Manager) matchAttempt(id CopyID, phase Phase) *keptCopy {
 	c := m.byID[id]
 	if c == nil || c.phase != phase {
 		m.stats.Unmatched++
@@ -113,39 +118,39 @@
 	return c
 }
 
-func (m *Manager) advance(now time.Time, c *keptCopy, phase Phase) {
+func (m *Manager) setPhase(now time.Time, c *keptCopy, phase Phase) {
 	c.phase = phase
 	c.deadline = now.Add(m.opts.WriteTimeout)
 }
 
 func (m *Manager) commit(now time.Time, c *keptCopy) {
-	m.leavePhase(c)
+	m.subtractPhase(c)
 	c.phase = Committed
-	c.since = now
-	c.store.faults = pause{}
-	c.store.full[c.copy.Tier] = pause{}
+	c.committedAt = now
+	c.store.faultBackoff = backoff{}
+	c.store.fullBackoff[c.copy.Tier] = backoff{}
 	m.stats.Commits++
 }
 
-// endWrite drops a failed attempt and lets its prompt rest before the next.
-func (m *Manager) endWrite(now time.Time, c *keptCopy) {
-	if p := m.prompts.of(c.block); p != nil {
+// abandonWrite drops a failed attempt and delays the next one of its prompt.
+func (m *Manager) abandonWrite(now time.Time, c *keptCopy) {
+	if p := m.prompts.ownerOf(c.block); p != nil {
 		p.retryAt = now.Add(m.opts.Retry)
 	}
 	m.dropCopy(c)
 }
 
-// replaceCopy changes what is known of the slot of a copy that is being
-// written, and the room it takes.
-func (m *Manager) replaceCopy(c *keptCopy, copied prefix.Copy) {
-	m.leavePhase(c)
-	m.unlistCopy(c)
+// updateCopy updates the slot of a copy that is being written and the capacity
+// it uses.
+func (m *Manager) updateCopy(c *keptCopy, copied prefix.Copy) {
+	m.subtractPhase(c)
+	m.removeFromLists(c)
 	c.copy = copied
-	m.listCopy(c)
-	m.enterPhase(c)
+	m.addToLists(c)
+	m.addPhase(c)
 }
 
-// expireWrites ends the attempts whose step took too long.
+// expireWrites ends the attempts whose current step timed out.
 func (m *Manager) expireWrites(now time.Time) {
 	kept := m.writing[:0]
 	for _, c := range m.writing {
@@ -156,7 +161,7 @@
 			kept = append(kept, c)
 			continue
 		}
-		c.store.narrow(m.exportRate(c.store))
+		c.store.narrowWindow(m.exportRate(c.store))
 		m.Failed(now, c.id, FailedStore)
 	}
 	clear(m.writing[len(kept):])
