--- a/admit/bench_test.go
+++ b/admit/bench_test.go
@@ -9,18 +9,18 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// BenchmarkOffer measures one request's way through a full pool: offer, grant
-// and end, with many teams waiting.
+// BenchmarkOffer measures one offer, completion and grant in a full pool in which
+// many teams wait.
 func BenchmarkOffer(b *testing.B) {
 	for _, teams := range []int{10, 400, 4000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			o := fixed(64)
+			o := fixedLimit(64)
 			c := New(o)
 			next := 0
 			offer := func() {
 				next++
 				c.Offer(start, Request{
-					ID: id(next), Team: ident.Team(fmt.Sprintf("team-%d", next%teams)), Cost: 1000,
+					ID: requestID(next), Team: ident.Team(fmt.Sprintf("team-%d", next%teams)), Cost: 1000,
 					Target: start, Deadline: start.Add(time.Hour),
 				})
 			}
@@ -29,7 +29,7 @@
 			}
 			var running []ident.Request
 			for i := range 64 {
-				running = append(running, id(i+1))
+				running = append(running, requestID(i+1))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkState measures the bytes kept for each team with one waiting request.
+// BenchmarkState measures the memory held per team with one queued request.
 func BenchmarkState(b *testing.B) {
 	heapBytes := func() uint64 {
 		runtime.GC()
@@ -57,10 +57,10 @@
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			for range b.N {
 				before := heapBytes()
-				c := New(fixed(1))
+				c := New(fixedLimit(1))
 				for i := range teams {
 					c.Offer(start, Request{
-						ID: id(i), Team: ident.Team(fmt.Sprintf("team-%d", i)), Cost: 1, Target: start, Deadline: start.Add(time.Hour),
+						ID: requestID(i), Team: ident.Team(fmt.Sprintf("team-%d", i)), Cost: 1, Target: start, Deadline: start.Add(time.Hour),
 					})
 				}
 				b.ReportMetric(float64(heapBytes()-before)/float64(teams), "B/team")
--- a/admit/controller_test.go
+++ b/admit/controller_test.go
@@ -14,17 +14,17 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func id(n int) ident.Request {
+func requestID(n int) ident.Request {
 	var r ident.Request
 	binary.BigEndian.PutUint64(r[:], uint64(n))
 	return r
 }
 
-func fixed(limit int) Options {
+func fixedLimit(limit int) Options {
 	return Options{Limit: LimitOptions{Initial: limit, Min: limit, Max: limit}}
 }
 
-// pool drives a Controller and remembers what runs, oldest first.
+// pool drives a Controller and tracks the running requests, oldest first.
 type pool struct {
 	*Controller
 	t       *testing.T
@@ -42,10 +42,10 @@
 	}
 }
 
-// offer fills in the identity and, where missing, target and deadline.
+// offer offers req under a new id, with a default target and deadline.
 func (p *pool) offer(now time.Time, req Request) (Verdict, *outcome.NotRun) {
 	p.n++
-	req.ID = id(p.n)
+	req.ID = requestID(p.n)
 	if req.Target.IsZero() {
 		req.Target = now
 	}
@@ -65,11 +65,11 @@
 	p.started[p.owner[g.ID]]++
 }
 
-// finish ends the oldest running request and starts what may start.
+// finish completes the oldest running request and starts those that Next grants.
 func (p *pool) finish(now time.Time) []Refusal {
 	p.t.Helper()
 	if len(p.running) == 0 {
-		p.t.Fatal("nothing runs")
+		p.t.Fatal("no request is running")
 	}
 	p.Done(now, p.running[0])
 	p.running = p.running[1:]
@@ -80,11 +80,11 @@
 	return refusals
 }
 
-// Two large teams offer twenty requests for each one of a small team. The small
-// team's requests must start as if the large ones were no larger: with arrival
-// order they would wait behind the whole backlog, again and again.
-func TestLargeTeamsDoNotStarveASmallOne(t *testing.T) {
-	p := newPool(t, fixed(4))
+// Two large teams offer twenty requests for each request of a small team. In order of
+// arrival the small team's requests would wait behind the complete backlog; they must
+// start as soon as if the other teams were small.
+func TestSmallTeamIsNotStarved(t *testing.T) {
+	p := newPool(t, fixedLimit(4))
 	for range 200 {
 		p.offer(start, Request{Team: "large-1", Cost: 1000})
 		p.offer(start, Request{Team: "large-2", Cost: 1000})
@@ -96,15 +96,14 @@
 		p.finish(start)
 	}
 	if p.started["small"] != 10 {
-		t.Errorf("after 36 starts the small team had %d of its 10: %v", p.started["small"], p.started)
+		t.Errorf("the small team has %d of its 10 requests among the first 36 starts: %v", p.started["small"], p.started)
 	}
 }
 
-// Teams ask for work of unequal size. What they get must be equal in work, not
-// in requests: else a team with long schemas would take the pool from a team
-// with short questions by sending as many of them.
-func TestWorkIsSharedNotRequests(t *testing.T) {
-	p := newPool(t, fixed(2))
+// Capacity is shared by work, not by number of requests. Otherwise a team with short
+// prompts could take the pool from a team with long ones by sending as many requests.
+func TestSharesByWorkNotRequests(t *testing.T) {
+	p := newPool(t, fixedLimit(2))
 	for range 400 {
 		p.offer(start, Request{Team: "long", Cost: 9000})
 		p.offer(start, Request{Team: "short", Cost: 1000})
@@ -114,16 +113,16 @@
 	}
 	ratio := float64(p.started["short"]) / float64(p.started["long"])
 	if ratio < 8 || ratio > 10 {
-		t.Errorf("starts %v: %.1f short for each long one, want about 9", p.started, ratio)
+		t.Errorf("starts %v: %.1f short requests per long one, want about 9", p.started, ratio)
 	}
 }
 
-// A team had one long request running for a night while another worked. In the
-// morning it may not hold the pool for as long as it was away.
+// A team has one long request running while another team uses the pool. Its idle time
+// must not accumulate as credit that lets it occupy the pool for as long afterwards.
 func TestIdleTeamGetsNoCredit(t *testing.T) {
-	p := newPool(t, fixed(3))
+	p := newPool(t, fixedLimit(3))
 	p.offer(start, Request{Team: "morning", Cost: 1})
-	// It stays: finish ends only what is listed as running.
+	// The request keeps running: finish only ends the requests in p.running.
 	p.running = nil
 	for range 300 {
 		p.offer(start, Request{Team: "night", Cost: 1000})
@@ -139,34 +138,34 @@
 		p.finish(start)
 	}
 	if got := p.started["night"] - before; got < 18 {
-		t.Errorf("of 40 starts the team that had worked got %d", got)
+		t.Errorf("the busy team got %d of 40 starts, want at least 18", got)
 	}
 }
 
-func TestFloorsAndCeilings(t *testing.T) {
+func TestGuaranteedAndMaximumShares(t *testing.T) {
 	tests := []struct {
 		name   string
 		shares map[ident.Team]Share
 		offers map[ident.Team]int
-		// atLeast and atMost bound how many of ten places a team holds.
+		// atLeast and atMost bound the slots, of ten, that a team holds.
 		atLeast, atMost map[ident.Team]int
 	}{
-		{"ceiling holds while others wait",
+		{"maximum holds while another team waits",
 			map[ident.Team]Share{"a": {Maximum: 0.3}}, map[ident.Team]int{"a": 200, "b": 200},
 			map[ident.Team]int{"b": 7}, map[ident.Team]int{"a": 3}},
-		{"ceiling holds alone too",
+		{"maximum holds for the only team",
 			map[ident.Team]Share{"a": {Maximum: 0.5}}, map[ident.Team]int{"a": 200},
 			nil, map[ident.Team]int{"a": 5}},
-		{"floor is kept among many",
+		{"guaranteed share is kept among many teams",
 			map[ident.Team]Share{"a": {Guaranteed: 0.5}}, map[ident.Team]int{"a": 200, "b": 200, "c": 200, "d": 200, "e": 200},
 			map[ident.Team]int{"a": 5, "b": 1, "c": 1, "d": 1, "e": 1}, nil},
-		{"unused floor is lent",
+		{"unused guaranteed share is used by others",
 			map[ident.Team]Share{"a": {Guaranteed: 0.5}}, map[ident.Team]int{"b": 200},
 			map[ident.Team]int{"b": 10}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := newPool(t, fixed(10))
+			p := newPool(t, fixedLimit(10))
 			if err := p.SetShares(tt.shares); err != nil {
 				t.Fatal(err)
 			}
@@ -178,41 +177,41 @@
 			for range 100 {
 				p.finish(start)
 			}
-			holds := map[ident.Team]int{}
+			held := map[ident.Team]int{}
 			for _, r := range p.running {
-				holds[p.owner[r]]++
+				held[p.owner[r]]++
 			}
 			for team, want := range tt.atLeast {
-				if holds[team] < want {
-					t.Errorf("team %s holds %d places, want at least %d: %v", team, holds[team], want, holds)
+				if held[team] < want {
+					t.Errorf("team %s holds %d slots, want at least %d: %v", team, held[team], want, held)
 				}
 			}
 			for team, want := range tt.atMost {
-				if holds[team] > want {
-					t.Errorf("team %s holds %d places, want at most %d: %v", team, holds[team], want, holds)
+				if held[team] > want {
+					t.Errorf("team %s holds %d slots, want at most %d: %v", team, held[team], want, held)
 				}
 			}
 		})
 	}
-	if err := New(fixed(1)).SetShares(map[ident.Team]Share{"a": {Guaranteed: 0.7}, "b": {Guaranteed: 0.7}}); err == nil {
-		t.Error("floors above the whole pool were taken")
+	if err := New(fixedLimit(1)).SetShares(map[ident.Team]Share{"a": {Guaranteed: 0.7}, "b": {Guaranteed: 0.7}}); err == nil {
+		t.Error("guaranteed shares that exceed the pool were accepted")
 	}
 }
 
-// An overnight review with hours of slack waits while buyers call, and a place
-// stays free for the next buyer. When its own slack runs out, it is served as
-// urgent although buyers still call.
-func TestSlackGivesWayAndStillMeetsItsTarget(t *testing.T) {
-	p := newPool(t, fixed(4))
-	review := Request{Team: "night", Target: start.Add(time.Minute), Service: 10 * time.Second}
+// Requests with slack wait while urgent ones arrive, and leave one slot free
+// for the next urgent request. Once their slack has run out they are served as urgent
+// even though urgent requests still arrive.
+func TestRelaxedRequestsYieldUntilSlackRunsOut(t *testing.T) {
+	p := newPool(t, fixedLimit(4))
+	relaxed := Request{Team: "night", Target: start.Add(time.Minute), Service: 10 * time.Second}
 	for range 10 {
-		p.offer(start, review)
+		p.offer(start, relaxed)
 	}
 	if len(p.running) != 3 {
-		t.Fatalf("%d requests with slack run, want 3 of 4 places", len(p.running))
+		t.Fatalf("%d requests with slack are running, want 3 in 4 slots", len(p.running))
 	}
 	if verdict, _ := p.offer(start, Request{Team: "buyers"}); verdict != Granted {
-		t.Fatalf("a buyer got verdict %d beside waiting reviews", verdict)
+		t.Fatalf("an urgent request got verdict %d while requests with slack were queued", verdict)
 	}
 	for range 20 {
 		p.offer(start, Request{Team: "buyers"})
@@ -221,21 +220,21 @@
 		p.finish(start)
 	}
 	if got := p.started["night"]; got != 3 {
-		t.Errorf("%d reviews started while buyers waited", got)
+		t.Errorf("%d requests with slack started while urgent ones were queued, want 3", got)
 	}
-	turned := start.Add(50*time.Second - DefaultRelaxed)
+	slackGone := start.Add(50*time.Second - DefaultRelaxed)
 	for range 12 {
-		p.finish(turned)
+		p.finish(slackGone)
 	}
 	if got := p.started["night"]; got < 7 {
-		t.Errorf("%d reviews started although their slack has run out", got)
+		t.Errorf("%d requests with slack started by the time it had run out, want at least 7", got)
 	}
 }
 
-// Each refusal must come at once when it is known, say that nothing ran, and
-// give a time to come back. None may be given to a request that has started.
+// A refusal is returned as soon as its cause is known, states that nothing ran, and
+// carries a retry time. A refused request does not enter the queue.
 func TestRefusals(t *testing.T) {
-	small := fixed(1)
+	small := fixedLimit(1)
 	small.MaxQueued, small.MaxQueuedPerTeam, small.MaxTeams = 4, 2, 3
 	tests := []struct {
 		name   string
@@ -261,20 +260,20 @@
 				t.Fatalf("verdict %d, %v; want a refusal for %s", verdict, refusal, tt.reason)
 			}
 			if outcome.KindOf(refusal) != outcome.KindNotRun || refusal.RetryAfter <= 0 {
-				t.Errorf("refusal %+v is no not-run with a time to retry", refusal)
+				t.Errorf("refusal %+v is not a not-run outcome with a retry time", refusal)
 			}
 			if p.Status().Queued != queued {
-				t.Error("a refused request stays in the queue")
+				t.Error("a refused request changed the queue length")
 			}
 		})
 	}
 }
 
-// A request waits for a place that never comes. Wake names the latest start
-// that meets its deadline, and there Next refuses it: not earlier, when a place
-// could still come, and not later, when the caller waits in vain.
-func TestGivenUpAtTheLatestStart(t *testing.T) {
-	p := newPool(t, fixed(1))
+// No slot becomes free for a queued request. Wake returns the latest start that meets
+// its deadline, and Next refuses it exactly then: earlier a slot could still become
+// free, and later the caller would wait in vain.
+func TestRefusedAtLatestStart(t *testing.T) {
+	p := newPool(t, fixedLimit(1))
 	p.offer(start, Request{Team: "a"})
 	p.offer(start, Request{Team: "b", Deadline: start.Add(3 * time.Second), Service: time.Second})
 	latest := start.Add(2 * time.Second)
@@ -282,87 +281,88 @@
 		t.Fatalf("wake at %v, %v; want %v", wake, ok, latest)
 	}
 	if _, refusals := p.Next(latest.Add(-time.Millisecond)); len(refusals) != 0 {
-		t.Fatal("given up before the latest start")
+		t.Fatal("the request was refused before its latest start")
 	}
 	_, refusals := p.Next(latest)
 	if len(refusals) != 1 || refusals[0].NotRun.Reason != outcome.ReasonDeadline {
-		t.Fatalf("refusals %+v, want one for the deadline", refusals)
+		t.Fatalf("refusals %+v, want one with the deadline reason", refusals)
 	}
 	if _, ok := p.Wake(); ok {
-		t.Error("a wake-up is due although nothing waits")
+		t.Error("Wake returned a time although no request is queued")
 	}
 }
 
-// A caller hangs up while its request waits, and again while it runs. The
-// waiting one must never start; the running one keeps its place until Done,
-// because its work is under way, and a repeated Done frees no second place.
+// A caller disconnects while its request is queued, and again while it runs. The
+// queued request must never start. The running one keeps its slot until Done because
+// its work continues, and a repeated Done frees no second slot.
 func TestCancelAndDone(t *testing.T) {
-	p := newPool(t, fixed(1))
+	p := newPool(t, fixedLimit(1))
 	p.offer(start, Request{Team: "a"})
 	p.offer(start, Request{Team: "a"})
-	if !p.Cancel(id(2)) || p.Cancel(id(2)) {
-		t.Error("a waiting request is cancelled once")
+	if !p.Cancel(requestID(2)) || p.Cancel(requestID(2)) {
+		t.Error("a queued request must be cancelled exactly once")
 	}
-	if p.Cancel(id(1)) {
-		t.Error("a running request was cancelled as if it had not started")
+	if p.Cancel(requestID(1)) {
+		t.Error("a running request was cancelled")
 	}
-	if !p.Done(start, id(1)) || p.Done(start, id(1)) {
-		t.Error("a place is freed once")
+	if !p.Done(start, requestID(1)) || p.Done(start, requestID(1)) {
+		t.Error("a slot must be freed exactly once")
 	}
 	if s := p.Status(); s.Running != 0 || s.Queued != 0 || s.Teams != 0 {
-		t.Errorf("state is left behind: %+v", s)
+		t.Errorf("state remains after the last request: %+v", s)
 	}
 }
 
-// Random offers, ends, cancels and time. At every step the counts must add up,
-// no request may be granted twice or after a refusal, and the bounds hold.
-func TestBooksBalance(t *testing.T) {
+// Random offers, completions, cancellations and clock steps. The counts must add up
+// at every check, no request may be granted twice or after a refusal, and the bounds
+// must hold.
+func TestCountsAddUp(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	options := Options{MaxQueued: 40, MaxQueuedPerTeam: 10, MaxTeams: 8, Limit: LimitOptions{Initial: 6, Min: 2, Max: 20}}
 	c := New(options)
 	now := start
-	const waits, runs, over = 1, 2, 3
+	const stateQueued, stateRunning, stateEnded = 1, 2, 3
 	state := map[ident.Request]int{}
-	var known []ident.Request
+	var offered []ident.Request
 	move := func(r ident.Request, from, to int) {
 		t.Helper()
 		if state[r] != from {
-			t.Fatalf("request %v moves to %d from %d, not %d", r, to, state[r], from)
+			t.Fatalf("request %v moves to state %d from %d, want from %d", r, to, state[r], from)
 		}
 		state[r] = to
 	}
 	next := func() {
 		grants, refusals := c.Next(now)
 		for _, g := range grants {
-			move(g.ID, waits, runs)
+			move(g.ID, stateQueued, stateRunning)
 		}
 		for _, r := range refusals {
-			move(r.ID, waits, over)
+			move(r.ID, stateQueued, stateEnded)
 		}
 	}
 	for n := range 20_000 {
-		switch r := id(n + 1); random.IntN(4) {
+		switch r := requestID(n + 1); random.IntN(4) {
 		case 0, 1:
 			verdict, _, _ := c.Offer(now, Request{
 				ID: r, Team: ident.Team([]byte{byte('a' + random.IntN(12))}), Cost: random.Float64() * 100,
 				Target:   now.Add(time.Duration(random.IntN(20)) * time.Second),
 				Deadline: now.Add(time.Duration(1+random.IntN(30)) * time.Second), Service: time.Second,
 			})
-			known = append(known, r)
-			move(r, 0, map[Verdict]int{Granted: runs, Queued: waits, Refused: over}[verdict])
+			offered = append(offered, r)
+			move(r, 0, map[Verdict]int{Granted: stateRunning, Queued: stateQueued, Refused: stateEnded}[verdict])
 		case 2:
-			if len(known) > 0 {
-				r := known[random.IntN(len(known))]
+			if len(offered) > 0 {
+				r := offered[random.IntN(len(offered))]
 				if c.Done(now, r) {
-					move(r, runs, over)
+					move(r, stateRunning, stateEnded)
 				}
 				next()
 			}
 		case 3:
-			if len(known) > 0 {
-				r := known[random.IntN(len(known))]
+			if len(offered) > 0 {
+				r := offered[random.IntN(len(offered))]
 				if c.Cancel(r) {
-					move(r, waits, over)
+					move(r, stateQueued, stateEnded)
 				}
 			}
 			now = now.Add(time.Duration(random.IntN(300)) * time.Millisecond)
@@ -375,11 +375,11 @@
 				counts[s]++
 			}
 			s := c.Status()
-			if s.Queued != counts[waits] || s.Running != counts[runs] {
-				t.Fatalf("status %+v, but %d wait and %d run", s, counts[waits], counts[runs])
+			if s.Queued != counts[stateQueued] || s.Running != counts[stateRunning] {
+				t.Fatalf("status %+v, but %d requests are queued and %d are running", s, counts[stateQueued], counts[stateRunning])
 			}
 			if s.Queued > options.MaxQueued || s.Teams > options.MaxTeams {
-				t.Fatalf("bounds exceeded: %+v", s)
+				t.Fatalf("status exceeds the bounds: %+v", s)
 			}
 		}
 	}
--- a/admit/drain.go
+++ b/admit/drain.go
@@ -6,16 +6,16 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// drainRate is the smoothed rate at which places become free.
+// drainRate is the smoothed rate at which slots become free.
 type drainRate struct {
-	interval float64 // seconds between two, smoothed
+	interval float64 // smoothed time between two completions, seconds
 	last     time.Time
 }
 
 const (
 	drainGain = 0.05
-	// maxInterval bounds one gap, so that a quiet night does not predict hours
-	// of waiting for the first requests of the morning.
+	// maxInterval is the largest interval, in seconds, that counts. Without it, an
+	// idle period would make the predicted wait of the next requests hours long.
 	maxInterval = 1.0
 )
 
@@ -33,13 +33,14 @@
 	d.interval += drainGain * (gap - d.interval)
 }
 
-// wait predicts how long n places take to become free.
+// wait returns the predicted time until n slots have become free.
 func (d *drainRate) wait(n int) time.Duration {
 	return time.Duration(float64(n) * d.interval * float64(time.Second))
 }
 
-// predictedWait estimates the wait of a team's next urgent request: its own
-// requests ahead, each with one of every other waiting team between.
+// predictedWait returns the estimated wait of the team's next urgent request: the
+// team's queued urgent requests start one by one, each after one request of every
+// other waiting team.
 func (c *Controller) predictedWait(name ident.Team) time.Duration {
 	if c.running < c.limit.Value() {
 		return 0
@@ -48,17 +49,18 @@
 	if t := c.teams[name]; t != nil {
 		ahead += len(t.urgent.items.items)
 	}
-	between := ahead * max(1, len(c.urgent.items))
-	return c.drain.wait(min(between, c.queued+1))
+	turns := ahead * max(1, len(c.urgent.items))
+	return c.drain.wait(min(turns, c.queued+1))
 }
 
-// Bounds of the time after which a refused caller should come back.
+// Bounds of the retry time in a refusal.
 const (
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// retryAfter predicts when n waiting requests have started.
+// retryAfter returns the predicted time until n queued requests have started, within
+// the bounds.
 func (c *Controller) retryAfter(n int) time.Duration {
 	return min(max(c.drain.wait(n), minRetryAfter), maxRetryAfter)
 }
--- a/admit/heap.go
+++ b/admit/heap.go
@@ -1,59 +1,59 @@
 package admit
 
-// indexed is an element that knows its place in one heap, so that it can be
-// moved or removed in logarithmic time. The place is -1 outside the heap.
+// indexed is a heap element that stores its own index, so that it can be moved or
+// removed in logarithmic time. The index is -1 while the element is in no heap.
 type indexed interface {
-	place() *int
+	heapIndex() *int
 }
 
-// heapOf is a binary heap of elements ordered by less.
-type heapOf[T indexed] struct {
+// indexedHeap is a binary heap; the smallest element by less is on top.
+type indexedHeap[T indexed] struct {
 	items []T
 	less  func(a, b T) bool
 }
 
-func (h *heapOf[T]) empty() bool { return len(h.items) == 0 }
+func (h *indexedHeap[T]) empty() bool { return len(h.items) == 0 }
 
-func (h *heapOf[T]) top() T { return h.items[0] }
+func (h *indexedHeap[T]) top() T { return h.items[0] }
 
-func (h *heapOf[T]) push(item T) {
-	*item.place() = len(h.items)
+func (h *indexedHeap[T]) push(item T) {
+	*item.heapIndex() = len(h.items)
 	h.items = append(h.items, item)
 	h.up(len(h.items) - 1)
 }
 
-func (h *heapOf[T]) remove(item T) {
-	at := *item.place()
+func (h *indexedHeap[T]) remove(item T) {
+	at := *item.heapIndex()
 	if at < 0 {
 		return
 	}
 	last := len(h.items) - 1
 	h.swap(at, last)
-	var none T
-	h.items[last] = none
+	var zero T
+	h.items[last] = zero
 	h.items = h.items[:last]
-	*item.place() = -1
+	*item.heapIndex() = -1
 	if at < last {
 		h.down(at)
 		h.up(at)
 	}
 }
 
-// fix restores the order after an element's key has changed.
-func (h *heapOf[T]) fix(item T) {
-	if at := *item.place(); at >= 0 {
+// fix restores the heap order after the element's key has changed.
+func (h *indexedHeap[T]) fix(item T) {
+	if at := *item.heapIndex(); at >= 0 {
 		h.down(at)
 		h.up(at)
 	}
 }
 
-func (h *heapOf[T]) swap(i, j int) {
+func (h *indexedHeap[T]) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	*h.items[i].place() = i
-	*h.items[j].place() = j
+	*h.items[i].heapIndex() = i
+	*h.items[j].heapIndex() = j
 }
 
-func (h *heapOf[T]) up(i int) {
+func (h *indexedHeap[T]) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.less(h.items[i], h.items[parent]) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (h *heapOf[T]) down(i int) {
+func (h *indexedHeap[T]) down(i int) {
 	for {
 		child := 2*i + 1
 		if child >= len(h.items) {
--- a/admit/limit.go
+++ b/admit/limit.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// LimitOptions configure a Limit. The zero value of each field takes the
-// default.
+// LimitOptions configures a Limit. A zero field takes its default.
 type LimitOptions struct {
 	Initial, Min, Max int
-	// Tolerance is how many times the prediction the first token may take
-	// before the limit falls.
+	// Tolerance is the smoothed ratio of measured to predicted time to first token
+	// above which the limit is lowered.
 	Tolerance float64
-	// Window is the least time between two changes downwards: what was sent
-	// before a change says nothing about it.
+	// Window is the minimum time between two reductions: requests sent before a
+	// reduction do not show its effect.
 	Window time.Duration
 }
 
@@ -23,22 +22,24 @@
 	DefaultWindow    = 500 * time.Millisecond
 )
 
-// backOff is the factor of a change downwards, and maxBackOff the largest.
+// decreaseFactor is the largest factor by which one reduction multiplies the limit,
+// and minDecreaseFactor the smallest that a slow first token causes.
 const (
-	backOff    = 0.9
-	maxBackOff = 0.5
+	decreaseFactor    = 0.9
+	minDecreaseFactor = 0.5
 )
 
-// Limit adapts how many requests may run at once from how their measured first
-// token compares with the prediction. It grows by one for each round of
-// requests while the limit is in use and predictions hold, and falls by the
-// ratio of predicted to measured when they don't.
+// Limit is an adaptive limit on the requests that run at the same time. It compares
+// each measured time to first token with its prediction: while the predictions hold
+// and at least half of the limit is in use, it grows by one per limit's worth of
+// requests; when the smoothed ratio exceeds the tolerance, it shrinks by tolerance
+// over ratio.
 type Limit struct {
 	options LimitOptions
 	value   float64
-	// ratio is the smoothed measured over predicted time.
-	ratio   float64
-	changed time.Time
+	// ratio is the smoothed ratio of measured to predicted time.
+	ratio     float64
+	loweredAt time.Time
 }
 
 // NewLimit returns a Limit at its initial value.
@@ -63,25 +64,26 @@
 	return &Limit{options: o, value: float64(initial), ratio: 1}
 }
 
-// Value returns how many requests may run at once.
+// Value returns the number of requests that may run at the same time.
 func (l *Limit) Value() int { return int(l.value) }
 
-// ratioGain is the weight of one measurement in the smoothed ratio, and
-// maxRatio bounds one measurement, so that a single stalled request does not
-// halve the limit.
+// ratioGain is the weight of one measurement in the smoothed ratio, and maxRatio
+// bounds one measurement, so that a single stalled request does not halve the limit.
 const (
 	ratioGain = 0.1
 	maxRatio  = 8
-	// noFloor keeps the ratio of two tiny times from looking like overload.
-	noFloor = 20 * time.Millisecond
+	// ratioOffset is added to both times, so that the ratio of two very short ones
+	// does not look like overload.
+	ratioOffset = 20 * time.Millisecond
 )
 
-// Observe takes in one first token. inFlight is how many requests ran then.
+// Observe records one time to first token. inFlight is the number of requests that
+// were running.
 func (l *Limit) Observe(now time.Time, predicted, measured time.Duration, inFlight int) {
-	ratio := min((measured+noFloor).Seconds()/(predicted+noFloor).Seconds(), maxRatio)
+	ratio := min((measured+ratioOffset).Seconds()/(predicted+ratioOffset).Seconds(), maxRatio)
 	l.ratio += ratioGain * (ratio - l.ratio)
 	if l.ratio > l.options.Tolerance {
-		l.lower(now, max(l.options.Tolerance/l.ratio, maxBackOff))
+		l.lower(now, max(l.options.Tolerance/l.ratio, minDecreaseFactor))
 		return
 	}
 	if 2*inFlight >= l.Value() {
@@ -89,13 +91,13 @@
 	}
 }
 
-// Overloaded takes in that an upstream refused for want of room.
-func (l *Limit) Overloaded(now time.Time) { l.lower(now, backOff) }
+// Overloaded records that an upstream refused a request for lack of capacity.
+func (l *Limit) Overloaded(now time.Time) { l.lower(now, decreaseFactor) }
 
 func (l *Limit) lower(now time.Time, factor float64) {
-	if now.Sub(l.changed) < l.options.Window {
+	if now.Sub(l.loweredAt) < l.options.Window {
 		return
 	}
-	l.changed = now
-	l.value = max(l.value*min(factor, backOff), float64(l.options.Min))
+	l.loweredAt = now
+	l.value = max(l.value*min(factor, decreaseFactor), float64(l.options.Min))
 }
--- a/admit/limit_test.go
+++ b/admit/limit_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// An upstream slows down, for example because others send to it as well. The
-// limit must fall while first tokens come late, not below its minimum, and grow
-// again once predictions hold and the limit is in use.
-func TestLimitFollowsMeasuredAgainstPredicted(t *testing.T) {
+// An upstream slows down, for example because others send to it as well. The limit
+// must fall while first tokens are late, stay at or above its minimum, and grow again
+// once the predictions hold and the limit is in use.
+func TestLimitAdaptsToFirstTokenTimes(t *testing.T) {
 	l := NewLimit(LimitOptions{Initial: 100, Min: 10})
 	now := start
 	step := func(n int, measured time.Duration) {
@@ -20,12 +20,12 @@
 	step(2000, 500*time.Millisecond)
 	grown := l.Value()
 	if grown <= 100 {
-		t.Errorf("limit %d did not grow while predictions held", grown)
+		t.Errorf("limit %d, want growth above 100 while the predictions held", grown)
 	}
 	step(500, 5*time.Second)
 	fallen := l.Value()
 	if fallen > grown/2 {
-		t.Errorf("limit fell from %d to %d only", grown, fallen)
+		t.Errorf("limit fell only from %d to %d", grown, fallen)
 	}
 	step(5000, 20*time.Second)
 	if l.Value() != 10 {
@@ -33,11 +33,11 @@
 	}
 	step(2000, 500*time.Millisecond)
 	if l.Value() <= 10 {
-		t.Error("limit did not recover")
+		t.Error("limit did not grow again after the slowdown")
 	}
 }
 
-func TestLimitStandsStill(t *testing.T) {
+func TestLimitStaysUnchanged(t *testing.T) {
 	tests := []struct {
 		name     string
 		measured time.Duration
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -7,75 +7,77 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// item is one request that waits or runs.
+// item is a queued or running request.
 type item struct {
 	Request
-	team    *team
-	offered time.Time
-	// giveUp is the latest start that still meets the deadline, and turnAt the
-	// time when a request with slack has none left.
-	giveUp, turnAt time.Time
-	relaxed        bool
-	started        bool
-	at             int // in the lane's heap
-	expire, turn   ticket
+	team      *team
+	offeredAt time.Time
+	// latestStart is the latest start that still meets the deadline, and promoteAt
+	// the time at which a relaxed request becomes urgent because its slack has run
+	// out.
+	latestStart, promoteAt time.Time
+	relaxed                bool
+	started                bool
+	at                     int // index in the heap of the teamQueue
+	expire, promote        timedItem
 }
 
-func (it *item) place() *int { return &it.at }
+func (it *item) heapIndex() *int { return &it.at }
 
-// relaxedAt tells whether the request has slack at a time.
-func (it *item) relaxedAt(now time.Time) bool { return now.Before(it.turnAt) }
+// relaxedAt reports whether the request has slack at now.
+func (it *item) relaxedAt(now time.Time) bool { return now.Before(it.promoteAt) }
 
 func itemLess(a, b *item) bool {
 	if !a.Target.Equal(b.Target) {
 		return a.Target.Before(b.Target)
 	}
-	return a.offered.Before(b.offered)
+	return a.offeredAt.Before(b.offeredAt)
 }
 
-// ticket places an item in one of the heaps by time.
-type ticket struct {
+// timedItem is an item's entry in one of the heaps ordered by time.
+type timedItem struct {
 	item  *item
 	at    time.Time
 	index int
 }
 
-func (t *ticket) place() *int { return &t.index }
+func (t *timedItem) heapIndex() *int { return &t.index }
 
-func ticketLess(a, b *ticket) bool { return a.at.Before(b.at) }
+func timedItemLess(a, b *timedItem) bool { return a.at.Before(b.at) }
 
-// lane holds a team's waiting requests of one kind, urgent or relaxed.
-type lane struct {
+// teamQueue holds the queued requests of one team and one kind, urgent or relaxed.
+type teamQueue struct {
 	team  *team
-	items heapOf[*item]
+	items indexedHeap[*item]
 	at    int
 }
 
-func (l *lane) place() *int { return &l.at }
+func (q *teamQueue) heapIndex() *int { return &q.at }
 
-// laneLess serves teams below their floor first, then by start tag.
-func laneLess(a, b *lane) bool {
-	if a.team.belowFloor != b.team.belowFloor {
-		return a.team.belowFloor
+// teamQueueLess orders teams below their guaranteed share first, then by start tag.
+func teamQueueLess(a, b *teamQueue) bool {
+	if a.team.belowGuaranteed != b.team.belowGuaranteed {
+		return a.team.belowGuaranteed
 	}
-	if a.team.tag != b.team.tag {
-		return a.team.tag < b.team.tag
+	if a.team.startTag != b.team.startTag {
+		return a.team.startTag < b.team.startTag
 	}
 	return a.team.name < b.team.name
 }
 
-// team is a team with waiting or running requests.
+// team is the state of a team that has queued or running requests.
 type team struct {
 	name            ident.Team
 	share           Share
-	urgent, relaxed lane
+	urgent, relaxed teamQueue
 	queued, running int
-	// tag is the virtual time at which the team's next request starts.
-	tag        float64
-	belowFloor bool
+	// startTag is the virtual time at which the team's next request starts.
+	startTag        float64
+	belowGuaranteed bool
 }
 
-// teamOf returns the state of a team, or nil when there are too many.
+// teamOf returns the state of the named team, creating it if needed, or nil if there
+// are already MaxTeams teams.
 func (c *Controller) teamOf(name ident.Team) *team {
 	if t := c.teams[name]; t != nil {
 		return t
@@ -83,16 +85,16 @@
 	if len(c.teams) >= c.options.MaxTeams {
 		return nil
 	}
-	t := &team{name: name, share: c.share(name), tag: c.virtual}
-	t.urgent = lane{team: t, items: heapOf[*item]{less: itemLess}, at: -1}
-	t.relaxed = lane{team: t, items: heapOf[*item]{less: itemLess}, at: -1}
+	t := &team{name: name, share: c.share(name), startTag: c.virtualTime}
+	t.urgent = teamQueue{team: t, items: indexedHeap[*item]{less: itemLess}, at: -1}
+	t.relaxed = teamQueue{team: t, items: indexedHeap[*item]{less: itemLess}, at: -1}
 	c.teams[name] = t
 	return t
 }
 
-// release forgets a team that neither waits nor runs. A team that is ahead of
-// the virtual time is kept only while it runs: forgetting it then gives back at
-// most the work of one request, and the map stays as small as what is active.
+// release removes a team without queued or running requests. This discards a start
+// tag ahead of the virtual time, which returns to the team at most the work of one
+// request and keeps the map as small as the number of active teams.
 func (c *Controller) release(t *team) {
 	if t.queued == 0 && t.running == 0 {
 		delete(c.teams, t.name)
@@ -105,115 +107,117 @@
 	if deadline.IsZero() {
 		deadline = now.Add(c.options.MaxWait + req.Service)
 	}
-	it := &item{Request: req, offered: now, at: -1}
-	it.giveUp = deadline.Add(-req.Service)
-	it.turnAt = req.Target.Add(-req.Service - c.options.Relaxed)
+	it := &item{Request: req, offeredAt: now, at: -1}
+	it.latestStart = deadline.Add(-req.Service)
+	it.promoteAt = req.Target.Add(-req.Service - c.options.Relaxed)
 	it.relaxed = it.relaxedAt(now)
-	it.expire = ticket{item: it, at: it.giveUp, index: -1}
-	it.turn = ticket{item: it, at: it.turnAt, index: -1}
+	it.expire = timedItem{item: it, at: it.latestStart, index: -1}
+	it.promote = timedItem{item: it, at: it.promoteAt, index: -1}
 	return it
 }
 
 func (c *Controller) enqueue(now time.Time, t *team, it *item) {
 	it.team = t
 	c.byID[it.ID] = it
-	if t.queued == 0 && t.tag < c.virtual {
-		// A team that was idle gets no credit for it: else it could hold the
-		// pool for as long as it was away.
-		t.tag = c.virtual
+	if t.queued == 0 && t.startTag < c.virtualTime {
+		// An idle team accumulates no credit: otherwise it could occupy the pool for
+		// as long as it was idle.
+		t.startTag = c.virtualTime
 	}
 	t.queued++
 	c.queued++
-	c.expiring.push(&it.expire)
+	c.expirations.push(&it.expire)
 	if it.relaxed {
-		c.turning.push(&it.turn)
+		c.promotions.push(&it.promote)
 		t.relaxed.items.push(it)
 	} else {
 		t.urgent.items.push(it)
 	}
-	c.place(t)
+	c.reorder(t)
 }
 
-// turn moves requests whose slack has run out to the urgent lane.
-func (c *Controller) turn(now time.Time) {
-	for !c.turning.empty() && !now.Before(c.turning.top().at) {
-		it := c.turning.top().item
-		c.turning.remove(&it.turn)
+// promote moves the relaxed requests whose slack has run out to their team's urgent
+// queue.
+func (c *Controller) promote(now time.Time) {
+	for !c.promotions.empty() && !now.Before(c.promotions.top().at) {
+		it := c.promotions.top().item
+		c.promotions.remove(&it.promote)
 		it.team.relaxed.items.remove(it)
 		it.relaxed = false
 		it.team.urgent.items.push(it)
-		c.place(it.team)
+		c.reorder(it.team)
 	}
 }
 
-// drop takes a waiting request out of all queues.
+// drop removes a queued request permanently.
 func (c *Controller) drop(it *item) {
-	c.unqueue(it)
+	c.dequeue(it)
 	delete(c.byID, it.ID)
 	c.release(it.team)
 }
 
-func (c *Controller) unqueue(it *item) {
+func (c *Controller) dequeue(it *item) {
 	t := it.team
 	if it.relaxed {
 		t.relaxed.items.remove(it)
 	} else {
 		t.urgent.items.remove(it)
 	}
-	c.expiring.remove(&it.expire)
-	c.turning.remove(&it.turn)
+	c.expirations.remove(&it.expire)
+	c.promotions.remove(&it.promote)
 	t.queued--
 	c.queued--
-	c.place(t)
+	c.reorder(t)
 }
 
-// place puts a team's lanes where they belong after a change of its counts.
-func (c *Controller) place(t *team) {
+// reorder updates the position of a team's queues in the heaps after a change of its
+// counts or share. A team at its maximum share is in neither heap.
+func (c *Controller) reorder(t *team) {
 	limit := float64(c.limit.Value())
-	t.belowFloor = float64(t.running) < t.share.Guaranteed*limit
-	atCeiling := t.running > 0 && float64(t.running) >= t.share.Maximum*limit
-	placeLane(&c.urgent, &t.urgent, atCeiling)
-	placeLane(&c.relaxed, &t.relaxed, atCeiling)
+	t.belowGuaranteed = float64(t.running) < t.share.Guaranteed*limit
+	atMaximum := t.running > 0 && float64(t.running) >= t.share.Maximum*limit
+	reorderQueue(&c.urgent, &t.urgent, atMaximum)
+	reorderQueue(&c.relaxed, &t.relaxed, atMaximum)
 }
 
-func placeLane(h *heapOf[*lane], l *lane, atCeiling bool) {
-	wanted := !l.items.empty() && !atCeiling
+func reorderQueue(h *indexedHeap[*teamQueue], q *teamQueue, atMaximum bool) {
+	eligible := !q.items.empty() && !atMaximum
 	switch {
-	case wanted && l.at < 0:
-		h.push(l)
-	case wanted:
-		h.fix(l)
+	case eligible && q.at < 0:
+		h.push(q)
+	case eligible:
+		h.fix(q)
 	default:
-		h.remove(l)
+		h.remove(q)
 	}
 }
 
-// grantNext starts the next request if a place is free. When only is set it
-// starts that request or none.
+// grantNext starts the next request if a slot is free. If only is not nil, it starts
+// that request or none.
 func (c *Controller) grantNext(now time.Time, only *item) (Grant, bool) {
-	l := c.nextLane()
-	if l == nil {
+	q := c.nextQueue()
+	if q == nil {
 		return Grant{}, false
 	}
-	it := l.items.top()
+	it := q.items.top()
 	if only != nil && it != only {
 		return Grant{}, false
 	}
 	t := it.team
-	c.unqueue(it)
+	c.dequeue(it)
 	it.started = true
 	c.running++
 	if it.relaxed {
 		c.runningRelaxed++
 	}
 	t.running++
-	c.virtual = max(c.virtual, t.tag)
-	t.tag += it.Cost
-	c.place(t)
-	return Grant{ID: it.ID, Priority: c.priority(now, it), Waited: now.Sub(it.offered)}, true
+	c.virtualTime = max(c.virtualTime, t.startTag)
+	t.startTag += it.Cost
+	c.reorder(t)
+	return Grant{ID: it.ID, Priority: c.priority(now, it), Waited: now.Sub(it.offeredAt)}, true
 }
 
-func (c *Controller) nextLane() *lane {
+func (c *Controller) nextQueue() *teamQueue {
 	limit := c.limit.Value()
 	if c.running >= limit {
 		return nil
@@ -228,23 +232,23 @@
 	return nil
 }
 
-// priority orders requests in the engines by when they must start, in Unix
-// milliseconds, so that the values of all entries compare. A request that is
-// past its target does not overtake one that can still meet it: under overload,
-// pure earliest-due-first would serve only those which are late anyway.
+// priority returns the time at which a request must start, in Unix milliseconds, so
+// that the values of all entries are comparable in an engine's queue. A request past
+// its target does not overtake those that can still meet theirs: under overload, pure
+// earliest-deadline-first would serve only requests that are late anyway.
 func (c *Controller) priority(now time.Time, it *item) int {
-	left := it.Target.Sub(now) - it.Service
-	if left < 0 {
-		left = lateSlack
+	slack := it.Target.Sub(now) - it.Service
+	if slack < 0 {
+		slack = lateSlack
 	}
-	return int(now.Add(min(left, maxPriority)).UnixMilli())
+	return int(now.Add(min(slack, maxSlack)).UnixMilli())
 }
 
 const (
-	// lateSlack ranks requests past their target beside those with this slack.
+	// lateSlack is the slack as which a request past its target counts.
 	lateSlack = 100 * time.Millisecond
-	// maxPriority bounds the priority of work with much slack.
-	maxPriority = time.Hour
+	// maxSlack bounds the slack that counts in the priority.
+	maxSlack = time.Hour
 )
 
 func (c *Controller) refuse(reason outcome.Reason, detail string, retry time.Duration) *outcome.NotRun {
--- a/admit/types.go
+++ b/admit/types.go
@@ -1,14 +1,14 @@
-// Package admit decides which waiting request may start next and which is
+// Package admit decides which queued request may start next and which requests are
 // refused.
 //
-// A Controller guards one pool: the upstreams of one model, or one plain
-// service, as far as this daemon sends to them. Requests that can't start at
-// once wait in bounded queues, one for each team. Between teams it keeps
-// start-time fair queueing over the work that they ask for, with floors and
-// ceilings as shares of the pool; within a team the request that must start
-// soonest goes first. Requests with slack wait behind those without until their
-// own slack runs out. Whatever can't start in time is refused as soon as that
-// is known, and a refusal is always true: nothing of it was sent.
+// A Controller admits requests to one pool: the upstreams of one model, or one plain
+// service, as far as this daemon sends to them. Requests that cannot start
+// immediately wait in bounded queues, one per team. Teams share the pool by
+// start-time fair queueing over the requested work, within guaranteed and maximum
+// shares of the pool; within a team the request that must start soonest goes first.
+// Requests with slack wait behind those without until their own slack runs out. A
+// request that cannot start in time is refused as soon as that is known, and a
+// refusal guarantees that no part of the request was sent.
 package admit
 
 import (
@@ -18,75 +18,78 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Request asks for a place.
+// Request is a request for a slot in the pool.
 type Request struct {
 	ID    ident.Request
 	Team  ident.Team
 	Class ident.Class
-	// Cost is the work asked for, in any unit that is the same for all teams
-	// of a pool, for example tokens to compute. Less than one counts as one.
+	// Cost is the requested work, in a unit that all teams of the pool share, for
+	// example tokens to compute. Values below 1 count as 1.
 	Cost float64
-	// Target is when the class target wants the first token.
+	// Target is the time by which the class target requires the first token.
 	Target time.Time
-	// Deadline is when the first token is of no more use; zero means MaxWait
-	// after the offer.
+	// Deadline is the time after which the first token is useless. Zero means MaxWait
+	// plus Service after the offer.
 	Deadline time.Time
 	// Service is the predicted time from the start to the first token.
 	Service time.Duration
 }
 
-// Share is the part of a pool that a team may count on and may use at most, as
-// fractions of the pool's limit. A zero Ceiling means 1.
+// Share is the share of a pool that is guaranteed to a team and the maximum share
+// that the team may use, as fractions of the pool's limit. A zero Maximum means 1.
 type Share struct {
 	Guaranteed, Maximum float64
 }
 
-// Grant lets a request start.
+// Grant permits a request to start.
 type Grant struct {
 	ID ident.Request
-	// Priority is for the engine's queue; a lower value runs sooner.
+	// Priority is the request's priority in the engine's queue; lower values run
+	// sooner.
 	Priority int
-	// Waited is the time since the offer.
+	// Waited is the time from the offer to the grant.
 	Waited time.Duration
 }
 
-// Refusal ends a request that never started.
+// Refusal is the final outcome of a request that never started.
 type Refusal struct {
 	ID     ident.Request
 	NotRun *outcome.NotRun
 }
 
-// Verdict is the immediate answer to an offer.
+// Verdict is the immediate result of an offer.
 type Verdict uint8
 
-// The verdicts.
+// Values of Verdict.
 const (
 	// Granted means the request may start now.
 	Granted Verdict = iota + 1
-	// Queued means that a later call of Next grants or refuses it.
+	// Queued means that a later call of Next grants or refuses the request.
 	Queued
-	// Refused means that it was not run and never will be.
+	// Refused means that the request was not run and never will be.
 	Refused
 )
 
-// ReasonQueueFull says that the queues of the pool are full, whatever the team.
+// ReasonQueueFull is the reason of a refusal because the pool's queues are full or
+// too many teams are active.
 const ReasonQueueFull outcome.Reason = "queue-full"
 
-// Options configure a Controller. The zero value of each field takes the
-// default.
+// Options configures a Controller. A zero field takes its default.
 type Options struct {
-	// MaxQueued and MaxQueuedPerTeam bound the waiting requests.
+	// MaxQueued bounds the queued requests of the pool, MaxQueuedPerTeam those of one
+	// team.
 	MaxQueued, MaxQueuedPerTeam int
-	// MaxTeams bounds the teams that wait or run at one time.
+	// MaxTeams bounds the teams with queued or running requests.
 	MaxTeams int
 	// MaxWait bounds the wait of a request without a deadline.
 	MaxWait time.Duration
-	// Relaxed is the slack beyond which a request waits behind those with less.
+	// Relaxed is the slack above which a request counts as relaxed and waits behind
+	// urgent ones.
 	Relaxed time.Duration
-	// RelaxedShare is the part of the limit that requests with slack may fill,
-	// so that one without slack finds room.
+	// RelaxedShare is the fraction of the limit that relaxed requests may fill, so
+	// that an urgent request finds a free slot.
 	RelaxedShare float64
-	// Limit configures how many requests run at once.
+	// Limit configures the limit on running requests.
 	Limit LimitOptions
 }
 
