--- a/retry/budget.go
+++ b/retry/budget.go
@@ -6,17 +6,19 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// BudgetOptions bound how many attempts beyond the first are made.
+// BudgetOptions configures the budgets for attempts beyond the first.
 type BudgetOptions struct {
-	// Ratio is how many further attempts each first attempt pays for.
+	// Ratio is the number of further attempts that each first attempt adds to the
+	// budget.
 	Ratio float64
-	// Burst is the most further attempts saved up.
+	// Burst is the maximum number of further attempts that a budget holds.
 	Burst float64
-	// MaxTeams bounds the budgets kept; teams beyond it share one.
+	// MaxTeams bounds the number of team budgets; further teams share one per class.
 	MaxTeams int
 }
 
-// DefaultBudgetOptions allow one further attempt for 12.5 first ones.
+// DefaultBudgetOptions returns options that allow one further attempt per 12.5 first
+// attempts.
 func DefaultBudgetOptions() BudgetOptions {
 	return BudgetOptions{Ratio: 0.08, Burst: 10, MaxTeams: 4096}
 }
@@ -26,9 +28,9 @@
 	class ident.Class
 }
 
-// Budgets keeps one token bucket for each class and one for each team in it.
-// A further attempt needs a token from both, so that neither a failing class
-// nor a failing team's requests multiply. It is not safe for concurrent use.
+// Budgets holds one token bucket per class and one per team and class. A further
+// attempt needs a token from both, so that neither a failing class nor a failing team
+// multiplies its requests. It is not safe for concurrent use.
 type Budgets struct {
 	options BudgetOptions
 	classes map[ident.Class]float64
@@ -70,14 +72,15 @@
 	return tokens
 }
 
-// First accounts for a request's first attempt.
+// First adds a first attempt to the budgets of the team and the class.
 func (b *Budgets) First(team ident.Team, class ident.Class) {
 	key := b.key(team, class)
 	b.classes[class] = math.Min(b.options.Burst, b.classTokens(class)+b.options.Ratio)
 	b.teams[key] = math.Min(b.options.Burst, b.teamTokens(key)+b.options.Ratio)
 }
 
-// Take draws one further attempt and reports whether the budgets allow it.
+// Take takes one token from the budgets of the team and the class, and reports
+// whether the attempt is allowed.
 func (b *Budgets) Take(team ident.Team, class ident.Class) bool {
 	key := b.key(team, class)
 	if b.classTokens(class) < 1 || b.teamTokens(key) < 1 {
@@ -90,7 +93,7 @@
 	return true
 }
 
-// BudgetStats counts the draws.
+// BudgetStats counts the further attempts that were granted and denied.
 type BudgetStats struct {
 	Granted uint64
 	Denied  uint64
--- a/retry/classify.go
+++ b/retry/classify.go
@@ -6,43 +6,44 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Evidence is what was seen of one attempt on its connection.
+// Evidence is what was observed of one attempt on its connection.
 type Evidence struct {
-	// DialFailed tells that no connection came about.
+	// DialFailed is set if no connection was established.
 	DialFailed bool
-	// Wrote tells that at least one byte of the request was handed to the
-	// connection. It must be true whenever that can't be ruled out.
+	// Wrote is set if at least one byte of the request was handed to the connection.
+	// It must be set unless that can be ruled out.
 	Wrote bool
-	// Refused tells that the upstream itself stated, for this request and
-	// attempt, that it did not run it.
+	// Refused is set if the upstream itself stated, for this request and attempt,
+	// that it did not run it.
 	Refused bool
-	// Answered tells that an answer's status and header arrived.
+	// Answered is set if the status and header of an answer arrived.
 	Answered bool
 	// Status is the answer's HTTP status.
 	Status int
-	// Complete tells that the answer arrived in full and matched the attempt.
+	// Complete is set if the complete answer arrived and matched the attempt.
 	Complete bool
-	// Mismatched tells that the answer named another request or attempt.
+	// Mismatched is set if the answer named another request or attempt.
 	Mismatched bool
-	// TimedOut tells that the attempt's deadline ended it.
+	// TimedOut is set if the attempt was ended by its deadline.
 	TimedOut bool
-	// CallerGone tells that the caller went away.
+	// CallerGone is set if the caller disconnected.
 	CallerGone bool
 	// Cause is the error that ended the attempt, if any.
 	Cause error
 }
 
-const firstErrorStatus = 500
+const minErrorStatus = 500
 
-// Classify returns nil when the attempt is done, else *outcome.NotRun,
-// *outcome.Failed or *outcome.Unknown. It says not-run only on proof.
+// Classify returns nil if the attempt succeeded, else *outcome.NotRun,
+// *outcome.Failed or *outcome.Unknown. It returns NotRun only if the evidence proves
+// that the request did not run.
 func Classify(e Evidence) error {
 	switch {
 	case e.Mismatched:
 		return &outcome.Unknown{Reason: outcome.ReasonBadAnswer, Detail: "the answer names another request"}
 	case e.Refused:
 		return &outcome.NotRun{Reason: outcome.ReasonRefused, Detail: "the upstream states that it did not run the request"}
-	case e.Complete && e.Status >= firstErrorStatus:
+	case e.Complete && e.Status >= minErrorStatus:
 		detail := fmt.Sprintf("the upstream answered with status %d", e.Status)
 		return &outcome.Failed{Reason: outcome.ReasonUpstreamError, Detail: detail, Status: e.Status}
 	case e.Complete:
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -9,19 +9,20 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Options of a Policy.
+// Options configures a Policy.
 type Options struct {
-	// MaxAttempts bounds the sends of one request, the first included.
+	// MaxAttempts bounds the attempts of one request, including the first.
 	MaxAttempts int
-	// BaseDelay and MaxDelay bound the exponential back-off.
+	// BaseDelay is the bound of the first backoff delay, which doubles with each
+	// attempt up to MaxDelay.
 	BaseDelay time.Duration
 	MaxDelay  time.Duration
-	// MinAttempt is the shortest time an attempt is given, and AttemptFactor
-	// how many times the predicted time.
+	// MinAttempt is the minimum timeout of an attempt; AttemptFactor is the
+	// timeout as a multiple of the predicted time.
 	MinAttempt    time.Duration
 	AttemptFactor float64
-	// MinWork is the least time that must remain to the deadline for another
-	// attempt to be worth its cost.
+	// MinWork is the minimum time to the deadline for which another attempt is worth
+	// its cost.
 	MinWork time.Duration
 }
 
@@ -37,38 +38,38 @@
 	}
 }
 
-// Call is what a Policy must know of a request.
+// Call describes a request to a Policy.
 type Call struct {
 	Team  ident.Team
 	Class ident.Class
-	// Repeatable tells that running the request twice is harmless.
+	// Repeatable is set if running the request twice is harmless.
 	Repeatable bool
-	// Attempts counts the sends so far.
+	// Attempts is the number of attempts sent so far.
 	Attempts int
-	// Deadline is when the caller needs the answer; zero means none.
+	// Deadline is the time by which the caller needs the answer; zero means none.
 	Deadline time.Time
-	// Expected is the predicted time to the answer of another attempt.
+	// Expected is the predicted time until the answer of another attempt.
 	Expected time.Duration
 }
 
-// Action is what to do next.
+// Action is the next step after a failed attempt.
 type Action uint8
 
-// The actions.
+// Values of Action.
 const (
-	// ActionAnswer gives the caller the outcome as it stands.
+	// ActionAnswer returns the outcome to the caller.
 	ActionAnswer Action = iota
 	// ActionRetry sends another attempt after Delay.
 	ActionRetry
 )
 
-// Decision says what follows a failed attempt.
+// Decision is the result of Policy.Next.
 type Decision struct {
 	Action Action
 	Delay  time.Duration
-	// Err is the caller's outcome when the action is ActionAnswer.
+	// Err is the outcome for the caller if Action is ActionAnswer, else nil.
 	Err error
-	// At is when the decision was made, Slack the time left to the deadline.
+	// At is the time of the decision, Slack the time from then to the deadline.
 	At    time.Time
 	Slack time.Duration
 }
@@ -84,14 +85,15 @@
 	return &Policy{options: options, budgets: budgets}
 }
 
-// Next decides after an attempt ended with err, an outcome of package outcome.
+// Next decides what follows an attempt that ended with err, an outcome of package
+// outcome.
 //
-// A request that certainly did not run may be sent again whatever its kind,
-// but a call that may not be repeated has its claim for one send only, so it
-// is retried here only on proof that no byte left.
+// A request that certainly did not run may be sent again whether or not it is
+// repeatable. A call that is not repeatable holds its at-most-once claim for a single
+// send, so it is retried here only on such proof.
 func (p *Policy) Next(now time.Time, call Call, err error, random *rand.Rand) Decision {
 	d := Decision{Action: ActionAnswer, Err: err, At: now, Slack: slack(now, call)}
-	if err == nil || !p.mayRepeat(call, err) {
+	if err == nil || !p.mayRetry(call, err) {
 		return d
 	}
 	if call.Attempts >= p.options.MaxAttempts {
@@ -108,7 +110,7 @@
 	return d
 }
 
-func (p *Policy) mayRepeat(call Call, err error) bool {
+func (p *Policy) mayRetry(call Call, err error) bool {
 	var notRun *outcome.NotRun
 	if errors.As(err, &notRun) {
 		return retriable(notRun.Reason)
@@ -116,7 +118,7 @@
 	return call.Repeatable
 }
 
-// retriable tells whether another upstream may fare better.
+// retriable reports whether another upstream may succeed where one gave reason.
 func retriable(reason outcome.Reason) bool {
 	switch reason {
 	case outcome.ReasonDial, outcome.ReasonRefused, outcome.ReasonConnectionLost, outcome.ReasonLeavingUpstream:
@@ -126,8 +128,8 @@
 	}
 }
 
-// backoff draws from zero to an exponentially growing bound ("full jitter"),
-// so that requests that failed together don't come back together.
+// backoff returns a random delay between zero and an exponentially growing bound
+// ("full jitter"), so that requests that failed together are not retried together.
 func (p *Policy) backoff(attempts int, random *rand.Rand) time.Duration {
 	bound := p.options.BaseDelay
 	for i := 1; i < attempts && bound < p.options.MaxDelay; i++ {
@@ -140,9 +142,9 @@
 	return time.Duration(random.Int64N(int64(bound) + 1))
 }
 
-// AttemptTimeout is how long an attempt may take before it counts as failed. It
-// follows the prediction: a fixed time would call an upstream failing that is
-// only as busy as was known, and the retry would be added to its queue.
+// AttemptTimeout returns the time after which an attempt counts as failed. It follows
+// the predicted time: a fixed timeout would treat an upstream as failing that is only
+// as busy as predicted, and the retry would add to its queue.
 func (p *Policy) AttemptTimeout(now time.Time, call Call) time.Duration {
 	timeout := time.Duration(p.options.AttemptFactor * float64(call.Expected))
 	timeout = max(timeout, p.options.MinAttempt)
@@ -152,9 +154,9 @@
 	return max(0, min(timeout, slack(now, call)))
 }
 
-// Hedge decides whether a second attempt is sent beside one that has been
-// running for waited, longer than it should. Only a repeatable request with
-// slack for the second attempt and a budget for it is hedged.
+// Hedge reports whether to send a second attempt while one has been running for
+// waited, which is longer than usual. Only a repeatable request with enough time for
+// the second attempt and a token in its budgets is hedged.
 func (p *Policy) Hedge(now time.Time, call Call, waited, usual time.Duration) bool {
 	if !call.Repeatable || waited <= usual || call.Attempts >= p.options.MaxAttempts {
 		return false
--- a/retry/resume.go
+++ b/retry/resume.go
@@ -4,43 +4,44 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Broken describes a stream that ended before its last event.
+// Broken describes a stream that broke off before its last event.
 type Broken struct {
-	// Delivered is the number of answer tokens the caller has.
+	// Delivered is the number of answer tokens that the caller has received.
 	Delivered int
-	// Version is the weight version under which they were made.
+	// Version is the weight version that generated these tokens.
 	Version ident.Version
-	// Deterministic tells that the same seed gives the same tokens on any
-	// upstream that has the version loaded.
+	// Deterministic is set if the same seed yields the same tokens on every upstream
+	// that has the version loaded.
 	Deterministic bool
-	// Upstream made the tokens.
+	// Upstream is the upstream that generated the tokens.
 	Upstream ident.Upstream
-	// UpstreamAlive tells that it still takes requests in the same incarnation.
+	// UpstreamAlive is set if that upstream still accepts requests in the same
+	// incarnation.
 	UpstreamAlive bool
 }
 
-// ResumeAt says where a broken stream may go on.
+// ResumeAt is where a broken stream may be resumed.
 type ResumeAt uint8
 
-// The places.
+// Values of ResumeAt.
 const (
-	// ResumeNowhere: the caller is given an explicit error event.
+	// ResumeNowhere means that the stream ends with an explicit error event.
 	ResumeNowhere ResumeAt = iota
-	// ResumeSame: on the upstream that made the tokens so far.
-	ResumeSame
-	// ResumeAny: on any upstream that has the version loaded.
-	ResumeAny
+	// ResumeSameUpstream means the upstream that generated the tokens so far.
+	ResumeSameUpstream
+	// ResumeAnyUpstream means any upstream that has the version loaded.
+	ResumeAnyUpstream
 )
 
-// Resume decides where a broken stream may go on. A stream that has delivered
-// nothing starts again anywhere; one that has may move only where the tokens
-// before the break would have come out the same.
+// Resume returns where a broken stream may be resumed. A stream that has delivered
+// nothing may restart on any upstream; one that has may move only to an upstream that
+// would have generated the same tokens.
 func Resume(b Broken) ResumeAt {
 	switch {
 	case b.Delivered == 0, b.Deterministic:
-		return ResumeAny
+		return ResumeAnyUpstream
 	case b.UpstreamAlive:
-		return ResumeSame
+		return ResumeSameUpstream
 	default:
 		return ResumeNowhere
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -10,10 +10,10 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// A caller that is told not-run may send a bid again under a new key, so the
-// only evidence that counts is that no byte was written, or the upstream's own
-// word. Every doubt is unknown.
-func TestClassifySaysNotRunOnlyOnProof(t *testing.T) {
+// A caller that receives not-run may send a bid again under a new key. The only
+// evidence that counts as not-run is therefore that no byte was written, or the
+// upstream's own statement; every doubtful case is unknown.
+func TestClassifyNotRunOnlyOnProof(t *testing.T) {
 	cause := errors.New("broken pipe")
 	cases := []struct {
 		name     string
@@ -21,13 +21,13 @@
 		kind     outcome.Kind
 		reason   outcome.Reason
 	}{
-		{"whole answer", Evidence{Wrote: true, Answered: true, Complete: true, Status: 201}, outcome.KindDone, ""},
+		{"complete answer", Evidence{Wrote: true, Answered: true, Complete: true, Status: 201}, outcome.KindDone, ""},
 		{"client error is an answer", Evidence{Wrote: true, Answered: true, Complete: true, Status: 404}, outcome.KindDone, ""},
 		{"server error", Evidence{Wrote: true, Answered: true, Complete: true, Status: 503}, outcome.KindFailed, outcome.ReasonUpstreamError},
 		{"dial failed", Evidence{DialFailed: true, Cause: cause}, outcome.KindNotRun, outcome.ReasonDial},
 		{"dial failed on a second connection", Evidence{DialFailed: true, Wrote: true, Cause: cause}, outcome.KindUnknown, outcome.ReasonConnectionLost},
 		{"deadline before the first byte", Evidence{TimedOut: true}, outcome.KindNotRun, outcome.ReasonDeadline},
-		{"caller left before the first byte", Evidence{CallerGone: true}, outcome.KindNotRun, outcome.ReasonCallerGone},
+		{"caller disconnected before the first byte", Evidence{CallerGone: true}, outcome.KindNotRun, outcome.ReasonCallerGone},
 		{"first byte failed", Evidence{Wrote: true, Cause: cause}, outcome.KindUnknown, outcome.ReasonConnectionLost},
 		{"no answer in time", Evidence{Wrote: true, TimedOut: true}, outcome.KindUnknown, outcome.ReasonTimeout},
 		{"answer broke off", Evidence{Wrote: true, Answered: true, Status: 200, Cause: cause}, outcome.KindUnknown, outcome.ReasonStreamBroken},
@@ -63,10 +63,9 @@
 	return ""
 }
 
-// An attempt ends without an answer. Another one follows only where it can't run
-// a call twice, while attempts, time and budget are left; otherwise the caller
-// gets the outcome of the attempt unchanged, so that a possible run is never
-// told as not run.
+// An attempt ends without an answer. Another one follows only if it cannot run a call
+// twice and attempts, time and budget are left. Otherwise the caller gets the
+// attempt's outcome unchanged, so that a possible run is never reported as not run.
 func TestPolicyNext(t *testing.T) {
 	now := time.Unix(1_764_700_000, 0)
 	lost := &outcome.Unknown{Reason: outcome.ReasonConnectionLost}
@@ -108,10 +107,10 @@
 	}
 }
 
-// Many requests fail at once and each asks for another attempt. A team's retries
-// in a class stay within their share of its first attempts, so that a failing
-// upstream does not get a multiple of its load. The number of budgets kept is
-// bounded, however many teams send.
+// Many requests fail at the same time and each requests another attempt. A team's
+// retries in a class stay within their share of its first attempts, so that a failing
+// upstream does not receive a multiple of its load. The number of budgets is bounded
+// for any number of teams.
 func TestBudgetsBoundEachTeamAndClass(t *testing.T) {
 	options := BudgetOptions{Ratio: 0.1, Burst: 2, MaxTeams: 2}
 	b := NewBudgets(options)
@@ -122,30 +121,30 @@
 		return taken
 	}
 	if got := spend("a", "c"); got != 2 {
-		t.Errorf("a full budget gave %d attempts, want 2", got)
+		t.Errorf("a full budget granted %d attempts, want 2", got)
 	}
 	if got := spend("b", "c"); got != 0 {
-		t.Errorf("a class without budget gave another team %d attempts", got)
+		t.Errorf("a class without budget granted %d attempts to another team", got)
 	}
 	if got := spend("a", "other"); got != 2 {
-		t.Errorf("another class gave %d attempts, want 2", got)
+		t.Errorf("another class granted %d attempts, want 2", got)
 	}
 	for range 100 {
 		b.First("b", "c")
 	}
 	if got := spend("b", "c"); got != 2 {
-		t.Errorf("100 first attempts saved %d attempts, want the burst of 2", got)
+		t.Errorf("after 100 first attempts the budget granted %d attempts, want the burst of 2", got)
 	}
 	for i := range 1000 {
 		b.First(ident.Team(rune(i)), "c")
 	}
 	if len(b.teams) > options.MaxTeams+2 {
-		t.Errorf("%d budgets are kept", len(b.teams))
+		t.Errorf("%d budgets are kept, beyond the bound", len(b.teams))
 	}
 }
 
 // A hedged request is answered twice, and the slower answer arrives when its
-// upstream's connection already serves another caller. It must reach nobody.
+// upstream's connection already serves another caller. It must not reach any caller.
 func TestTrackerDropsLateAndCrossedAnswers(t *testing.T) {
 	tr := NewTracker(2)
 	mine, other := ident.Request{1}, ident.Request{2}
@@ -155,44 +154,44 @@
 		}
 	}
 	if err := tr.Start(mine); !errors.Is(err, ErrDuplicate) {
-		t.Errorf("second start: %v", err)
+		t.Errorf("second Start of a request: %v, want ErrDuplicate", err)
 	}
 	if err := tr.Start(ident.Request{3}); !errors.Is(err, ErrTrackerFull) {
-		t.Errorf("start beyond the limit: %v", err)
+		t.Errorf("Start beyond the limit: %v, want ErrTrackerFull", err)
 	}
 	first := tr.Send(mine, "u1")
 	hedge := tr.Send(mine, "u2")
 	if first == hedge || !tr.Match(mine, first, "u1") || !tr.Match(mine, hedge, "u2") {
-		t.Fatal("live attempts don't match their own answers")
+		t.Fatal("live attempts do not match their own answers")
 	}
 	if tr.Match(mine, first, "u2") || tr.Match(other, first, "u1") {
 		t.Error("a crossed answer matched")
 	}
 	tr.End(mine, first)
 	if tr.Match(mine, first, "u1") {
-		t.Error("the answer of an ended attempt matched")
+		t.Error("the answer to an ended attempt matched")
 	}
 	tr.Finish(mine)
 	if tr.Match(mine, hedge, "u2") || tr.Send(mine, "u1") != 0 {
-		t.Error("a finished request is still alive")
+		t.Error("a finished request is still in flight")
 	}
 	if got := tr.Dropped(); got != (Dropped{Late: 3, Crossed: 1}) {
-		t.Errorf("dropped %+v", got)
+		t.Errorf("dropped %+v, want 3 late and 1 crossed", got)
 	}
 }
 
-// A stream breaks after some tokens reached the caller. It goes on only where
-// what follows is sure to fit them: at the same upstream process, or anywhere
-// if generation is deterministic. A stitched answer of two different
-// generations would look whole and be wrong.
+// A stream breaks after the caller received some tokens. It is resumed only where the
+// continuation is certain to match: on the same upstream process, or on any upstream
+// if generation is deterministic. An answer joined from two different generations
+// would look complete and be wrong.
 func TestResume(t *testing.T) {
 	cases := []struct {
 		broken Broken
 		want   ResumeAt
 	}{
-		{Broken{}, ResumeAny},
-		{Broken{Delivered: 3, UpstreamAlive: true}, ResumeSame},
-		{Broken{Delivered: 3, Deterministic: true}, ResumeAny},
+		{Broken{}, ResumeAnyUpstream},
+		{Broken{Delivered: 3, UpstreamAlive: true}, ResumeSameUpstream},
+		{Broken{Delivered: 3, Deterministic: true}, ResumeAnyUpstream},
 		{Broken{Delivered: 3}, ResumeNowhere},
 	}
 	for _, c := range cases {
--- a/retry/schedule_test.go
+++ b/retry/schedule_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A burst has forty callers refused within 0.2 s, while a request of their sort is
-// sent every 100 ms. Told the same time, all would return in one moment and most be
-// refused for good, for callers come back once. They have to come one after the
-// other, and those for whom no time is left have to share the times there are.
-func TestRefusedCallersReturnOneAfterTheOther(t *testing.T) {
+// A burst has 40 callers refused within 0.2 s, while similar requests are sent every
+// 100 ms. With one common retry time all would retry together, and most would be
+// refused permanently because callers retry once. Their retries must be spaced, and
+// callers for whom no free time is left must share the assigned ones.
+func TestScheduleSpacesRetries(t *testing.T) {
 	var s Schedule
 	now := time.Unix(100, 0)
 	for range 100 {
@@ -18,43 +18,43 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	const least, most = 250 * time.Millisecond, 3 * time.Second
-	var returns []time.Time
+	var retries []time.Time
 	for i := range 40 {
 		at := now.Add(time.Duration(i) * 5 * time.Millisecond)
 		after := s.RetryAfter(at, least, most, float64(i%10)/10)
 		if after < least || after > most {
-			t.Fatalf("caller %d is told %v", i, after)
+			t.Fatalf("caller %d gets %v, want a time between least and most", i, after)
 		}
-		returns = append(returns, at.Add(after))
+		retries = append(retries, at.Add(after))
 	}
 	for i := range 12 {
-		if gap := returns[i+1].Sub(returns[i]); gap < 190*time.Millisecond || gap > 210*time.Millisecond {
-			t.Errorf("callers %d and %d return %v apart, want twice the 100 ms between sends", i, i+1, gap)
+		if gap := retries[i+1].Sub(retries[i]); gap < 190*time.Millisecond || gap > 210*time.Millisecond {
+			t.Errorf("callers %d and %d retry %v apart, want twice the 100 ms between sends", i, i+1, gap)
 		}
 	}
-	slices.SortFunc(returns, time.Time.Compare)
-	for i := range len(returns) - 8 {
-		if returns[i+8].Sub(returns[i]) < 250*time.Millisecond {
-			t.Fatalf("eight callers return within %v", returns[i+8].Sub(returns[i]))
+	slices.SortFunc(retries, time.Time.Compare)
+	for i := range len(retries) - 8 {
+		if retries[i+8].Sub(retries[i]) < 250*time.Millisecond {
+			t.Fatalf("eight callers retry within %v", retries[i+8].Sub(retries[i]))
 		}
 	}
 }
 
-func TestScheduleIsFreeAgainAfterAPause(t *testing.T) {
+func TestScheduleRecoversAfterPause(t *testing.T) {
 	var s Schedule
 	now := time.Unix(100, 0)
 	for range 5 {
 		s.RetryAfter(now, 250*time.Millisecond, 5*time.Second, 0)
 	}
 	if after := s.RetryAfter(now.Add(10*time.Second), 250*time.Millisecond, 5*time.Second, 0); after != 250*time.Millisecond {
-		t.Errorf("told %v long after the burst", after)
+		t.Errorf("retry after %v long after the burst, want 250 ms", after)
 	}
 	if after := s.RetryAfter(now, 250*time.Millisecond, 100*time.Millisecond, 0.5); after != 250*time.Millisecond {
-		t.Errorf("told %v where the least is beyond the most", after)
+		t.Errorf("retry after %v with least above most, want least", after)
 	}
 	s.Sent(now)
 	s.Sent(now.Add(time.Hour))
-	if s.Gap() > startGap+longestGap/10 {
-		t.Errorf("a pause counts as a gap of %v", s.Gap())
+	if s.Gap() > initialGap+maxGap/10 {
+		t.Errorf("after a pause of one hour the mean gap is %v", s.Gap())
 	}
 }
--- a/retry/sim_test.go
+++ b/retry/sim_test.go
@@ -11,10 +11,10 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// The simulation: upstreams that serve one request at a time in order, callers
-// that arrive at random and don't wait for one another, and a time in which
-// half the upstreams fail. Work that nobody waits for any more is served all
-// the same, as upstreams do.
+// Parameters of a simulation in which upstreams serve one request at a time in order,
+// callers arrive at random and independently of one another, and half of the
+// upstreams fail for some time. Like real upstreams, the simulated ones also serve
+// requests whose callers have given up.
 const (
 	simUpstreams = 20
 	simService   = 10 * time.Millisecond
@@ -33,15 +33,15 @@
 	failError   failMode = "error"
 )
 
-// strategy is what a simulated entry host does.
+// strategy is the retry strategy of a simulated entry host.
 type strategy struct {
 	name     string
 	attempts int
 	budgets  bool
-	// ejected is the share of upstreams that the registry may eject; zero
-	// means that a strategy doesn't learn from failures.
-	ejected float64
-	early   bool
+	// maxEjected is the fraction of upstreams that the registry may eject; zero
+	// means that the strategy does not learn from failures.
+	maxEjected  float64
+	refuseEarly bool
 }
 
 var simPool = upstream.ServicePool("clock-app", "hall", 0)
@@ -76,11 +76,12 @@
 	now      time.Duration
 	seq      int
 	events   simQueue
-	// free is when each upstream has served all it was sent.
-	free [simUpstreams]time.Duration
+	// idleAt is the time at which each upstream has served all requests sent to it.
+	idleAt [simUpstreams]time.Duration
 
-	// Counts of the time in which upstreams fail.
-	requests, sends, good, refused int
+	// Counts of the requests that arrive while upstreams fail, less a second at both
+	// ends.
+	requests, sends, inTime, refused int
 }
 
 var simEpoch = time.Unix(1_764_700_000, 0)
@@ -98,7 +99,8 @@
 
 func upstreamName(i int) ident.Upstream { return ident.Upstream(fmt.Sprint("u", i)) }
 
-// announce keeps all upstreams registered: those that fail are sick, not gone.
+// announce keeps all upstreams registered: failing upstreams keep announcing
+// themselves.
 func (s *sim) announce(at time.Time) {
 	for i := range simUpstreams {
 		_, err := s.registry.Announce(at, upstream.Announcement{
@@ -111,16 +113,17 @@
 	}
 }
 
-// choose asks the registry, or takes the shorter of two random queues.
+// choose returns the registry's pick, or the shorter of two random queues if the
+// strategy does not eject.
 func (s *sim) choose() int {
-	if s.strategy.ejected > 0 {
+	if s.strategy.maxEjected > 0 {
 		picks := s.registry.Pick(s.clock(), s.random, simPool, 1, nil)
 		i := 0
 		fmt.Sscanf(string(picks[0].Upstream), "u%d", &i)
 		return i
 	}
 	a, b := s.random.IntN(simUpstreams), s.random.IntN(simUpstreams)
-	if s.free[b] < s.free[a] {
+	if s.idleAt[b] < s.idleAt[a] {
 		a = b
 	}
 	return a
@@ -130,7 +133,7 @@
 type simRequest struct {
 	call    Call
 	counted bool
-	over    bool
+	done    bool
 }
 
 func (s *sim) arrive() {
@@ -147,15 +150,15 @@
 
 func (s *sim) send(r *simRequest) {
 	to := s.choose()
-	wait := max(0, s.free[to]-s.now)
+	wait := max(0, s.idleAt[to]-s.now)
 	timeout := simAttempt
-	if s.strategy.early {
+	if s.strategy.refuseEarly {
 		r.call.Expected = wait + simService
 		timeout = s.policy.AttemptTimeout(s.clock(), r.call)
 	}
-	if s.strategy.early {
+	if s.strategy.refuseEarly {
 		if s.clock().Add(wait + 2*simService).After(r.call.Deadline) {
-			r.over = true
+			r.done = true
 			if r.counted {
 				s.refused++
 			}
@@ -185,7 +188,7 @@
 		s.after(simService, func() { end(Evidence{Wrote: true, Answered: true, Complete: true, Status: 503}) })
 	default:
 		service := time.Duration(s.random.ExpFloat64() * float64(simService))
-		s.free[to] = s.now + wait + service
+		s.idleAt[to] = s.now + wait + service
 		s.after(wait+service, func() { end(Evidence{Wrote: true, Answered: true, Complete: true, Status: 200}) })
 	}
 }
@@ -196,13 +199,13 @@
 		result = upstream.Failed
 	}
 	s.registry.Finish(s.clock(), attempt, result)
-	if r.over {
+	if r.done {
 		return
 	}
 	if err == nil {
-		r.over = true
+		r.done = true
 		if r.counted && !s.clock().After(r.call.Deadline) {
-			s.good++
+			s.inTime++
 		}
 		return
 	}
@@ -216,33 +219,33 @@
 		s.send(r)
 		return
 	}
-	r.over = true
+	r.done = true
 }
 
-// simulate runs one strategy at a load given as a share of all capacity.
+// simulate runs one strategy at a load given as a fraction of the total capacity.
 func simulate(strategy strategy, mode failMode, load float64) *sim {
 	budgets := NewBudgets(DefaultBudgetOptions())
 	s := &sim{
 		strategy: strategy, mode: mode, random: rand.New(rand.NewPCG(1, 2)),
 		budgets: budgets, policy: NewPolicy(DefaultOptions(), budgets),
 	}
-	registry, err := upstream.NewRegistry(upstream.Options{MaxEjected: strategy.ejected})
+	registry, err := upstream.NewRegistry(upstream.Options{MaxEjected: strategy.maxEjected})
 	if err != nil {
 		panic(err)
 	}
 	s.registry = registry
 	s.announce(simEpoch.Add(-time.Minute))
-	var again func()
-	again = func() {
+	var reannounce func()
+	reannounce = func() {
 		s.announce(s.clock())
-		s.after(time.Second, again)
+		s.after(time.Second, reannounce)
 	}
-	s.after(0, again)
-	gap := float64(simService) / simUpstreams / load
+	s.after(0, reannounce)
+	meanGap := float64(simService) / simUpstreams / load
 	var next func()
 	next = func() {
 		s.arrive()
-		s.after(time.Duration(s.random.ExpFloat64()*gap), next)
+		s.after(time.Duration(s.random.ExpFloat64()*meanGap), next)
 	}
 	s.after(0, next)
 	for s.events.Len() > 0 && s.now < simEnd {
@@ -255,30 +258,30 @@
 
 func (s *sim) amplification() float64 { return float64(s.sends) / float64(s.requests-s.refused) }
 
-func (s *sim) goodput() float64 { return float64(s.good) / float64(s.requests) }
+func (s *sim) goodput() float64 { return float64(s.inTime) / float64(s.requests) }
 
-// Callers keep getting answers while half the upstreams fail, and the healthy
-// half is not buried under retries. At a light load the healthy half could
-// serve all; at a heavy one it can't, and every needless attempt takes the
-// place of a request that could have been served.
+// Half the upstreams fail. Callers must keep getting answers, and retries must not
+// overload the healthy half. At the small load the healthy half could serve all
+// requests; at the large one it cannot, and every needless attempt takes the place of
+// a request that could have been served.
 func TestHalfTheUpstreamsFail(t *testing.T) {
 	none := strategy{name: "no retry", attempts: 1}
-	naive := strategy{name: "naive: 3 more at once", attempts: 4}
-	budget := strategy{name: "budget and back-off", budgets: true}
-	third := strategy{name: "ejecting up to 34%, early refusal", budgets: true, ejected: 0.34, early: true}
-	own := strategy{name: "ejecting by default, early refusal", budgets: true, ejected: upstream.DefaultMaxEjected, early: true}
+	naive := strategy{name: "naive: 3 immediate retries", attempts: 4}
+	budget := strategy{name: "budget and backoff", budgets: true}
+	ejectThird := strategy{name: "ejecting up to 34%, early refusal", budgets: true, maxEjected: 0.34, refuseEarly: true}
+	ejectDefault := strategy{name: "ejecting by default, early refusal", budgets: true, maxEjected: upstream.DefaultMaxEjected, refuseEarly: true}
 	for _, load := range []float64{0.4, 0.8} {
 		for _, mode := range []failMode{failRefused, failHang, failError} {
 			results := make(map[string]*sim)
-			for _, s := range []strategy{none, naive, budget, third, own} {
+			for _, s := range []strategy{none, naive, budget, ejectThird, ejectDefault} {
 				got := simulate(s, mode, load)
 				results[s.name] = got
-				t.Logf("load %.0f%% of all, failing half %-6s %-34s amplification %.3f goodput %.3f refused early %d of %d",
+				t.Logf("load %.0f%% of capacity, half the upstreams fail by %-6s %-34s amplification %.3f goodput %.3f refused early %d of %d",
 					100*load, mode, s.name, got.amplification(), got.goodput(), got.refused, got.requests)
 			}
-			best := results[own.name]
+			best := results[ejectDefault.name]
 			if a := best.amplification(); a >= 1.1 {
-				t.Errorf("load %.1f, %s: amplification %.3f, must stay under 1.1", load, mode, a)
+				t.Errorf("load %.1f, %s: amplification %.3f, want less than 1.1", load, mode, a)
 			}
 			for _, other := range []strategy{none, naive, budget} {
 				if best.goodput() < results[other.name].goodput() {
@@ -286,7 +289,7 @@
 				}
 			}
 			if a := results[naive.name].amplification(); a < 1.1 {
-				t.Errorf("load %.1f, %s: naive retries amplify by %.3f only: the bound can't fail", load, mode, a)
+				t.Errorf("load %.1f, %s: naive retries amplify only by %.3f, so the check of the bound proves nothing", load, mode, a)
 			}
 		}
 	}
--- a/retry/tracker.go
+++ b/retry/tracker.go
@@ -9,12 +9,12 @@
 // ErrTrackerFull reports that too many requests are in flight.
 var ErrTrackerFull = errors.New("retry: too many requests in flight")
 
-// ErrDuplicate reports a request identity that is already in flight.
-var ErrDuplicate = errors.New("retry: request identity is in flight already")
+// ErrDuplicate reports a request id that is already in flight.
+var ErrDuplicate = errors.New("retry: request id is already in flight")
 
-// Tracker matches answers to the attempts that were sent. An answer that names
-// no live attempt is dropped and counted, so that a late or crossed one never
-// reaches a caller. It is not safe for concurrent use.
+// Tracker matches answers to the attempts that were sent. An answer that matches no
+// live attempt is dropped and counted, so that a late or crossed answer never reaches
+// a caller. It is not safe for concurrent use.
 type Tracker struct {
 	limit    int
 	inFlight map[ident.Request]*attempts
@@ -26,11 +26,12 @@
 	live map[uint32]ident.Upstream
 }
 
-// Dropped counts the answers that matched nothing.
+// Dropped counts the answers that matched no live attempt.
 type Dropped struct {
-	// Late counts answers to attempts or requests that were over.
+	// Late counts answers to attempts or requests that had already ended.
 	Late uint64
-	// Crossed counts answers from another upstream than was asked.
+	// Crossed counts answers from an upstream other than the one that the attempt was
+	// sent to.
 	Crossed uint64
 }
 
@@ -52,7 +53,7 @@
 }
 
 // Send registers the next attempt of a started request and returns its number,
-// from 1; zero means that the request is not in flight.
+// starting at 1, or 0 if the request is not in flight.
 func (t *Tracker) Send(request ident.Request, upstream ident.Upstream) uint32 {
 	a := t.inFlight[request]
 	if a == nil {
@@ -70,30 +71,30 @@
 		t.dropped.Late++
 		return false
 	}
-	asked, live := a.live[attempt]
+	sentTo, live := a.live[attempt]
 	switch {
 	case !live:
 		t.dropped.Late++
 		return false
-	case asked != upstream:
+	case sentTo != upstream:
 		t.dropped.Crossed++
 		return false
 	}
 	return true
 }
 
-// End ends one attempt; its later answers are dropped.
+// End ends one attempt; later answers to it are dropped.
 func (t *Tracker) End(request ident.Request, attempt uint32) {
 	if a := t.inFlight[request]; a != nil {
 		delete(a.live, attempt)
 	}
 }
 
-// Finish ends a request with all its attempts.
+// Finish ends a request and all its attempts.
 func (t *Tracker) Finish(request ident.Request) { delete(t.inFlight, request) }
 
 // InFlight returns the number of requests in flight.
 func (t *Tracker) InFlight() int { return len(t.inFlight) }
 
-// Dropped returns the counts of answers that matched nothing.
+// Dropped returns the counts of dropped answers.
 func (t *Tracker) Dropped() Dropped { return t.dropped }
