--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,12 +1,14 @@
-// Package quarantine tells which requests end the upstreams that run them, so that
-// they are sent to no further ones.
+// Package quarantine identifies requests that crash the upstreams that run them, so
+// that they are sent to no further upstream.
 //
-// A request that ends its upstream takes all others there with it, and comes again:
-// its caller repeats it, at any entry. When an upstream ends, each request that was
-// under way there may have ended it. A Ledger holds these ends. A request that stood at
-// enough of them, and was the only such one at some, is held; what it explains doesn't
-// count against others, which were only repeated to the same upstreams.
+// Such a request fails all other requests at its upstream, and its caller retries it,
+// possibly at another entry. When an upstream crashes, each request that was in
+// flight there may be the cause. A Tracker records these crashes. A request that was
+// in flight at CrashThreshold crashes or more, and was the only such request at one
+// of them, is quarantined. The crashes that it explains do not count against other
+// requests, which were only retried on the same upstreams.
 //
-// A request that was served whole ends nobody, and is cleared. Ends are forgotten after
-// a while; a held request is then tried again, for the upstreams may have been mended.
+// A request that was served completely has crashed no upstream and is cleared.
+// Crashes expire after CrashRetention; a quarantined request is then tried again,
+// because the upstreams may have been fixed.
 package quarantine
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -6,56 +6,57 @@
 )
 
 const (
-	// LookAfter is how long after a first attempt broke off at an upstream the others
-	// are waited for: all connections of a process end with it, but are noticed one by
-	// one.
+	// LookAfter is the delay between the first attempt that breaks off at an upstream
+	// and the check whether the upstream crashed. A crash breaks all connections of
+	// the process, but they are noticed one by one.
 	LookAfter = 10 * time.Millisecond
-	// LookTimeout bounds the question whether the upstream has ended.
+	// LookTimeout bounds the check whether the upstream crashed.
 	LookTimeout = 500 * time.Millisecond
 )
 
-// Attempt is one attempt that broke off.
+// Attempt is an attempt that broke off.
 type Attempt struct {
 	Request string
 	Print   Fingerprint
 }
 
-// Lost are the attempts that broke off at upstreams, until it is known whether these
-// ended or only the connections did. The zero value is ready; it is not safe for
-// concurrent use.
+// Lost collects the attempts that broke off at each upstream until it is known
+// whether the upstream crashed or only the connections broke. The zero value is ready
+// to use; it is not safe for concurrent use.
 type Lost struct{ attempts map[Incarnation][]Attempt }
 
-// Add notes an attempt and reports whether it is the first at its upstream, which is
-// then to be looked at after LookAfter.
-func (l *Lost) Add(life Incarnation, a Attempt) bool {
+// Add records an attempt and reports whether it is the first at its upstream, which
+// then has to be checked after LookAfter.
+func (l *Lost) Add(incarnation Incarnation, a Attempt) bool {
 	if l.attempts == nil {
 		l.attempts = make(map[Incarnation][]Attempt)
 	}
-	known, waiting := l.attempts[life]
+	known, pending := l.attempts[incarnation]
 	if len(known) < MaxFingerprints {
-		l.attempts[life] = append(known, a)
+		l.attempts[incarnation] = append(known, a)
 	}
-	return !waiting
+	return !pending
 }
 
-// Take returns the attempts that broke off at an upstream, once it was looked at.
-func (l *Lost) Take(life Incarnation) []Attempt {
-	attempts := l.attempts[life]
-	delete(l.attempts, life)
+// Take removes and returns the attempts that broke off at an upstream, once it was
+// checked.
+func (l *Lost) Take(incarnation Incarnation) []Attempt {
+	attempts := l.attempts[incarnation]
+	delete(l.attempts, incarnation)
 	return attempts
 }
 
-// Len is the number of upstreams that are to be looked at.
+// Len returns the number of upstreams that are still to be checked.
 func (l *Lost) Len() int { return len(l.attempts) }
 
-// Blame is an upstream's end with those of the attempts whose requests were not served
-// lately.
-func Blame(life Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
-	end := Crash{Life: life}
+// Blame returns the crash of an upstream with the requests of those attempts that
+// were not served recently.
+func Blame(incarnation Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
+	crash := Crash{Life: incarnation}
 	for _, a := range attempts {
-		if !served.Has(a.Print, now) && !slices.Contains(end.Prints, a.Print) {
-			end.Prints = append(end.Prints, a.Print)
+		if !served.Has(a.Print, now) && !slices.Contains(crash.Prints, a.Print) {
+			crash.Prints = append(crash.Prints, a.Print)
 		}
 	}
-	return end
+	return crash
 }
--- a/quarantine/seen.go
+++ b/quarantine/seen.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// CrashRetention is how long an end counts against the requests that were under way. A held
-// request is then tried again, for its upstreams may have been mended.
+// CrashRetention is how long a crash counts against the requests that were in flight.
+// A quarantined request is then tried again, because its upstreams may have been
+// fixed.
 const CrashRetention = 30 * time.Minute
 
-// Seen are the times at which the ends of a ledger were seen, by one process's own steady
-// clock: processes have none in common. It is not safe for concurrent use.
+// Seen holds the times at which a Tracker's crashes were first seen, by the monotonic
+// clock of this process: processes share no clock. It is not safe for concurrent use.
 type Seen struct{ at map[Incarnation]time.Time }
 
-// Record notes that an end was seen at a time, unless it is known already.
-func (s *Seen) Record(life Incarnation, at time.Time) {
+// Record stores the time at which a crash was seen, unless one is known already.
+func (s *Seen) Record(incarnation Incarnation, at time.Time) {
 	if s.at == nil {
 		s.at = make(map[Incarnation]time.Time)
 	}
-	if _, known := s.at[life]; !known {
-		s.at[life] = at
+	if _, known := s.at[incarnation]; !known {
+		s.at[incarnation] = at
 	}
 }
 
-// Follow brings the times in line with the ends that are remembered: new ones were seen
-// now.
-func (s *Seen) Follow(remembered []Incarnation, now time.Time) {
+// Follow adapts the times to the crashes that are recorded: unknown ones count as
+// seen now, and times of others are dropped.
+func (s *Seen) Follow(recorded []Incarnation, now time.Time) {
 	before := s.at
-	s.at = make(map[Incarnation]time.Time, len(remembered))
-	for _, life := range remembered {
-		if at, known := before[life]; known {
-			s.at[life] = at
+	s.at = make(map[Incarnation]time.Time, len(recorded))
+	for _, incarnation := range recorded {
+		if at, known := before[incarnation]; known {
+			s.at[incarnation] = at
 		} else {
-			s.at[life] = now
+			s.at[incarnation] = now
 		}
 	}
 }
 
-// Age is how long ago an end was seen, 0 if it is not known.
-func (s *Seen) Age(life Incarnation, now time.Time) time.Duration {
-	if at, known := s.at[life]; known {
+// Age returns the time since a crash was seen, 0 if it is not known.
+func (s *Seen) Age(incarnation Incarnation, now time.Time) time.Duration {
+	if at, known := s.at[incarnation]; known {
 		return now.Sub(at)
 	}
 	return 0
 }
 
-// Old lists the ends that no longer count.
+// Old returns the crashes that no longer count.
 func (s *Seen) Old(now time.Time) []Incarnation {
-	var lives []Incarnation
-	for life := range s.at {
-		if s.Age(life, now) >= CrashRetention {
-			lives = append(lives, life)
+	var incarnations []Incarnation
+	for incarnation := range s.at {
+		if s.Age(incarnation, now) >= CrashRetention {
+			incarnations = append(incarnations, incarnation)
 		}
 	}
-	return lives
+	return incarnations
 }
 
-// Len is the number of ends whose times are known.
+// Len returns the number of crashes with a known time.
 func (s *Seen) Len() int { return len(s.at) }
--- a/quarantine/served.go
+++ b/quarantine/served.go
@@ -3,40 +3,42 @@
 import "time"
 
 const (
-	// servedFor is for how long a request that was served is not taken for the cause
-	// of an end. What many callers ask is under way wherever an upstream ends.
-	servedFor = 10 * time.Second
-	// servedMost bounds the requests remembered as served.
-	servedMost = 4096
+	// servedRetention is how long a request that was served is not considered the
+	// cause of a crash. A request that many callers send is in flight wherever an
+	// upstream crashes.
+	servedRetention = 10 * time.Second
+	// maxServed bounds the requests remembered as served.
+	maxServed = 4096
 )
 
-// Served are the requests that were served within ten seconds, and some that were
-// before, in two generations. The zero value is ready; it is not safe for concurrent use.
+// Served is the set of requests that were served within the last ten seconds, and
+// some that were served earlier, in two generations. The zero value is ready to use;
+// it is not safe for concurrent use.
 type Served struct {
-	young, old map[Fingerprint]bool
-	turned     time.Time
+	current, previous map[Fingerprint]bool
+	rotatedAt         time.Time
 }
 
-// Record notes that a request ran to a good end.
-func (s *Served) Record(p Fingerprint, now time.Time) {
-	s.turn(now)
-	s.young[p] = true
+// Record adds a request that was served completely.
+func (s *Served) Record(f Fingerprint, now time.Time) {
+	s.rotate(now)
+	s.current[f] = true
 }
 
-// Has reports whether a request was served lately.
-func (s *Served) Has(p Fingerprint, now time.Time) bool {
-	s.turn(now)
-	return s.young[p] || s.old[p]
+// Has reports whether a request was served recently.
+func (s *Served) Has(f Fingerprint, now time.Time) bool {
+	s.rotate(now)
+	return s.current[f] || s.previous[f]
 }
 
-func (s *Served) turn(now time.Time) {
-	age := now.Sub(s.turned)
-	if age < servedFor && len(s.young) < servedMost/2 {
+func (s *Served) rotate(now time.Time) {
+	age := now.Sub(s.rotatedAt)
+	if age < servedRetention && len(s.current) < maxServed/2 {
 		return
 	}
-	s.old = s.young
-	if age >= 2*servedFor {
-		s.old = nil
+	s.previous = s.current
+	if age >= 2*servedRetention {
+		s.previous = nil
 	}
-	s.young, s.turned = make(map[Fingerprint]bool), now
+	s.current, s.rotatedAt = make(map[Fingerprint]bool), now
 }
--- /dev/null
+++ b/quarantine/tracker.go
@@ -0,0 +1,271 @@
+package quarantine
+
+import (
+	"bytes"
+	"maps"
+	"slices"
+)
+
+const (
+	// CrashThreshold is the number of upstreams that must crash under a request
+	// before it is quarantined. Fewer may crash by chance while a request is retried.
+	CrashThreshold = 3
+	// suspectThreshold is the number of crashes from which a request is a suspect:
+	// one more quarantines it.
+	suspectThreshold = CrashThreshold - 1
+	// MaxCrashes bounds the recorded crashes, and MaxFingerprints the requests
+	// recorded for each, which is more than an upstream runs at the same time.
+	// Together they allow 32,768 fingerprints, 0.5 MB.
+	MaxCrashes, MaxFingerprints = 256, 128
+	// MaxTold bounds the quarantined requests, and the suspects, that are sent to
+	// entries.
+	MaxTold = 256
+)
+
+// Incarnation identifies one incarnation of an upstream: one run of its process.
+type Incarnation struct {
+	Upstream  string `cbor:"1,keyasint"`
+	StartedMs uint64 `cbor:"2,keyasint,omitempty"`
+}
+
+// Crash is the crash of an upstream, with the requests that were in flight there.
+type Crash struct {
+	Life   Incarnation   `cbor:"1,keyasint"`
+	Prints []Fingerprint `cbor:"2,keyasint"`
+}
+
+// Tracker records the crashes of upstreams and derives which requests are quarantined
+// or suspect. Two Trackers that receive the same updates in the same order derive the
+// same. It is not safe for concurrent use.
+type Tracker struct {
+	// crashes is in the order in which the crashes were first received.
+	crashes []*Crash
+	// counts is the number of recorded crashes at which each request was in flight.
+	counts                map[Fingerprint]int
+	quarantined, suspects []Fingerprint
+	revision              uint64
+}
+
+// NewTracker returns an empty Tracker.
+func NewTracker() *Tracker { return &Tracker{counts: make(map[Fingerprint]int)} }
+
+// Ended records crashes, or further requests that were in flight at known ones.
+func (t *Tracker) Ended(crashes ...Crash) {
+	for _, c := range crashes {
+		t.add(c)
+	}
+	t.update()
+}
+
+func (t *Tracker) add(c Crash) {
+	known := t.find(c.Life)
+	if known == nil {
+		if len(t.crashes) == MaxCrashes {
+			t.drop(0)
+		}
+		known = &Crash{Life: c.Life}
+		t.crashes = append(t.crashes, known)
+	}
+	for _, f := range c.Prints {
+		if len(known.Prints) < MaxFingerprints && !slices.Contains(known.Prints, f) {
+			known.Prints = append(known.Prints, f)
+			t.counts[f]++
+		}
+	}
+}
+
+// Served clears requests that an upstream has served completely.
+func (t *Tracker) Served(fingerprints ...Fingerprint) {
+	for _, f := range fingerprints {
+		if t.counts[f] == 0 {
+			continue
+		}
+		delete(t.counts, f)
+		for _, c := range t.crashes {
+			c.Prints = slices.DeleteFunc(c.Prints, func(other Fingerprint) bool { return other == f })
+		}
+	}
+	t.update()
+}
+
+// Forget removes the crashes of these incarnations.
+func (t *Tracker) Forget(incarnations ...Incarnation) {
+	for _, incarnation := range incarnations {
+		if i := slices.IndexFunc(t.crashes, func(c *Crash) bool { return c.Life == incarnation }); i >= 0 {
+			t.drop(i)
+		}
+	}
+	t.update()
+}
+
+// Incarnations returns the incarnations whose crashes are recorded.
+func (t *Tracker) Incarnations() []Incarnation {
+	incarnations := make([]Incarnation, len(t.crashes))
+	for i, c := range t.crashes {
+		incarnations[i] = c.Life
+	}
+	return incarnations
+}
+
+// Quarantined returns the requests that must not be sent to any upstream, at most
+// MaxTold. The caller must not modify it.
+func (t *Tracker) Quarantined() []Fingerprint { return t.quarantined }
+
+// Suspects returns further requests, at most MaxTold, that one more crash may
+// quarantine. The caller must not modify it.
+func (t *Tracker) Suspects() []Fingerprint { return t.suspects }
+
+// Revision returns a number that increases whenever Quarantined or Suspects change.
+func (t *Tracker) Revision() uint64 { return t.revision }
+
+func (t *Tracker) find(incarnation Incarnation) *Crash {
+	for _, c := range t.crashes {
+		if c.Life == incarnation {
+			return c
+		}
+	}
+	return nil
+}
+
+// drop removes the crash with an index.
+func (t *Tracker) drop(index int) {
+	for _, f := range t.crashes[index].Prints {
+		if t.counts[f]--; t.counts[f] == 0 {
+			delete(t.counts, f)
+		}
+	}
+	t.crashes = slices.Delete(t.crashes, index, index+1)
+}
+
+// update recomputes the quarantined and suspect requests.
+func (t *Tracker) update() {
+	quarantined := t.selectQuarantined()
+	suspects := t.selectSuspects(quarantined)
+	if slices.Equal(quarantined, t.quarantined) && slices.Equal(suspects, t.suspects) {
+		return
+	}
+	t.quarantined, t.suspects = quarantined, suspects
+	t.revision++
+}
+
+// selectQuarantined returns the requests to quarantine, of those that were in flight
+// at CrashThreshold crashes or more. One that was the only such request at some crash
+// must have caused it, and explains all crashes at which it was in flight. Of the
+// others, those at an unexplained crash are quarantined too, except for one with
+// exactly CrashThreshold crashes that shares all of them with another of these: with
+// both quarantined, the innocent one would never be served again and so never
+// cleared, while one more crash distinguishes them.
+func (t *Tracker) selectQuarantined() []Fingerprint {
+	byRequest := t.crashesByRequest(CrashThreshold)
+	quarantined := soleCandidates(byRequest)
+	explained := crashesOf(quarantined, byRequest)
+	var rest []Fingerprint
+	for f, crashes := range byRequest {
+		if !quarantined[f] && slices.ContainsFunc(crashes, func(i int) bool { return !explained[i] }) {
+			rest = append(rest, f)
+		}
+	}
+	for _, f := range rest {
+		same := func(other Fingerprint) bool { return other != f && slices.Equal(byRequest[other], byRequest[f]) }
+		if len(byRequest[f]) > CrashThreshold || !slices.ContainsFunc(rest, same) {
+			quarantined[f] = true
+		}
+	}
+	return boundedList(quarantined)
+}
+
+// selectSuspects returns further requests that were in flight at enough crashes that
+// no quarantined request explains.
+func (t *Tracker) selectSuspects(quarantined []Fingerprint) []Fingerprint {
+	byRequest := t.crashesByRequest(suspectThreshold)
+	isQuarantined := make(map[Fingerprint]bool, len(quarantined))
+	for _, f := range quarantined {
+		isQuarantined[f] = true
+	}
+	explained := crashesOf(isQuarantined, byRequest)
+	suspects := make(map[Fingerprint]bool)
+	for f, crashes := range byRequest {
+		left := len(crashes)
+		for _, i := range crashes {
+			if explained[i] {
+				left--
+			}
+		}
+		if left >= suspectThreshold {
+			suspects[f] = true
+		}
+	}
+	return boundedList(suspects)
+}
+
+// crashesByRequest returns the indexes of the crashes at which each request was in
+// flight, for the requests with minCrashes crashes or more.
+func (t *Tracker) crashesByRequest(minCrashes int) map[Fingerprint][]int {
+	byRequest := make(map[Fingerprint][]int)
+	for i, c := range t.crashes {
+		for _, f := range c.Prints {
+			if t.counts[f] >= minCrashes {
+				byRequest[f] = append(byRequest[f], i)
+			}
+		}
+	}
+	return byRequest
+}
+
+// soleCandidates returns the requests that were at some crash the only one of
+// byRequest in flight.
+func soleCandidates(byRequest map[Fingerprint][]int) map[Fingerprint]bool {
+	candidates := make(map[int]int)
+	for _, crashes := range byRequest {
+		for _, i := range crashes {
+			candidates[i]++
+		}
+	}
+	sole := make(map[Fingerprint]bool)
+	for f, crashes := range byRequest {
+		if slices.ContainsFunc(crashes, func(i int) bool { return candidates[i] == 1 }) {
+			sole[f] = true
+		}
+	}
+	return sole
+}
+
+// crashesOf returns the indexes of the crashes at which any of the requests was in
+// flight.
+func crashesOf(requests map[Fingerprint]bool, byRequest map[Fingerprint][]int) map[int]bool {
+	crashes := make(map[int]bool)
+	for f := range requests {
+		for _, i := range byRequest[f] {
+			crashes[i] = true
+		}
+	}
+	return crashes
+}
+
+// boundedList returns the requests in ascending order, at most MaxTold.
+func boundedList(requests map[Fingerprint]bool) []Fingerprint {
+	sorted := slices.SortedFunc(maps.Keys(requests), func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
+	return sorted[:min(len(sorted), MaxTold)]
+}
+
+// Saved is the complete state of a Tracker.
+type Saved struct {
+	Ends     []Crash `cbor:"1,keyasint"`
+	Revision uint64  `cbor:"2,keyasint"`
+}
+
+// Save returns the state.
+func (t *Tracker) Save() Saved {
+	saved := Saved{Revision: t.revision}
+	for _, c := range t.crashes {
+		saved.Ends = append(saved.Ends, Crash{Life: c.Life, Prints: slices.Clone(c.Prints)})
+	}
+	return saved
+}
+
+// Restore replaces the state.
+func (t *Tracker) Restore(s Saved) {
+	*t = *NewTracker()
+	t.Ended(s.Ends...)
+	t.revision = s.Revision
+}
