--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// heapBytes is what is alive on the heap.
+// heapBytes returns the number of live bytes on the heap.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -17,8 +17,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkState measures the bytes that a planner keeps for each upstream, and
-// an InFlight for each prompt.
+// BenchmarkState measures the memory held per upstream in a Planner and per prompt in
+// an InFlight.
 func BenchmarkState(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// BenchmarkPlan measures one plan with full lists of candidates and copies.
+// BenchmarkPlan measures one plan with a full list of candidates and four copies.
 func BenchmarkPlan(b *testing.B) {
 	p := newPlanner(b, Options{})
 	r := random()
--- a/route/inflight.go
+++ b/route/inflight.go
@@ -6,36 +6,35 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// MaxInFlightPrompts bounds the prompts that an InFlight follows.
+// MaxInFlightPrompts bounds the prompts tracked by an InFlight.
 const MaxInFlightPrompts = 1 << 14
 
-// maxRunners bounds the upstreams followed for one prompt.
-const maxRunners = 4
+// maxUpstreamsPerPrompt bounds the upstreams tracked for one prompt.
+const maxUpstreamsPerPrompt = 4
 
-// InFlight remembers which upstreams are about to hold a prompt, because this
-// process is importing or computing it there. Without it, the questions that
-// follow one another within a second about the same prompt would each fetch it
-// to another upstream: cache events tell of blocks only when they are there,
-// and late. It is not safe for concurrent use.
+// InFlight tracks the upstreams that will soon hold a prompt because this process is
+// importing or computing it there. Without it, several requests for the same prompt
+// within a second would each fetch it to another upstream: cache events report blocks
+// only once they are stored, and with a delay. It is not safe for concurrent use.
 type InFlight struct {
 	prompts map[Prompt][]PendingPrefix
 }
 
-// Prompt names a kept prompt by its first block.
+// Prompt identifies a kept prompt by its first block.
 type Prompt [16]byte
 
-// PendingPrefix is a prompt's prefix that an upstream will hold.
+// PendingPrefix is a prefix of a prompt that an upstream will soon hold.
 type PendingPrefix struct {
 	Upstream ident.Upstream
 	// Tokens is the length of the prefix.
 	Tokens int
-	// Ready is when it is expected to be usable.
+	// Ready is the time at which the prefix is expected to be usable.
 	Ready time.Time
-	// Import tells that it is being fetched, so that a request must not be
-	// sent before Ready; a prefix that is computed by a request in the
-	// upstream's queue is used by those which queue behind it.
+	// Import is set while the prefix is being fetched, so that no request that uses
+	// it may be sent before Ready. A prefix that a request in the upstream's queue
+	// computes is available to the requests that queue behind it.
 	Import bool
-	// request is the one that brings it there.
+	// request is the request that imports or computes the prefix.
 	request ident.Request
 }
 
@@ -44,11 +43,12 @@
 	return &InFlight{prompts: make(map[Prompt][]PendingPrefix)}
 }
 
-// Begin records that a request brings a prefix of a prompt to an upstream. It
-// reports false when too many prompts are followed already.
+// Begin records that a request imports or computes a prefix of a prompt at an
+// upstream. It returns false if too many prompts, or too many upstreams for this
+// prompt, are tracked already.
 func (f *InFlight) Begin(prompt Prompt, request ident.Request, a PendingPrefix) bool {
 	list, known := f.prompts[prompt]
-	if !known && len(f.prompts) >= MaxInFlightPrompts || len(list) >= maxRunners {
+	if !known && len(f.prompts) >= MaxInFlightPrompts || len(list) >= maxUpstreamsPerPrompt {
 		return false
 	}
 	a.request = request
@@ -56,8 +56,9 @@
 	return true
 }
 
-// ImportDone records that a request's import has ended, so that no one waits for it
-// any more; the prefix is in use until the request's own first token.
+// ImportDone records that a request's import has ended, so that no other request
+// waits for it. The prefix is in use, and recorded, until the request's own first
+// token.
 func (f *InFlight) ImportDone(prompt Prompt, request ident.Request) {
 	list := f.prompts[prompt]
 	for i := range list {
@@ -67,7 +68,8 @@
 	}
 }
 
-// End forgets what a request was to bring: it is there, or it failed.
+// End removes the prefix that a request was to import or compute, because it is there
+// or has failed.
 func (f *InFlight) End(prompt Prompt, request ident.Request) {
 	list := f.prompts[prompt]
 	kept := list[:0]
@@ -83,8 +85,9 @@
 	f.prompts[prompt] = kept
 }
 
-// Lookup lists where a prompt is about to be. The result must not be changed.
+// Lookup returns the pending prefixes of a prompt. The caller must not modify the
+// result.
 func (f *InFlight) Lookup(prompt Prompt) []PendingPrefix { return f.prompts[prompt] }
 
-// Request tells which request brings the prefix, for those that wait for it.
+// Request returns the request that imports or computes the prefix.
 func (a PendingPrefix) Request() ident.Request { return a.request }
--- a/route/inflight_test.go
+++ b/route/inflight_test.go
@@ -7,9 +7,9 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Seven questions come within a second about one prompt that nothing holds. The
-// first fetches it; the others must find where it is going, wait for the import
-// only while it lasts, and find nothing once the first has its answer.
+// Several requests arrive within a second for one prompt that no upstream holds. The
+// first fetches it. The others must find where it is going, wait for the import only
+// while it lasts, and find nothing once the first has its answer.
 func TestInFlight(t *testing.T) {
 	f := NewInFlight()
 	prompt := Prompt{1}
@@ -22,16 +22,16 @@
 	}
 	f.ImportDone(prompt, first)
 	if f.Lookup(prompt)[0].Import {
-		t.Error("an import that has ended is still waited for")
+		t.Error("an import that has ended is still marked as pending")
 	}
 	f.End(prompt, first)
 	f.End(prompt, first)
 	if got := f.Lookup(prompt); len(got) != 1 || got[0].Request() != second {
-		t.Errorf("after the first ended: %+v", got)
+		t.Errorf("after the end of the first request: %+v", got)
 	}
 	f.End(prompt, second)
 	if len(f.prompts) != 0 {
-		t.Error("an ended prompt is remembered")
+		t.Error("a prompt is tracked after its last request ended")
 	}
 }
 
@@ -41,12 +41,12 @@
 		f.Begin(Prompt{byte(i), byte(i >> 8), byte(i >> 16)}, ident.Request{}, PendingPrefix{})
 	}
 	if len(f.prompts) != MaxInFlightPrompts {
-		t.Errorf("%d prompts in flight", len(f.prompts))
+		t.Errorf("%d prompts are tracked", len(f.prompts))
 	}
 	for range 10 {
 		f.Begin(Prompt{}, ident.Request{}, PendingPrefix{})
 	}
-	if n := len(f.Lookup(Prompt{})); n > maxRunners {
-		t.Errorf("%d upstreams for one prompt", n)
+	if n := len(f.Lookup(Prompt{})); n > maxUpstreamsPerPrompt {
+		t.Errorf("%d upstreams are tracked for one prompt", n)
 	}
 }
--- a/route/learned.go
+++ b/route/learned.go
@@ -7,31 +7,32 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// LearnedUpstream is what a Planner has learned about one upstream.
+// LearnedUpstream describes the model of one upstream and urgency band.
 type LearnedUpstream struct {
 	Upstream ident.Upstream
-	// Band is the band of urgency, 0 for the tightest targets.
+	// Band is the urgency band, 0 for the tightest targets.
 	Band int
 	// PrefillTokensPerSecond is the marginal rate of prefill.
 	PrefillTokensPerSecond float64
-	// WaitPerToken and WaitPerRequest are seconds of queue wait for each token
-	// ahead and for each request beyond the free slots.
+	// WaitPerToken and WaitPerRequest are the seconds of queue wait per token ahead
+	// and per request beyond the free slots.
 	WaitPerToken, WaitPerRequest float64
-	// Miss is the mean absolute error of the predicted first token, in seconds.
+	// Miss is the mean absolute error of the predicted time to first token, in
+	// seconds.
 	Miss float64
 }
 
-// LearnedLink is what a Planner has learned about reading from one tier of a
-// store host.
+// LearnedLink describes the model of reading from one tier of a store host.
 type LearnedLink struct {
 	Store          ident.Upstream
 	Slow           bool
 	BytesPerSecond float64
-	// Noise is the mean absolute error of a predicted transfer, in seconds.
+	// Noise is the mean absolute error of the predicted transfer time, in seconds.
 	Noise float64
 }
 
-// Learned describes the models for dumps, in the order of their names.
+// Learned returns descriptions of all models for dumps, ordered by upstream and band
+// and by store and tier.
 func (p *Planner) Learned() ([]LearnedUpstream, []LearnedLink) {
 	upstreams := make([]LearnedUpstream, 0, len(p.upstreams))
 	for name, m := range p.upstreams {
@@ -39,7 +40,7 @@
 			band := &m.bands[i]
 			upstreams = append(upstreams, LearnedUpstream{
 				Upstream: name, Band: i, PrefillTokensPerSecond: 1 / band.prefill.coef[1],
-				WaitPerToken: band.wait.coef[0], WaitPerRequest: band.wait.coef[1], Miss: band.miss,
+				WaitPerToken: band.wait.coef[0], WaitPerRequest: band.wait.coef[1], Miss: band.predictionError,
 			})
 		}
 	}
@@ -49,7 +50,7 @@
 	links := make([]LearnedLink, 0, len(p.links))
 	for key, l := range p.links {
 		links = append(links, LearnedLink{
-			Store: key.store, Slow: key.slow, BytesPerSecond: 1 / l.coef[1], Noise: l.noise,
+			Store: key.store, Slow: key.slow, BytesPerSecond: 1 / l.coef[1], Noise: l.meanError,
 		})
 	}
 	slices.SortFunc(links, func(a, b LearnedLink) int {
--- a/route/model.go
+++ b/route/model.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// linear predicts y = a·x₀ + b·x₁ and learns a and b by recursive least squares
+// linear is a model y = a·x₀ + b·x₁ that learns a and b by recursive least squares
 // with exponential forgetting.
 //
-// Two safeguards keep a bad observation from ruining the choice. A surprise is
-// clipped to a few times the prediction, because one stalled request or a
-// report with a wrong clock would otherwise teach hours of queue wait. And the
-// coefficients stay within a fixed factor of their priors, because features
-// that hardly vary leave one of them undetermined and it would drift.
+// Two safeguards limit the effect of bad observations. An observation is clipped to a
+// multiple of the prediction, because otherwise one stalled request or one report
+// with a wrong clock would teach hours of queue wait. The coefficients stay within a
+// fixed factor of their priors, because features that hardly vary leave one
+// coefficient undetermined and it would drift.
 type linear struct {
 	coef  [2]float64
 	prior [2]float64
 	// cov is the symmetric covariance (c00, c01, c11), for scaled features.
-	cov   [3]float64
-	scale [2]float64
-	noise float64
-	count int
+	cov       [3]float64
+	scale     [2]float64
+	meanError float64
+	count     int
 }
 
 const (
-	// forgetting keeps about the last fifty observations.
+	// forgetting is the weight that past observations keep at each new one; about the
+	// last fifty observations count.
 	forgetting = 0.98
-	// maxCoefFactor bounds how far a coefficient moves from its prior.
+	// maxCoefFactor bounds the factor between a coefficient and its prior.
 	maxCoefFactor = 32
-	// maxSurprise bounds an observation as a multiple of the prediction.
-	maxSurprise = 4
-	// surpriseFloor lets a prediction near zero be corrected, in seconds.
-	surpriseFloor = 0.02
-	// maxCovariance stops wind-up while the features stay constant.
+	// maxObservationFactor bounds an observation as a multiple of the prediction.
+	maxObservationFactor = 4
+	// observationOffset is added to that bound, in seconds, so that a prediction near
+	// zero can be corrected.
+	observationOffset = 0.02
+	// maxCovariance prevents wind-up of the covariance while the features are
+	// constant.
 	maxCovariance = 10
 )
 
-// newLinear starts from prior coefficients; scale is the usual size of each
-// feature and conditions the covariance.
+// newLinear returns a model with the prior coefficients. scale is the typical size of
+// each feature and conditions the covariance.
 func newLinear(prior, scale [2]float64) linear {
 	return linear{coef: prior, prior: prior, cov: [3]float64{1, 0, 1}, scale: scale}
 }
@@ -46,12 +49,12 @@
 	return l.coef[0]*x0 + l.coef[1]*x1
 }
 
-// observe learns that x gave y seconds.
+// observe updates the model: features x0 and x1 took y seconds.
 func (l *linear) observe(x0, x1, y float64) {
 	predicted := l.predict(x0, x1)
-	limit := maxSurprise*predicted + surpriseFloor
+	limit := maxObservationFactor*predicted + observationOffset
 	residual := min(max(y, 0), limit) - predicted
-	l.noise += noiseGain * (math.Abs(residual) - l.noise)
+	l.meanError += errorGain * (math.Abs(residual) - l.meanError)
 	l.count++
 
 	u0, u1 := x0/l.scale[0], x1/l.scale[1]
@@ -69,8 +72,8 @@
 	l.cov[1] = min(max(l.cov[1], -bound), bound)
 }
 
-// noiseGain is the weight of one observation in the mean absolute error.
-const noiseGain = 0.05
+// errorGain is the weight of one observation in a mean absolute error.
+const errorGain = 0.05
 
 func bounded(coef, prior float64) float64 {
 	return min(max(coef, prior/maxCoefFactor), prior*maxCoefFactor)
--- a/route/model_test.go
+++ b/route/model_test.go
@@ -9,9 +9,9 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// An upstream prefills at a rate other than the prior, with noise. After a few
-// dozen requests predictions must be near the truth over the whole range of
-// prompt lengths, not only near the mean.
+// An upstream prefills at a rate other than the prior, with noise. After 100 requests
+// the predictions must be near the true times over the whole range of prompt lengths,
+// not only near the mean.
 func TestLearnsPrefillRate(t *testing.T) {
 	p := newPlanner(t, Options{})
 	r := random()
@@ -29,23 +29,23 @@
 	}
 }
 
-// Reports are wrong in turn: a clock that jumped gives an hour of queue wait, a
-// lost counter gives none at all. One such report may bend the prediction a
-// little; it may not take the upstream out of use or make it look free, and
-// true reports afterwards must restore it.
+// Reports are wrong: a clock that jumped yields an hour of queue wait, a lost counter
+// yields none. One such report may shift the prediction slightly, but must neither
+// exclude the upstream nor make it look free, and true reports afterwards must
+// restore the prediction.
 func TestBadReportsAreBounded(t *testing.T) {
 	bad := map[string]time.Duration{"an hour": time.Hour, "zero": 0, "negative": -time.Minute}
 	for name, wait := range bad {
 		t.Run(name, func(t *testing.T) {
 			p := newPlanner(t, Options{})
-			truth := func() {
+			observeTrue := func() {
 				p.Observe(Observation{Upstream: "u", Target: time.Second, QueuedTokens: 10_000, Wait: 500 * time.Millisecond})
 			}
 			predicted := func() float64 {
 				return p.wait(p.model("u", time.Second), Candidate{QueuedTokens: 10_000}).Seconds()
 			}
 			for range 50 {
-				truth()
+				observeTrue()
 			}
 			p.Observe(Observation{Upstream: "u", Target: time.Second, QueuedTokens: 10_000, Wait: wait})
 			if got := predicted(); got < 0.4 || got > 1 {
@@ -58,7 +58,7 @@
 				t.Errorf("many bad reports made the prediction %.2f s", got)
 			}
 			for range 300 {
-				truth()
+				observeTrue()
 			}
 			if got := predicted(); got < 0.35 || got > 0.75 {
 				t.Errorf("after true reports the prediction is %.2f s, want 0.5 s", got)
@@ -67,9 +67,9 @@
 	}
 }
 
-// Random observations, also absurd ones, for a long time: no prediction may
-// become negative, infinite or not a number, since a comparison with such a cost
-// would choose for ever or never.
+// Random, including absurd, observations over a long time. No prediction may become
+// negative, infinite or not a number, because a comparison with such a cost would
+// choose the plan always or never.
 func TestPredictionsStayFinite(t *testing.T) {
 	p := newPlanner(t, Options{})
 	r := random()
@@ -90,14 +90,15 @@
 			t.Fatal(err)
 		}
 		if math.IsNaN(d.Cost) || math.IsInf(d.Cost, 0) || d.Cost < 0 || d.FirstToken < 0 {
-			t.Fatalf("decision %+v", d.Prediction)
+			t.Fatalf("invalid prediction in decision %+v", d.Prediction)
 		}
 	}
 }
 
-// Nine entries see the same report, in which one of eight equal upstreams looks
-// a little better. If all chose it, it would be overrun until the next report.
-func TestEqualUpstreamsAreSharedOut(t *testing.T) {
+// Nine entries have the same report, in which one of eight equal upstreams looks
+// slightly better. If all of them chose it, it would be overloaded until the next
+// report.
+func TestEqualUpstreamsShareRequests(t *testing.T) {
 	chosen := map[ident.Upstream]int{}
 	for entry := range 9 {
 		p := newPlanner(t, Options{})
@@ -122,8 +123,8 @@
 	}
 }
 
-// Requests behind many candidates, copies and upstreams must not cost more than
-// the bounds allow, and the planner must not keep more than it was told to.
+// A request with many candidates and copies must not cost more than the bounds allow,
+// and the planner must not keep more models than configured.
 func TestBounds(t *testing.T) {
 	p := newPlanner(t, Options{MaxUpstreams: 10})
 	req := Request{PromptTokens: 40_000, Arrived: start, Target: time.Second}
@@ -139,35 +140,35 @@
 		t.Fatal(err)
 	}
 	if len(d.Considered) > MaxCandidates*plansPerCandidate {
-		t.Errorf("%d plans weighed", len(d.Considered))
+		t.Errorf("%d plans were considered", len(d.Considered))
 	}
 	upstreams, links := p.Learned()
 	if len(upstreams) > 10*bandCount || len(links) > 10 {
-		t.Errorf("%d models of upstreams and %d of links kept", len(upstreams), len(links))
+		t.Errorf("%d models of upstreams and %d of links are kept", len(upstreams), len(links))
 	}
 	p.Forget(ident.Upstream(rune(1000)))
 	if after, _ := p.Learned(); len(after) != len(upstreams)-bandCount {
-		t.Error("a forgotten upstream is still known")
+		t.Error("the models of a forgotten upstream are still there")
 	}
 	if _, err := p.Plan(start, Request{}, random()); err == nil {
 		t.Error("a request without candidates got a plan")
 	}
 }
 
-// A holder's cache events are lost, so that it no longer has what it is thought
-// to have. Its record lowers the trust: the plan must then count on less, and
-// ask to verify what it builds on.
-func TestDoubtedHolder(t *testing.T) {
+// The cache events of an upstream are lost, so that it no longer holds the blocks
+// recorded for it, and its cache accuracy drops. The plan must then count on fewer
+// cached tokens, and verify those that it uses.
+func TestInaccurateHolderIsVerified(t *testing.T) {
 	p := newPlanner(t, Options{})
-	doubted := Candidate{Upstream: "doubted", Slots: 8, CachedTokens: 20_000, CacheAccuracy: 0.3}
-	trusted := Candidate{Upstream: "trusted", Slots: 8, CachedTokens: 20_000, CacheAccuracy: 1}
-	req := Request{PromptTokens: 20_100, Arrived: start, Target: time.Second, Candidates: []Candidate{doubted, trusted}}
+	inaccurate := Candidate{Upstream: "inaccurate", Slots: 8, CachedTokens: 20_000, CacheAccuracy: 0.3}
+	accurate := Candidate{Upstream: "accurate", Slots: 8, CachedTokens: 20_000, CacheAccuracy: 1}
+	req := Request{PromptTokens: 20_100, Arrived: start, Target: time.Second, Candidates: []Candidate{inaccurate, accurate}}
 	d, err := p.Plan(start, req, random())
-	if err != nil || d.Upstream != "trusted" || d.Verify {
-		t.Errorf("chose %s, verify %v, %v; want the trusted holder unverified", d.Upstream, d.Verify, err)
+	if err != nil || d.Upstream != "accurate" || d.Verify {
+		t.Errorf("chose %s, verify %v, %v; want the accurate holder unverified", d.Upstream, d.Verify, err)
 	}
 	req.Candidates = req.Candidates[:1]
 	if d, err = p.Plan(start, req, random()); err != nil || !d.Verify {
-		t.Errorf("verify %v, %v; want the doubted holder verified", d.Verify, err)
+		t.Errorf("verify %v, %v; want the inaccurate holder verified", d.Verify, err)
 	}
 }
--- a/route/planner.go
+++ b/route/planner.go
@@ -9,21 +9,22 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Options configure a Planner. The zero value of each field takes the default.
+// Options configures a Planner. A zero field takes its default.
 type Options struct {
-	// PrefillTokensPerSecond, BytesPerSecond and RequestSeconds are the priors
-	// of the learned models: one upstream's prefill rate, one store link, and
-	// the time until a busy slot frees, divided by the slots.
+	// PrefillTokensPerSecond, BytesPerSecond and RequestSeconds are the priors of the
+	// learned models: the prefill rate of one upstream, the rate of one store link,
+	// and the time until a busy slot becomes free, divided by the number of slots.
 	PrefillTokensPerSecond float64
 	BytesPerSecond         float64
 	RequestSeconds         float64
-	// RecomputeWeight and LinkWeight price a second of accelerator and of link
-	// time against a second of waiting.
+	// RecomputeWeight and LinkWeight are the costs of one second of accelerator time
+	// and of link time, on the scale of WaitWeight.
 	RecomputeWeight, LinkWeight float64
-	// WaitWeight prices a second until the first token within the target, and
-	// LateWeight one beyond it.
+	// WaitWeight is the cost of one second of waiting for the first token. LateWeight
+	// is the additional cost of one second beyond the target.
 	WaitWeight, LateWeight float64
-	// BlockTokens is the length of a block: a fetch is split between blocks.
+	// BlockTokens is the length of a block in tokens; a fetch is split at block
+	// boundaries.
 	BlockTokens int
 	// MaxUpstreams bounds the upstreams and stores with learned models.
 	MaxUpstreams int
@@ -47,9 +48,9 @@
 
 func (o Options) withDefaults() (Options, error) {
 	for _, f := range []struct {
-		name  string
-		value *float64
-		usual float64
+		name     string
+		value    *float64
+		fallback float64
 	}{
 		{"PrefillTokensPerSecond", &o.PrefillTokensPerSecond, DefaultPrefillRate},
 		{"BytesPerSecond", &o.BytesPerSecond, DefaultLinkRate},
@@ -63,7 +64,7 @@
 			return o, fmt.Errorf("%w: %s is negative", ErrOptions, f.name)
 		}
 		if *f.value == 0 {
-			*f.value = f.usual
+			*f.value = f.fallback
 		}
 	}
 	if o.BlockTokens <= 0 {
@@ -75,42 +76,44 @@
 	return o, nil
 }
 
-// Planner places requests and learns from their outcomes. It is not safe for
-// concurrent use.
+// Planner chooses plans for requests and learns from their outcomes. It is not safe
+// for concurrent use.
 type Planner struct {
 	options   Options
 	upstreams map[ident.Upstream]*upstreamModel
 	links     map[linkKey]*linear
-	fresh     upstreamModel
-	freshLink linear
+	prior     upstreamModel
+	priorLink linear
 	scratch   []part
 }
 
-// linkKey names what is learned about reading from a store host. Its tiers are
-// apart, because a disk is slower than the link behind which it sits.
+// linkKey identifies the model of reading from one tier of a store host. The tiers
+// are separate because a disk is slower than the link in front of it.
 type linkKey struct {
 	store ident.Upstream
 	slow  bool
 }
 
-// upstreamModel is what is learned about one upstream.
+// upstreamModel is the model learned for one upstream.
 type upstreamModel struct {
-	// bands are learned apart: engines run urgent requests first, so that the
+	// bands are learned separately: engines run urgent requests first, so that the
 	// same queue is short for one class and long for another.
 	bands [bandCount]bandModel
 }
 
 type bandModel struct {
-	wait    linear // over tokens ahead and requests beyond the free slots
-	prefill linear // over one and the tokens to compute
-	// miss is the mean absolute error of the predicted first token, seconds.
-	miss float64
+	wait    linear // features: tokens ahead, and requests beyond the free slots
+	prefill linear // features: constant 1, and tokens to compute
+	// predictionError is the mean absolute error of the predicted time to first
+	// token, in seconds.
+	predictionError float64
 }
 
-// bandCount is the number of bands of urgency.
+// bandCount is the number of urgency bands.
 const bandCount = 3
 
-// bandOf groups targets: about a second, about ten, and more.
+// bandOf returns the urgency band of a target: 0 up to a second, 1 up to ten seconds,
+// 2 above.
 func bandOf(target time.Duration) int {
 	switch {
 	case target <= time.Second:
@@ -121,7 +124,7 @@
 	return 2
 }
 
-// New returns a Planner that starts from the priors.
+// New returns a Planner whose models are the priors.
 func New(options Options) (*Planner, error) {
 	o, err := options.withDefaults()
 	if err != nil {
@@ -134,33 +137,34 @@
 		links:     make(map[linkKey]*linear),
 		scratch:   make([]part, 0, MaxCopies),
 	}
-	for i := range p.fresh.bands {
-		p.fresh.bands[i] = bandModel{
-			wait:    newLinear([2]float64{token, o.RequestSeconds}, [2]float64{usualTokens, 1}),
-			prefill: newLinear([2]float64{prefillOverhead, token}, [2]float64{1, usualTokens}),
+	for i := range p.prior.bands {
+		p.prior.bands[i] = bandModel{
+			wait:    newLinear([2]float64{token, o.RequestSeconds}, [2]float64{typicalTokens, 1}),
+			prefill: newLinear([2]float64{prefillOverhead, token}, [2]float64{1, typicalTokens}),
 		}
 	}
-	p.freshLink = newLinear([2]float64{linkOverhead, 1 / o.BytesPerSecond}, [2]float64{1, usualBytes})
+	p.priorLink = newLinear([2]float64{linkOverhead, 1 / o.BytesPerSecond}, [2]float64{1, typicalBytes})
 	return p, nil
 }
 
-// Priors and usual sizes of features.
+// Overheads of the priors, in seconds, and typical sizes of the features, in tokens
+// and bytes.
 const (
-	usualTokens     = 4096
-	usualBytes      = 256 << 20
+	typicalTokens   = 4096
+	typicalBytes    = 256 << 20
 	prefillOverhead = 0.005
 	linkOverhead    = 0.002
 )
 
-// Observe learns from a finished request.
+// Observe updates the models with the outcome of a finished request.
 func (p *Planner) Observe(o Observation) {
 	m := p.upstreams[o.Upstream]
 	if m == nil {
 		if len(p.upstreams) >= p.options.MaxUpstreams {
 			return
 		}
-		fresh := p.fresh
-		m = &fresh
+		prior := p.prior
+		m = &prior
 		p.upstreams[o.Upstream] = m
 	}
 	band := &m.bands[bandOf(o.Target)]
@@ -171,12 +175,12 @@
 		band.prefill.observe(1, float64(o.RecomputedTokens), o.Prefill.Seconds())
 	}
 	if o.Predicted > 0 {
-		miss := min((o.FirstToken - o.Predicted).Abs().Seconds(), maxSurprise*o.Predicted.Seconds()+surpriseFloor)
-		band.miss += noiseGain * (miss - band.miss)
+		predictionError := min((o.FirstToken - o.Predicted).Abs().Seconds(), maxObservationFactor*o.Predicted.Seconds()+observationOffset)
+		band.predictionError += errorGain * (predictionError - band.predictionError)
 	}
 }
 
-// ObserveTransfer learns from a finished import.
+// ObserveTransfer updates the models with the outcome of a finished import.
 func (p *Planner) ObserveTransfer(t Transfer) {
 	if t.Bytes <= 0 {
 		return
@@ -187,14 +191,14 @@
 		if len(p.links) >= p.options.MaxUpstreams {
 			return
 		}
-		fresh := p.freshLink
-		l = &fresh
+		prior := p.priorLink
+		l = &prior
 		p.links[key] = l
 	}
 	l.observe(1, float64(t.PendingBytes+t.Bytes), t.Took.Seconds())
 }
 
-// Forget drops what was learned about an upstream that has left.
+// Forget removes the models of an upstream that has left.
 func (p *Planner) Forget(upstream ident.Upstream) {
 	delete(p.upstreams, upstream)
 	delete(p.links, linkKey{upstream, false})
@@ -204,20 +208,20 @@
 func (p *Planner) model(upstream ident.Upstream, target time.Duration) *bandModel {
 	m := p.upstreams[upstream]
 	if m == nil {
-		m = &p.fresh
+		m = &p.prior
 	}
 	return &m.bands[bandOf(target)]
 }
 
-// Plan weighs the plans for a request and returns the cheapest. random breaks
-// near ties, so that entries which see the same reports don't all choose the
-// same upstream.
+// Plan predicts the plans for a request and returns the cheapest. random breaks near
+// ties, so that entries that received the same reports do not all choose the same
+// upstream.
 func (p *Planner) Plan(now time.Time, req Request, random *rand.Rand) (Decision, error) {
 	candidates := req.Candidates[:min(len(req.Candidates), MaxCandidates)]
 	if len(candidates) == 0 {
 		return Decision{}, ErrNoCandidate
 	}
-	allowed := req.allowed(now)
+	timeLeft := req.timeLeft(now)
 	best := Decision{Considered: make([]Prediction, 0, 2*len(candidates))}
 	var chosen Candidate
 	chosenRank := 0.0
@@ -227,7 +231,7 @@
 			if pred.Kind == 0 {
 				continue
 			}
-			pred.Cost = p.cost(pred, allowed)
+			pred.Cost = p.cost(pred, timeLeft)
 			best.Considered = append(best.Considered, pred)
 			rank := pred.Cost * (1 + tieBreak*random.Float64())
 			if best.Kind == 0 || rank < chosenRank {
@@ -239,31 +243,33 @@
 		best.Parts = p.parts(chosen, req, best.Prediction)
 	}
 	best.Verify = best.CachedTokens > 0 && chosen.CacheAccuracy > 0 && chosen.CacheAccuracy < verifyBelow
-	best.Slack = allowed - best.FirstToken
+	best.Slack = timeLeft - best.FirstToken
 	best.MeetsTarget = best.Slack >= 0
 	return best, nil
 }
 
-// tieBreak is the relative difference in cost that chance may overrule.
+// tieBreak is the relative difference in cost within which the choice is random.
 const tieBreak = 0.02
 
-// allowed is the time left until the target, or the deadline if that is sooner.
-func (r Request) allowed(now time.Time) time.Duration {
-	allowed := r.Target - now.Sub(r.Arrived)
+// timeLeft returns the time until the target, or until the deadline if that is
+// earlier.
+func (r Request) timeLeft(now time.Time) time.Duration {
+	timeLeft := r.Target - now.Sub(r.Arrived)
 	if !r.Deadline.IsZero() {
-		allowed = min(allowed, r.Deadline.Sub(now))
+		timeLeft = min(timeLeft, r.Deadline.Sub(now))
 	}
-	return allowed
+	return timeLeft
 }
 
-// cost weighs work against waiting. Within the target waiting is cheap and
-// work decides; beyond it lateness does. Half of the margin counts as late,
-// which spreads the change over the model's uncertainty instead of a cliff.
-func (p *Planner) cost(pred Prediction, allowed time.Duration) float64 {
+// cost returns the cost of a plan. Within the target waiting is cheap and the work
+// dominates; beyond it the lateness does. Half of the margin counts as late, which
+// spreads the transition over the uncertainty of the models instead of making it a
+// step.
+func (p *Planner) cost(pred Prediction, timeLeft time.Duration) float64 {
 	o := &p.options
 	cost := o.RecomputeWeight*pred.Prefill.Seconds() + o.LinkWeight*pred.Fetch.Seconds()
 	cost += o.WaitWeight * pred.FirstToken.Seconds()
-	late := pred.FirstToken + pred.Margin/2 - allowed
+	late := pred.FirstToken + pred.Margin/2 - timeLeft
 	if late > 0 {
 		cost += o.LateWeight * late.Seconds()
 	}
--- a/route/planner_test.go
+++ b/route/planner_test.go
@@ -21,8 +21,8 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(7, 11)) }
 
-// stored is a run of n tokens at 40 kB each on one store host.
-func stored(store ident.Upstream, n int) Copy {
+// storedCopy returns a copy of n tokens at 40 kB each on one store host.
+func storedCopy(store ident.Upstream, n int) Copy {
 	return Copy{Store: store, From: 0, To: n, Bytes: int64(n) * 40_000, LinkBytesPerSecond: 2_500_000_000}
 }
 
@@ -37,7 +37,7 @@
 	late := arriving
 	late.CachedAfter = 2 * time.Second
 	tight, loose := 400*time.Millisecond, time.Minute
-	slowCopy := stored("cellar", 20_000)
+	slowCopy := storedCopy("cellar", 20_000)
 	slowCopy.LinkBytesPerSecond = 800_000_000
 	tests := []struct {
 		name       string
@@ -47,12 +47,12 @@
 		upstream   ident.Upstream
 		kind       Kind
 	}{
-		{"idle holder", []Candidate{holder, idle}, []Copy{stored("cellar", 20_000)}, tight, "holder", Reuse},
-		{"busy holder, no slack", []Candidate{busyHolder, idle}, []Copy{stored("cellar", 20_000)}, tight, "idle", Fetch},
+		{"idle holder", []Candidate{holder, idle}, []Copy{storedCopy("cellar", 20_000)}, tight, "holder", Reuse},
+		{"busy holder, no slack", []Candidate{busyHolder, idle}, []Copy{storedCopy("cellar", 20_000)}, tight, "idle", Fetch},
 		{"busy holder, slack", []Candidate{busyHolder, idle}, nil, loose, "holder", Reuse},
 		{"busy holder, no slack, no copy", []Candidate{busyHolder, idle}, nil, tight, "idle", Recompute},
-		{"another request brings it soon", []Candidate{arriving, idle}, []Copy{stored("cellar", 20_000)}, tight, "arriving", Reuse},
-		{"another request brings it too late", []Candidate{late, idle}, []Copy{stored("cellar", 20_000)}, tight, "idle", Fetch},
+		{"another request completes the prefix soon", []Candidate{arriving, idle}, []Copy{storedCopy("cellar", 20_000)}, tight, "arriving", Reuse},
+		{"another request completes the prefix too late", []Candidate{late, idle}, []Copy{storedCopy("cellar", 20_000)}, tight, "idle", Fetch},
 		{"slow link, engine overlaps, no slack", []Candidate{overlapping}, []Copy{slowCopy}, tight, "idle", PartialFetch},
 		{"slow link, slack", []Candidate{overlapping}, []Copy{slowCopy}, loose, "idle", Fetch},
 	}
@@ -67,17 +67,17 @@
 				t.Fatal(err)
 			}
 			if d.Upstream != tt.upstream || d.Kind != tt.kind {
-				t.Errorf("chose %s on %s, want %s on %s; weighed %+v", d.Kind, d.Upstream, tt.kind, tt.upstream, d.Considered)
+				t.Errorf("chose %s on %s, want %s on %s; considered %+v", d.Kind, d.Upstream, tt.kind, tt.upstream, d.Considered)
 			}
 			if sum := d.CachedTokens + d.FetchTokens + d.RecomputeTokens; sum != 20_500 {
-				t.Errorf("the plan covers %d tokens of 20500", sum)
+				t.Errorf("the plan covers %d tokens, want 20500", sum)
 			}
 			fetched := 0
 			for _, part := range d.Parts {
 				fetched += part.To - part.From
 			}
 			if fetched != d.FetchTokens {
-				t.Errorf("parts fetch %d tokens, the plan says %d", fetched, d.FetchTokens)
+				t.Errorf("parts fetch %d tokens, the plan predicts %d", fetched, d.FetchTokens)
 			}
 		})
 	}
--- a/route/predict.go
+++ b/route/predict.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// part is a run to import, with the store's index among the copies.
+// part is a run of tokens to import, from the store at index copy in the request's
+// copies.
 type part struct {
 	copy     int
 	from, to int
 	bytes    int64
 }
 
-// plansPerCandidate is how many kinds of plan one candidate can offer.
+// plansPerCandidate is the maximum number of plans for one candidate.
 const plansPerCandidate = 3
 
-// plans predicts the plans that one candidate offers; unused ones have no kind.
+// plans returns the predicted plans for one candidate; unused elements have Kind
+// zero.
 func (p *Planner) plans(m *bandModel, c Candidate, req Request) [plansPerCandidate]Prediction {
 	var out [plansPerCandidate]Prediction
 	cached := min(c.CachedTokens, req.PromptTokens)
@@ -41,14 +43,15 @@
 	return seconds(m.prefill.predict(1, float64(tokens)))
 }
 
-// margin widens the learned error with the age of the load report, within which
-// others may have sent as much work as this upstream has in its queue.
+// margin returns the learned error plus a share of the wait that grows with the age
+// of the load report, because others may meanwhile have sent as much work as is in
+// the upstream's queue.
 func (p *Planner) margin(m *bandModel, c Candidate, wait time.Duration) time.Duration {
 	age := min(c.LoadAge, maxLoadAge)
-	return seconds(m.miss) + time.Duration(float64(wait)*age.Seconds()/maxLoadAge.Seconds())
+	return seconds(m.predictionError) + time.Duration(float64(wait)*age.Seconds()/maxLoadAge.Seconds())
 }
 
-// maxLoadAge is the age from which on a report says nothing about the queue.
+// maxLoadAge is the age from which a report no longer indicates the queue length.
 const maxLoadAge = 5 * time.Second
 
 func (p *Planner) withoutFetch(m *bandModel, c Candidate, req Request, wait time.Duration, cached int) Prediction {
@@ -57,7 +60,7 @@
 		kind = Recompute
 	}
 	rest := req.PromptTokens - cached
-	prefill := p.prefill(m, req.PromptTokens-c.likely(cached))
+	prefill := p.prefill(m, req.PromptTokens-c.expectedCached(cached))
 	return Prediction{
 		Upstream: c.Upstream, Kind: kind,
 		Wait: wait, Prefill: prefill,
@@ -67,15 +70,16 @@
 	}
 }
 
-// likely is how much of the cached prefix is expected to be there.
-func (c Candidate) likely(cached int) int {
+// expectedCached returns the number of recorded prefix tokens that are expected to be
+// in the cache.
+func (c Candidate) expectedCached(cached int) int {
 	if c.CacheAccuracy <= 0 || c.CacheAccuracy >= verifyBelow {
 		return cached
 	}
 	return int(float64(cached) * c.CacheAccuracy)
 }
 
-// verifyBelow is the trust below which a holder's blocks are verified.
+// verifyBelow is the cache accuracy below which the cached blocks are verified.
 const verifyBelow = 0.95
 
 func (p *Planner) withFetch(m *bandModel, c Candidate, req Request, wait time.Duration, cached, tokens int, bytes int64, fetch time.Duration) Prediction {
@@ -94,8 +98,8 @@
 	}
 }
 
-// withPartial splits the stored run: the upstream computes from the front while
-// the back arrives, and they meet where both take equally long.
+// withPartial splits the stored run: the upstream computes tokens from the front
+// while the back arrives. The split is where both take equally long.
 func (p *Planner) withPartial(m *bandModel, c Candidate, req Request, wait time.Duration, cached, tokens int) Prediction {
 	low, high := 0, tokens // tokens computed instead of fetched
 	for range splitSteps {
@@ -123,11 +127,13 @@
 	}
 }
 
-// splitSteps halvings place the split within 1/64 of the run.
+// splitSteps is the number of halvings of the search, which finds the split within
+// 1/64 of the run.
 const splitSteps = 6
 
-// fetch predicts importing the stored tokens of [from, to) that follow one
-// another without a gap, each run from the store that is done soonest.
+// fetch predicts the import of the stored tokens from the start of [from, to) up to
+// the first gap, each run from the store that is predicted to be fastest. It leaves
+// the runs in p.scratch.
 func (p *Planner) fetch(c Candidate, req Request, from, to int) (took time.Duration, tokens int, bytes int64) {
 	p.scratch = p.scratch[:0]
 	for at := from; at < to && len(p.scratch) < MaxCopies; {
@@ -168,11 +174,11 @@
 	return best, best.copy >= 0
 }
 
-// copyTime predicts reading more bytes from the store of copies[i] on top of
-// what this plan already reads from it.
-func (p *Planner) copyTime(copies []Copy, i int, more int64) time.Duration {
+// copyTime returns the predicted time to read extra bytes from the store of
+// copies[i], in addition to what this plan already reads from it.
+func (p *Planner) copyTime(copies []Copy, i int, extra int64) time.Duration {
 	c := &copies[i]
-	total := c.PendingBytes + more
+	total := c.PendingBytes + extra
 	for _, chosen := range p.scratch {
 		if copies[chosen.copy].Store == c.Store && copies[chosen.copy].Slow == c.Slow {
 			total += chosen.bytes
@@ -180,7 +186,7 @@
 	}
 	l := p.links[linkKey{c.Store, c.Slow}]
 	if l == nil {
-		l = &p.freshLink
+		l = &p.priorLink
 	}
 	s := l.predict(1, float64(total))
 	if c.LinkBytesPerSecond > 0 {
@@ -190,11 +196,12 @@
 	return seconds(s)
 }
 
-// minLinkShare is what a fetch gets even of a link that is reported full.
+// minLinkShare is the share of a link that a fetch is assumed to get even if the link
+// is reported full.
 const minLinkShare = 0.1
 
-// parts rebuilds the imports of the chosen plan. A partial fetch takes the back
-// of the stored run.
+// parts returns the imports of the chosen plan. A partial fetch imports the back of
+// the stored run.
 func (p *Planner) parts(c Candidate, req Request, pred Prediction) []Part {
 	from := pred.CachedTokens
 	to := req.PromptTokens
