--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -9,13 +9,15 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// benchSizes are today's upstreams, one cell more than full, and the target.
+// benchSizes are numbers of upstreams: a current deployment, more than one full
+// cell, and the design target.
 var benchSizes = []int{21, 1_200, 12_000}
 
-// cellSize is how many upstreams share a cell.
+// cellSize is the number of upstreams in a cell.
 const cellSize = 100
 
-// fleet is a registry with a number of upstreams in cells.
+// fleet returns a registry with count upstreams divided into cells, and their
+// announcements.
 func fleet(t testing.TB, count int) (*Registry, []Announcement) {
 	r := testRegistry(t, Options{MaxUpstreams: count})
 	all := make([]Announcement, count)
@@ -24,7 +26,7 @@
 		a.Shard = uint16(i / cellSize)
 		a.Address = fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250)
 		a.Lease = time.Hour
-		announce(t, r, epoch, a)
+		announce(t, r, testStart, a)
 		all[i] = a
 	}
 	return r, all
@@ -44,7 +46,7 @@
 			out := make([]Candidate, 0, 16)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				out = r.Pick(epoch, random, fleetPool(all[i%count].Shard), 3, out[:0])
+				out = r.Pick(testStart, random, fleetPool(all[i%count].Shard), 3, out[:0])
 			}
 		})
 	}
@@ -57,8 +59,8 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				id := Attempt{Number: uint32(i)}
-				r.Dispatch(epoch, id, all[i%count].Upstream, 1000)
-				r.Finish(epoch, id, Succeeded)
+				r.Dispatch(testStart, id, all[i%count].Upstream, 1000)
+				r.Finish(testStart, id, Succeeded)
 			}
 		})
 	}
@@ -70,8 +72,8 @@
 			r, all := fleet(b, count)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				measured := epoch.Add(time.Duration(i))
-				r.Report(epoch, Report{Upstream: all[i%count].Upstream, Incarnation: 1, MeasuredAt: measured, Running: 3})
+				measured := testStart.Add(time.Duration(i))
+				r.Report(testStart, Report{Upstream: all[i%count].Upstream, Incarnation: 1, MeasuredAt: measured, Running: 3})
 			}
 		})
 	}
@@ -83,7 +85,7 @@
 			r, all := fleet(b, count)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if _, err := r.Announce(epoch, all[i%count]); err != nil {
+				if _, err := r.Announce(testStart, all[i%count]); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -91,7 +93,8 @@
 	}
 }
 
-// bytesPerUpstream is the heap that a fleet takes, with names and addresses.
+// bytesPerUpstream returns the heap use of a fleet per upstream, including names
+// and addresses.
 func bytesPerUpstream(t testing.TB, count int) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -113,17 +116,17 @@
 	}
 }
 
-// A pick that walks its pool or the fleet would make each request slower as the
-// fleet grows, until the entry cannot keep up.
-func TestPickLooksAtABoundedSample(t *testing.T) {
+// A pick that iterates over its pool or the fleet makes each request slower as
+// the fleet grows, until the entry is overloaded.
+func TestPickSampleIsBounded(t *testing.T) {
 	const picks, wanted = 50, 3
 	for _, count := range benchSizes {
 		r, _ := fleet(t, count)
 		for range picks {
-			r.Pick(epoch, testRandom(), fleetPool(0), wanted, nil)
+			r.Pick(testStart, testRandom(), fleetPool(0), wanted, nil)
 		}
 		if got := r.Stats().Considered; got > picks*wanted*sampleFactor {
-			t.Errorf("%d upstreams: %d looked at in %d picks", count, got, picks)
+			t.Errorf("%d upstreams: %d sampled in %d picks", count, got, picks)
 		}
 	}
 }
--- a/upstream/departures.go
+++ b/upstream/departures.go
@@ -6,74 +6,78 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// MaxDepartures bounds the departures remembered.
+// MaxDepartures is the largest number of departures a registry keeps.
 const MaxDepartures = 4096
 
-// departures remembers which incarnations have left.
+// departures records which incarnations have left.
 type departures struct {
-	left map[Departure]struct{}
-	// latest are the highest incarnations that have left not long ago.
-	latest map[ident.Upstream]departedAt
-	queue  []departedAt
+	departed map[Departure]struct{}
+	// latest holds the highest incarnation of each upstream that has left
+	// recently.
+	latest map[ident.Upstream]departureRecord
+	queue  []departureRecord // by time of arrival, for expiry
 }
 
-type departedAt struct {
-	word Departure
-	end  time.Time
+// departureRecord is a departure and the time until which it applies.
+type departureRecord struct {
+	departure Departure
+	expiry    time.Time
 }
 
 func newDepartures() departures {
-	return departures{left: make(map[Departure]struct{}), latest: make(map[ident.Upstream]departedAt)}
+	return departures{departed: make(map[Departure]struct{}), latest: make(map[ident.Upstream]departureRecord)}
 }
 
-// has tells whether an incarnation has left.
-func (d *departures) has(word Departure) bool {
-	_, left := d.left[word]
-	return left
+// has reports whether an incarnation has left.
+func (d *departures) has(departure Departure) bool {
+	_, departed := d.departed[departure]
+	return departed
 }
 
-// refuses tells whether an announcement comes from an incarnation that has left
-// or, as long as such words may still be on their way, from an earlier one.
-func (d *departures) refuses(now time.Time, word Departure) bool {
-	latest, recent := d.latest[word.Upstream]
-	earlier := recent && word.Incarnation < latest.word.Incarnation && now.Before(latest.end)
-	return earlier || d.has(word)
+// refuses reports whether an announcement comes from an incarnation that has
+// left or, while stale announcements may still arrive, from an earlier one.
+func (d *departures) refuses(now time.Time, departure Departure) bool {
+	latest, recent := d.latest[departure.Upstream]
+	earlier := recent && departure.Incarnation < latest.departure.Incarnation && now.Before(latest.expiry)
+	return earlier || d.has(departure)
 }
 
-// add remembers a word for life; for late it also tells of earlier incarnations.
-func (d *departures) add(now time.Time, word Departure, life, late time.Duration) {
-	if d.has(word) {
+// add keeps a departure for ttl. For earlierTTL it also applies to earlier
+// incarnations of the upstream.
+func (d *departures) add(now time.Time, departure Departure, ttl, earlierTTL time.Duration) {
+	if d.has(departure) {
 		return
 	}
 	if len(d.queue) >= MaxDepartures {
-		d.drop()
+		d.removeOldest()
 	}
-	d.left[word] = struct{}{}
-	d.queue = append(d.queue, departedAt{word: word, end: now.Add(life)})
-	latest, known := d.latest[word.Upstream]
-	if !known || word.Incarnation > latest.word.Incarnation || !now.Before(latest.end) {
-		d.latest[word.Upstream] = departedAt{word: word, end: now.Add(late)}
+	d.departed[departure] = struct{}{}
+	d.queue = append(d.queue, departureRecord{departure: departure, expiry: now.Add(ttl)})
+	latest, known := d.latest[departure.Upstream]
+	if !known || departure.Incarnation > latest.departure.Incarnation || !now.Before(latest.expiry) {
+		d.latest[departure.Upstream] = departureRecord{departure: departure, expiry: now.Add(earlierTTL)}
 	}
 }
 
 func (d *departures) expire(now time.Time) {
-	for len(d.queue) > 0 && !d.queue[0].end.After(now) {
-		d.drop()
+	for len(d.queue) > 0 && !d.queue[0].expiry.After(now) {
+		d.removeOldest()
 	}
 }
 
-func (d *departures) drop() {
-	word := d.queue[0].word
+func (d *departures) removeOldest() {
+	departure := d.queue[0].departure
 	d.queue = d.queue[1:]
-	delete(d.left, word)
-	if d.latest[word.Upstream].word == word {
-		delete(d.latest, word.Upstream)
+	delete(d.departed, departure)
+	if d.latest[departure.Upstream].departure == departure {
+		delete(d.latest, departure.Upstream)
 	}
 }
 
+// list appends the departures to out, in no order.
 func (d *departures) list(out []Departure) []Departure {
-	for word := range d.left {
-		out = append(out, word)
+	for departure := range d.departed {
+		out = append(out, departure)
 	}
 	return out
 }
--- a/upstream/faults_test.go
+++ b/upstream/faults_test.go
@@ -7,22 +7,22 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// step is one event at a time after the epoch.
+// step is one event at a time after testStart.
 type step struct {
 	at time.Duration
 	do func(t *testing.T, r *Registry, now time.Time)
 }
 
-func says(a Announcement, want AnnounceResult) func(*testing.T, *Registry, time.Time) {
+func announceStep(a Announcement, want AnnounceResult) func(*testing.T, *Registry, time.Time) {
 	return func(t *testing.T, r *Registry, now time.Time) {
 		t.Helper()
 		if got := announce(t, r, now, a); got != want {
-			t.Fatalf("announcement at %v: result %d, want %d", now.Sub(epoch), got, want)
+			t.Fatalf("announcement at %v: result %d, want %d", now.Sub(testStart), got, want)
 		}
 	}
 }
 
-func word(incarnation ident.Incarnation) func(*testing.T, *Registry, time.Time) {
+func departureStep(incarnation ident.Incarnation) func(*testing.T, *Registry, time.Time) {
 	return func(_ *testing.T, r *Registry, now time.Time) {
 		r.MergeDepartures(now, []Departure{{Upstream: "a", Incarnation: incarnation}})
 	}
@@ -32,10 +32,10 @@
 	return func(t *testing.T, r *Registry, now time.Time) {
 		t.Helper()
 		if got := offers(r, now, "a"); got != want {
-			t.Fatalf("offered %v after %v: %v, want %v", "a", now.Sub(epoch), got, want)
+			t.Fatalf("upstream %v offered after %v: %v, want %v", "a", now.Sub(testStart), got, want)
 		}
-		if got := r.Dispatch(now, Attempt{Number: uint32(now.Sub(epoch) / time.Millisecond)}, "a", 0); got != want {
-			t.Fatalf("dispatch allowed after %v: %v, want %v", now.Sub(epoch), got, want)
+		if got := r.Dispatch(now, Attempt{Number: uint32(now.Sub(testStart) / time.Millisecond)}, "a", 0); got != want {
+			t.Fatalf("dispatch accepted after %v: %v, want %v", now.Sub(testStart), got, want)
 		}
 	}
 }
@@ -50,83 +50,83 @@
 	return a
 }
 
-// An upstream goes, with a word or without. Callers whose request is sent to
-// it afterwards wait for nothing or are cut off, so it must get nothing new
-// within 2 s of its word and 5 s of its silence, whatever another entry, which
-// has not heard yet, still says about it.
-func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
+// An upstream leaves, with a departure announcement or by losing contact.
+// Requests sent to it afterwards time out or are cut off. It must get no new
+// request later than 2 s after its announcement or 5 s after its last contact,
+// even if entries that do not know yet still relay its old announcement.
+func TestLeavingOrSilentUpstreamGetsNoNewRequests(t *testing.T) {
 	const second = time.Second
 	cases := map[string][]step{
-		"word of its own": {
-			{0, says(engine("a", 1), Registered)},
+		"own departure announcement": {
+			{0, announceStep(engine("a", 1), Registered)},
 			{second, isOffered(true)},
-			{second, says(leaving(engine("a", 1)), Departed)},
+			{second, announceStep(leaving(engine("a", 1)), Departed)},
 			{second, isOffered(false)},
 		},
-		"stale announcement relayed after the word": {
-			{0, says(engine("a", 1), Registered)},
-			{second, says(leaving(engine("a", 1)), Departed)},
-			{2 * second, says(engine("a", 1), Refused)},
+		"stale announcement relayed after the departure": {
+			{0, announceStep(engine("a", 1), Registered)},
+			{second, announceStep(leaving(engine("a", 1)), Departed)},
+			{2 * second, announceStep(engine("a", 1), Refused)},
 			{2 * second, isOffered(false)},
-			{90 * second, says(engine("a", 1), Refused)},
+			{90 * second, announceStep(engine("a", 1), Refused)},
 		},
-		"word heard from another entry first": {
-			{0, word(1)},
-			{second, says(engine("a", 1), Refused)},
+		"departure received from another entry first": {
+			{0, departureStep(1)},
+			{second, announceStep(engine("a", 1), Refused)},
 			{second, isOffered(false)},
 		},
-		"word from another entry about one that is listed": {
-			{0, says(engine("a", 1), Registered)},
-			{second, word(1)},
+		"departure of a registered upstream received from another entry": {
+			{0, announceStep(engine("a", 1), Registered)},
+			{second, departureStep(1)},
 			{second, isOffered(false)},
 		},
-		"next life after the word": {
-			{0, says(engine("a", 1), Registered)},
-			{second, says(leaving(engine("a", 1)), Departed)},
-			{2 * second, says(engine("a", 2), Registered)},
+		"new incarnation after the departure": {
+			{0, announceStep(engine("a", 1), Registered)},
+			{second, announceStep(leaving(engine("a", 1)), Departed)},
+			{2 * second, announceStep(engine("a", 2), Registered)},
 			{2 * second, isOffered(true)},
-			{3 * second, word(1)},
+			{3 * second, departureStep(1)},
 			{3 * second, isOffered(true)},
-			{4 * second, says(leaving(engine("a", 1)), Refused)},
+			{4 * second, announceStep(leaving(engine("a", 1)), Refused)},
 			{4 * second, isOffered(true)},
 		},
-		"word about a life not seen yet": {
-			{0, says(engine("a", 1), Registered)},
-			{second, word(2)},
+		"departure of an unknown incarnation": {
+			{0, announceStep(engine("a", 1), Registered)},
+			{second, departureStep(2)},
 			{second, isOffered(false)},
-			{2 * second, says(engine("a", 2), Refused)},
+			{2 * second, announceStep(engine("a", 2), Refused)},
 		},
-		"silence under a long lease": {
-			{0, says(leased(engine("a", 1), time.Minute), Registered)},
+		"contact lost under a long lease": {
+			{0, announceStep(leased(engine("a", 1), time.Minute), Registered)},
 			{4 * second, isOffered(true)},
 			{5 * second, isOffered(false)},
 			{59 * second, isOffered(false)},
 		},
-		"silence under a short lease": {
-			{0, says(leased(engine("a", 1), second), Registered)},
+		"contact lost under a short lease": {
+			{0, announceStep(leased(engine("a", 1), second), Registered)},
 			{second, isOffered(false)},
 		},
-		"silence, a word, and silence again": {
-			{0, says(leased(engine("a", 1), time.Minute), Registered)},
+		"contact lost, restored and lost again": {
+			{0, announceStep(leased(engine("a", 1), time.Minute), Registered)},
 			{10 * second, isOffered(false)},
-			{11 * second, says(leased(engine("a", 1), time.Minute), Renewed)},
+			{11 * second, announceStep(leased(engine("a", 1), time.Minute), Renewed)},
 			{12 * second, isOffered(true)},
 			{16 * second, isOffered(false)},
 		},
 		"renewed in time": {
-			{0, says(engine("a", 1), Registered)},
-			{4 * second, says(engine("a", 1), Renewed)},
-			{8 * second, says(engine("a", 1), Renewed)},
+			{0, announceStep(engine("a", 1), Registered)},
+			{4 * second, announceStep(engine("a", 1), Renewed)},
+			{8 * second, announceStep(engine("a", 1), Renewed)},
 			{12 * second, isOffered(true)},
 		},
 		"new weights announced": {
-			{0, says(engine("a", 1), Registered)},
+			{0, announceStep(engine("a", 1), Registered)},
 			{second, func(t *testing.T, r *Registry, now time.Time) {
 				swapped := engine("a", 1)
 				swapped.Models = []Loaded{{Model: "m", Version: "v2"}}
 				announce(t, r, now, swapped)
 				if offers(r, now, "a") {
-					t.Fatal("offered for the version it unloaded")
+					t.Fatal("offered for a version it no longer has loaded")
 				}
 			}},
 		},
@@ -135,52 +135,52 @@
 		t.Run(name, func(t *testing.T) {
 			r := testRegistry(t, Options{})
 			for _, s := range steps {
-				s.do(t, r, epoch.Add(s.at))
+				s.do(t, r, testStart.Add(s.at))
 			}
 		})
 	}
 }
 
-// An upstream starts again after its clock stepped back, so that its new life
-// has the lower incarnation. Words of a former life come late by seconds at
-// most: what goes on announcing itself for longer is the present life, and must
-// get work again within the silence after which the former gets none.
-func TestUpstreamStartedAgainWithEarlierClockIsOffered(t *testing.T) {
+// An upstream restarts after its clock stepped back, so its new incarnation is
+// lower than the previous one. Stale announcements are late by seconds at most,
+// so an incarnation that continues to announce itself is the current one. It
+// must get work again once the contact timeout of the previous one has passed.
+func TestUpstreamRestartedWithEarlierClockIsOffered(t *testing.T) {
 	const second = time.Second
 	again := leased(engine("a", 4), time.Minute)
 	cases := map[string][]step{
-		"after it died": {
-			{0, says(leased(engine("a", 9), time.Minute), Registered)},
-			{4 * second, says(again, Refused)},
-			{5 * second, says(again, Registered)},
+		"after a crash": {
+			{0, announceStep(leased(engine("a", 9), time.Minute), Registered)},
+			{4 * second, announceStep(again, Refused)},
+			{5 * second, announceStep(again, Registered)},
 			{5 * second, isOffered(true)},
 		},
-		"after its word": {
-			{0, says(leased(engine("a", 9), time.Minute), Registered)},
-			{second, says(leaving(engine("a", 9)), Departed)},
-			{2 * second, says(again, Refused)},
-			{5 * second, says(again, Refused)},
-			{6 * second, says(again, Registered)},
+		"after its departure": {
+			{0, announceStep(leased(engine("a", 9), time.Minute), Registered)},
+			{second, announceStep(leaving(engine("a", 9)), Departed)},
+			{2 * second, announceStep(again, Refused)},
+			{5 * second, announceStep(again, Refused)},
+			{6 * second, announceStep(again, Registered)},
 			{6 * second, isOffered(true)},
-			{7 * second, word(9)},
+			{7 * second, departureStep(9)},
 			{7 * second, isOffered(true)},
-			{8 * second, says(engine("a", 9), Refused)},
+			{8 * second, announceStep(engine("a", 9), Refused)},
 			{8 * second, isOffered(true)},
 		},
-		"and leaves in its turn": {
-			{0, says(leased(engine("a", 9), time.Minute), Registered)},
-			{second, says(leaving(engine("a", 9)), Departed)},
-			{6 * second, says(again, Registered)},
-			{7 * second, says(leaving(engine("a", 4)), Departed)},
+		"and departs again": {
+			{0, announceStep(leased(engine("a", 9), time.Minute), Registered)},
+			{second, announceStep(leaving(engine("a", 9)), Departed)},
+			{6 * second, announceStep(again, Registered)},
+			{7 * second, announceStep(leaving(engine("a", 4)), Departed)},
 			{7 * second, isOffered(false)},
-			{20 * second, says(again, Refused)},
+			{20 * second, announceStep(again, Refused)},
 		},
-		"before the former's word arrives": {
-			{0, says(again, Registered)},
-			{second, word(9)},
+		"before the departure of the previous incarnation arrives": {
+			{0, announceStep(again, Registered)},
+			{second, departureStep(9)},
 			{second, isOffered(false)},
-			{5 * second, says(again, Refused)},
-			{6 * second, says(again, Renewed)},
+			{5 * second, announceStep(again, Refused)},
+			{6 * second, announceStep(again, Renewed)},
 			{6 * second, isOffered(true)},
 		},
 	}
@@ -188,66 +188,67 @@
 		t.Run(name, func(t *testing.T) {
 			r := testRegistry(t, Options{})
 			for _, s := range steps {
-				s.do(t, r, epoch.Add(s.at))
+				s.do(t, r, testStart.Add(s.at))
 			}
 		})
 	}
 }
 
-// An upstream's clock steps back by an hour while it lives. Its reports must
-// count again once none from before the step can still be on its way; its load
-// would stay as it was for the hour otherwise. One that overtakes another on the
-// way must change nothing before and after.
+// An upstream's clock steps back by an hour while it runs. Its reports must be
+// accepted again once no report from before the step can still arrive; otherwise
+// its load would stay unchanged for an hour. Reports that arrive out of order
+// must be ignored before and after that.
 func TestLoadReportsCountAfterClockStepsBack(t *testing.T) {
 	const second, step = time.Second, -time.Hour
 	r := testRegistry(t, Options{Entries: 1})
 	running := func(at time.Duration) int {
 		t.Helper()
-		got, known := r.Candidate(epoch.Add(at), testPool, "a")
+		got, known := r.Candidate(testStart.Add(at), testPool, "a")
 		if !known {
 			t.Fatalf("not offered at %v", at)
 		}
 		return int(got.Load.Requests + 0.5)
 	}
 	stepped := func(at time.Duration, running int) Report {
-		return Report{Upstream: "a", Incarnation: 1, MeasuredAt: epoch.Add(at + step), Running: running}
+		return Report{Upstream: "a", Incarnation: 1, MeasuredAt: testStart.Add(at + step), Running: running}
 	}
 	for at := time.Duration(0); at <= 20*second; at += second {
-		announce(t, r, epoch.Add(at), engine("a", 1))
+		announce(t, r, testStart.Add(at), engine("a", 1))
 		switch {
 		case at == 0:
-			report(at, 7, 1)(t, r, epoch.Add(at))
+			report(at, 7, 1)(t, r, testStart.Add(at))
 		case at <= 4*second:
-			r.Report(epoch.Add(at), stepped(at, 2))
+			r.Report(testStart.Add(at), stepped(at, 2))
 			if got := running(at); got != 7 {
-				t.Errorf("at %v a report that may be late counts: %d requests", at, got)
+				t.Errorf("at %v a report that may be stale was applied: %d requests", at, got)
 			}
 		default:
-			r.Report(epoch.Add(at), stepped(at, 2))
-			r.Report(epoch.Add(at), stepped(at-second/2, 5))
+			r.Report(testStart.Add(at), stepped(at, 2))
+			r.Report(testStart.Add(at), stepped(at-second/2, 5))
 			if got := running(at); got != 2 {
-				t.Errorf("at %v the load is %d requests, want the reported 2", at, got)
+				t.Errorf("at %v the load is %d requests, want 2 as reported", at, got)
 			}
 		}
 	}
 }
 
-// Two lives of one upstream have left, and entries repeat both words in turn.
-// Each is news once; else the words would go round for ever.
-func TestDeparturesOfTwoLivesAreNewsOnce(t *testing.T) {
+// Two incarnations of one upstream have left, and entries send both departures
+// repeatedly. Each must be returned as new only once; otherwise entries would
+// relay them to each other without end.
+func TestEachDepartureIsRelayedOnce(t *testing.T) {
 	r := testRegistry(t, Options{})
-	words := []Departure{{Upstream: "a", Incarnation: 9}, {Upstream: "a", Incarnation: 4}}
-	news := 0
+	departures := []Departure{{Upstream: "a", Incarnation: 9}, {Upstream: "a", Incarnation: 4}}
+	added := 0
 	for i := range 10 {
-		now := epoch.Add(time.Duration(i) * time.Second)
-		news += len(r.MergeDepartures(now, words[i%2:i%2+1]))
+		now := testStart.Add(time.Duration(i) * time.Second)
+		added += len(r.MergeDepartures(now, departures[i%2:i%2+1]))
 	}
-	if news > len(words) {
-		t.Errorf("%d words are news, want at most %d", news, len(words))
+	if added > len(departures) {
+		t.Errorf("%d departures reported as new, want at most %d", added, len(departures))
 	}
-	for _, w := range words {
-		if got := announce(t, r, epoch.Add(20*time.Second), engine("a", w.Incarnation)); got != Refused {
-			t.Errorf("life %d is taken after its word: result %d", w.Incarnation, got)
+	for _, w := range departures {
+		if got := announce(t, r, testStart.Add(20*time.Second), engine("a", w.Incarnation)); got != Refused {
+			t.Errorf("incarnation %d accepted after its departure: result %d", w.Incarnation, got)
 		}
 	}
 }
@@ -258,7 +259,7 @@
 	return func(t *testing.T, r *Registry, now time.Time) {
 		t.Helper()
 		if !r.Dispatch(now, attempt(n), "a", 100) {
-			t.Fatalf("dispatch of %d refused", n)
+			t.Fatalf("dispatch of attempt %d refused", n)
 		}
 	}
 }
@@ -269,7 +270,7 @@
 
 func report(measured time.Duration, running int, incarnation ident.Incarnation) func(*testing.T, *Registry, time.Time) {
 	return func(_ *testing.T, r *Registry, now time.Time) {
-		at := epoch.Add(measured)
+		at := testStart.Add(measured)
 		r.Report(now, Report{
 			Upstream: "a", Incarnation: incarnation,
 			MeasuredAt: at, Age: now.Sub(at), Running: running,
@@ -277,9 +278,9 @@
 	}
 }
 
-// Load reports arrive late, twice, out of order and from an earlier life. An
-// entry that believes them sends to an upstream it has just filled itself, or
-// avoids one it has just drained.
+// Load reports arrive late, twice, out of order and from a previous incarnation.
+// An entry that uses them uncorrected sends to an upstream that it has just
+// filled, or avoids one whose requests have just finished.
 func TestLoadIsCorrectedByOwnWork(t *testing.T) {
 	const ms = time.Millisecond
 	cases := []struct {
@@ -290,38 +291,38 @@
 		{"no report", []step{{0, dispatch(1)}, {0, dispatch(2)}}, 2},
 		{"sent after the measurement", []step{{100 * ms, dispatch(1)}, {200 * ms, report(50*ms, 3, 1)}}, 4},
 		{"sent before the measurement", []step{{0, dispatch(1)}, {200 * ms, report(50*ms, 3, 1)}}, 3},
-		{"on its way at the measurement", []step{{48 * ms, dispatch(1)}, {200 * ms, report(50*ms, 3, 1)}}, 4},
+		{"in transit at the measurement", []step{{48 * ms, dispatch(1)}, {200 * ms, report(50*ms, 3, 1)}}, 4},
 		{"sent after the report", []step{{100 * ms, report(50*ms, 3, 1)}, {200 * ms, dispatch(1)}}, 4},
-		{"ended after the report", []step{
+		{"finished after the report", []step{
 			{0, dispatch(1)}, {100 * ms, report(50*ms, 3, 1)}, {200 * ms, finish(1, Succeeded)}}, 2},
-		{"ended between measurement and report", []step{
+		{"finished between measurement and report", []step{
 			{0, dispatch(1)}, {80 * ms, finish(1, Succeeded)}, {100 * ms, report(50*ms, 3, 1)}}, 2},
-		{"ended before the measurement", []step{
+		{"finished before the measurement", []step{
 			{0, dispatch(1)}, {20 * ms, finish(1, Succeeded)}, {100 * ms, report(50*ms, 3, 1)}}, 3},
-		{"sent and ended since", []step{
+		{"sent and finished after the report", []step{
 			{100 * ms, report(50*ms, 3, 1)}, {120 * ms, dispatch(1)}, {150 * ms, finish(1, Succeeded)}}, 3},
 		{"older report after newer", []step{{100 * ms, report(50*ms, 3, 1)}, {200 * ms, report(40*ms, 9, 1)}}, 3},
 		{"same report twice", []step{
 			{100 * ms, report(50*ms, 3, 1)}, {110 * ms, dispatch(1)}, {200 * ms, report(50*ms, 3, 1)}}, 4},
-		{"report of an earlier life", []step{
-			{10 * ms, says(engine("a", 2), Registered)}, {100 * ms, report(50*ms, 9, 1)}}, 0},
-		{"work of an earlier life", []step{{0, dispatch(1)}, {10 * ms, says(engine("a", 2), Registered)}}, 0},
-		{"report below own work", []step{{0, dispatch(1)}, {0, dispatch(2)}, {200 * ms, report(50*ms, 0, 1)}}, 2},
-		{"end of an unknown attempt", []step{{100 * ms, report(50*ms, 3, 1)}, {150 * ms, finish(7, Succeeded)}}, 3},
-		{"end reported twice", []step{
+		{"report of a previous incarnation", []step{
+			{10 * ms, announceStep(engine("a", 2), Registered)}, {100 * ms, report(50*ms, 9, 1)}}, 0},
+		{"attempt of a previous incarnation", []step{{0, dispatch(1)}, {10 * ms, announceStep(engine("a", 2), Registered)}}, 0},
+		{"report below own requests in flight", []step{{0, dispatch(1)}, {0, dispatch(2)}, {200 * ms, report(50*ms, 0, 1)}}, 2},
+		{"unknown attempt finished", []step{{100 * ms, report(50*ms, 3, 1)}, {150 * ms, finish(7, Succeeded)}}, 3},
+		{"attempt finished twice", []step{
 			{0, dispatch(1)}, {100 * ms, report(50*ms, 3, 1)},
 			{150 * ms, finish(1, Succeeded)}, {160 * ms, finish(1, Succeeded)}}, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := testRegistry(t, Options{Entries: 1})
-			announce(t, r, epoch, engine("a", 1))
+			announce(t, r, testStart, engine("a", 1))
 			for _, s := range c.steps {
-				s.do(t, r, epoch.Add(s.at))
+				s.do(t, r, testStart.Add(s.at))
 			}
-			// The learned share is tested by the herd model.
+			// Assume no other senders; the herd model tests the learned share.
 			r.shares[Engine] = shareEstimate{own: 1e9, all: 1e9}
-			got, ok := r.Candidate(epoch.Add(300*ms), testPool, "a")
+			got, ok := r.Candidate(testStart.Add(300*ms), testPool, "a")
 			if !ok || got.Load.Requests < c.want-0.01 || got.Load.Requests > c.want+0.01 {
 				t.Fatalf("load %+v, want %v requests", got.Load, c.want)
 			}
@@ -329,8 +330,9 @@
 	}
 }
 
-// fails runs attempts against one upstream that all end in result.
-func fails(t *testing.T, r *Registry, now time.Time, name ident.Upstream, count int, result Result) {
+// finishAttempts sends count attempts to one upstream and finishes each with
+// result.
+func finishAttempts(t *testing.T, r *Registry, now time.Time, name ident.Upstream, count int, result Result) {
 	t.Helper()
 	for i := range count {
 		id := Attempt{Request: ident.Request{byte(len(name)), name[0], byte(i), byte(i >> 8)}, Number: uint32(now.UnixMilli())}
@@ -341,20 +343,20 @@
 	}
 }
 
-// An upstream accepts requests and fails or stalls. Every caller sent there
-// waits in vain, so it is taken out for a while, let back in on a trickle and
-// trusted once that succeeds; but when most of a pool fails at once the fault
-// is elsewhere, and taking all out would refuse everybody.
+// An upstream that accepts requests and fails or stalls must be ejected, then
+// reinstated on probation with a reduced weight, and at full weight after
+// successes. When most of a pool fails at the same time the fault is elsewhere;
+// ejecting all of it would refuse every request.
 func TestEjectionAndProbation(t *testing.T) {
 	names := []ident.Upstream{"a", "b", "c", "d", "e", "f"}
 	setup := func(t *testing.T) (*Registry, time.Time) {
 		r := testRegistry(t, Options{})
 		for _, name := range names {
-			announce(t, r, epoch, leased(engine(name, 1), time.Hour))
+			announce(t, r, testStart, leased(engine(name, 1), time.Hour))
 		}
-		return r, epoch
+		return r, testStart
 	}
-	// pass lets time pass in which all keep announcing themselves.
+	// pass advances the time while all upstreams keep announcing themselves.
 	pass := func(t *testing.T, r *Registry, now time.Time, length time.Duration) time.Time {
 		for end := now.Add(length); now.Before(end); {
 			now = now.Add(time.Second)
@@ -365,85 +367,85 @@
 		return now
 	}
 	for _, result := range []Result{Failed, Stalled} {
-		t.Run("in a row", func(t *testing.T) {
+		t.Run("consecutive failures", func(t *testing.T) {
 			r, now := setup(t)
-			fails(t, r, now, "a", DefaultConsecutive-1, result)
+			finishAttempts(t, r, now, "a", DefaultConsecutive-1, result)
 			if !offers(r, now, "a") {
-				t.Fatal("ejected too early")
+				t.Fatal("ejected before the limit of consecutive failures")
 			}
-			fails(t, r, now, "a", 1, result)
+			finishAttempts(t, r, now, "a", 1, result)
 			if offers(r, now, "a") {
-				t.Fatal("still offered after failures in a row")
+				t.Fatal("still offered after the limit of consecutive failures")
 			}
 		})
 	}
 	t.Run("cancelled by callers", func(t *testing.T) {
 		r, now := setup(t)
-		fails(t, r, now, "a", 50, Cancelled)
+		finishAttempts(t, r, now, "a", 50, Cancelled)
 		if !offers(r, now, "a") {
-			t.Fatal("ejected for what callers did")
+			t.Fatal("ejected because of cancelled attempts")
 		}
 	})
 	t.Run("success rate", func(t *testing.T) {
 		r, now := setup(t)
 		for range 40 {
-			fails(t, r, now, "a", 3, Failed)
-			fails(t, r, now, "a", 1, Succeeded)
+			finishAttempts(t, r, now, "a", 3, Failed)
+			finishAttempts(t, r, now, "a", 1, Succeeded)
 		}
 		if offers(r, now, "a") {
-			t.Fatal("still offered with three of four attempts failed")
+			t.Fatal("still offered although three of four attempts failed")
 		}
 	})
 	t.Run("probation", func(t *testing.T) {
 		r, now := setup(t)
 		now = pass(t, r, now, DefaultSlowStart)
-		fails(t, r, now, "a", DefaultConsecutive, Failed)
+		finishAttempts(t, r, now, "a", DefaultConsecutive, Failed)
 		now = pass(t, r, now, DefaultFirstEjection)
-		back, ok := r.Candidate(now, testPool, "a")
-		if !ok || back.Weight != probationWeight {
-			t.Fatalf("after the ejection: offered %v with weight %v", ok, back.Weight)
+		reinstated, ok := r.Candidate(now, testPool, "a")
+		if !ok || reinstated.Weight != probationWeight {
+			t.Fatalf("after the ejection: offered %v with weight %v", ok, reinstated.Weight)
 		}
-		fails(t, r, now, "a", 1, Failed)
+		finishAttempts(t, r, now, "a", 1, Failed)
 		now = pass(t, r, now, DefaultFirstEjection)
 		if offers(r, now, "a") || !offers(r, now, "b") {
 			t.Fatal("the second ejection is no longer than the first")
 		}
 		now = pass(t, r, now, DefaultFirstEjection)
-		fails(t, r, now, "a", DefaultProbationSuccesses, Succeeded)
-		if back, ok = r.Candidate(now, testPool, "a"); !ok || back.Weight != 1 {
-			t.Fatalf("after probation: offered %v with weight %v", ok, back.Weight)
+		finishAttempts(t, r, now, "a", DefaultProbationSuccesses, Succeeded)
+		if reinstated, ok = r.Candidate(now, testPool, "a"); !ok || reinstated.Weight != 1 {
+			t.Fatalf("after probation: offered %v with weight %v", ok, reinstated.Weight)
 		}
 	})
 	t.Run("capacity is kept", func(t *testing.T) {
 		r, now := setup(t)
 		for _, name := range names {
-			fails(t, r, now, name, DefaultConsecutive, Failed)
+			finishAttempts(t, r, now, name, DefaultConsecutive, Failed)
 		}
 		const kept = 3 // of six, when at most 60% may be ejected
 		if got := r.Size(testPool); got != kept || r.Stats().Spared == 0 {
-			t.Fatalf("%d of 6 offered, %d spared, want %d kept", got, r.Stats().Spared, kept)
+			t.Fatalf("%d of 6 offered, %d ejections skipped, want %d offered", got, r.Stats().Spared, kept)
 		}
 	})
-	t.Run("the good ones leave", func(t *testing.T) {
+	t.Run("the healthy upstreams leave", func(t *testing.T) {
 		r, now := setup(t)
-		fails(t, r, now, "a", DefaultConsecutive, Failed)
+		finishAttempts(t, r, now, "a", DefaultConsecutive, Failed)
 		for _, name := range names[1:] {
 			announce(t, r, now, leaving(engine(name, 1)))
 		}
 		if !offers(r, now, "a") {
-			t.Fatal("nobody is offered though an ejected upstream is there")
+			t.Fatal("no upstream is offered although an ejected one is registered")
 		}
 	})
 }
 
-// A new runner has an empty cache and cold code. With its empty queue it would
-// draw every request at once.
+// A new runner has an empty cache and cold code. Because its queue is empty, it
+// would get every request immediately without slow start.
 func TestSlowStartGrowsWithAge(t *testing.T) {
 	r := testRegistry(t, Options{})
-	announce(t, r, epoch, leased(engine("a", 1), time.Hour))
+	announce(t, r, testStart, leased(engine("a", 1), time.Hour))
 	last := 0.0
 	for _, age := range []time.Duration{0, 2 * time.Second, 4 * time.Second} {
-		c, ok := r.Candidate(epoch.Add(age), testPool, "a")
+		c, ok := r.Candidate(testStart.Add(age), testPool, "a")
 		if !ok || c.Weight <= last {
 			t.Fatalf("weight %v at %v, want more than %v", c.Weight, age, last)
 		}
@@ -451,25 +453,26 @@
 	}
 }
 
-// Announcements come from outside. None may grow the registry without bound.
-func TestBounds(t *testing.T) {
+// Announcements come from other processes. They must not make the registry grow
+// without bound.
+func TestRegistryIsBounded(t *testing.T) {
 	r := testRegistry(t, Options{MaxUpstreams: 2, MaxInFlight: 1})
-	announce(t, r, epoch, engine("a", 1))
-	announce(t, r, epoch, engine("b", 1))
-	if got := announce(t, r, epoch, engine("c", 1)); got != Full {
-		t.Fatalf("third of two: result %d, want Full", got)
+	announce(t, r, testStart, engine("a", 1))
+	announce(t, r, testStart, engine("b", 1))
+	if got := announce(t, r, testStart, engine("c", 1)); got != Full {
+		t.Fatalf("third upstream with MaxUpstreams 2: result %d, want Full", got)
 	}
-	r.Dispatch(epoch, attempt(1), "a", 0)
-	r.Dispatch(epoch, attempt(2), "a", 0)
+	r.Dispatch(testStart, attempt(1), "a", 0)
+	r.Dispatch(testStart, attempt(2), "a", 0)
 	if r.InFlight() != 1 || r.Stats().Untracked != 1 {
 		t.Fatalf("%d in flight, %d untracked, want 1 and 1", r.InFlight(), r.Stats().Untracked)
 	}
-	if _, ok := r.Candidate(epoch.Add(time.Hour), testPool, "a"); ok || r.Len() != 0 || len(r.pools) != 0 {
-		t.Fatalf("%d upstreams in %d pools long after their leases", r.Len(), len(r.pools))
+	if _, ok := r.Candidate(testStart.Add(time.Hour), testPool, "a"); ok || r.Len() != 0 || len(r.pools) != 0 {
+		t.Fatalf("%d upstreams in %d pools after their leases expired", r.Len(), len(r.pools))
 	}
-	bad := engine("d", 1)
-	bad.Slots = -1
-	if result, err := r.Announce(epoch, bad); result != Invalid || err == nil {
+	invalid := engine("d", 1)
+	invalid.Slots = -1
+	if result, err := r.Announce(testStart, invalid); result != Invalid || err == nil {
 		t.Fatalf("negative slots: result %d, error %v", result, err)
 	}
 }
--- a/upstream/fuzz_test.go
+++ b/upstream/fuzz_test.go
@@ -7,47 +7,47 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// checkInvariants fails if the indices of a registry disagree.
+// checkInvariants fails the test if the indices of a registry are inconsistent.
 func checkInvariants(t *testing.T, r *Registry, now time.Time) {
 	t.Helper()
-	places := 0
+	memberships := 0
 	for name, i := range r.index {
 		s := &r.slots[i]
 		if !s.used || s.announced.Upstream != name || s.timer.slot != i || r.timers[s.timer.position] != s.timer {
 			t.Fatalf("index of %q points to %+v", name, s)
 		}
-		if !now.Before(r.goneAt(s)) || s.listing == offered && (s.draining || !now.Before(r.quietAt(s))) {
-			t.Fatalf("%q is listed %d though draining %v or silent", name, s.listing, s.draining)
+		if !now.Before(r.removalDeadline(s)) || s.listKind == offeredList && (s.draining || !now.Before(r.contactDeadline(s))) {
+			t.Fatalf("%q is in list %d although draining (%v) or silent", name, s.listKind, s.draining)
 		}
-		for _, at := range s.places {
-			places++
-			if at.pool.lists[s.listing][at.position] != i || r.pools[at.pool.key] != at.pool {
-				t.Fatalf("%q is not at its place in %+v", name, at.pool.key)
+		for _, m := range s.memberships {
+			memberships++
+			if m.pool.lists[s.listKind][m.position] != i || r.pools[m.pool.key] != m.pool {
+				t.Fatalf("%q is not at its recorded position in %+v", name, m.pool.key)
 			}
 		}
 	}
 	for key, p := range r.pools {
-		size := len(p.lists[offered]) + len(p.lists[setAside])
-		places -= size
-		if size == 0 || len(p.lists[offered]) == 0 {
-			t.Fatalf("pool %+v offers nobody of %d", key, size)
+		size := len(p.lists[offeredList]) + len(p.lists[ejectedList])
+		memberships -= size
+		if size == 0 || len(p.lists[offeredList]) == 0 {
+			t.Fatalf("pool %+v offers none of its %d upstreams", key, size)
 		}
 	}
-	if places != 0 || len(r.timers) != len(r.index) || len(r.departures.left) > len(r.departures.queue) {
-		t.Fatalf("%d places too many, %d timers for %d upstreams", places, len(r.timers), len(r.index))
+	if memberships != 0 || len(r.timers) != len(r.index) || len(r.departures.departed) > len(r.departures.queue) {
+		t.Fatalf("%d memberships too many, %d timers for %d upstreams", memberships, len(r.timers), len(r.index))
 	}
 }
 
-// FuzzRegistry applies any sequence of announcements, words, reports and
-// results. The indices must agree after each and nothing silent or leaving may
-// be offered.
+// FuzzRegistry applies arbitrary sequences of announcements, departures, reports
+// and results. After each step the indices must be consistent, and no silent or
+// leaving upstream may be offered.
 func FuzzRegistry(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 0, 1, 1, 0, 0, 3, 0, 1, 4, 4, 0, 1, 9, 5, 0, 1, 9, 2, 0, 0, 0})
 	f.Add([]byte{0, 0, 0, 0, 0, 1, 0, 0, 0, 2, 0, 0, 6, 0, 200, 0, 0, 0, 1, 0, 1, 1, 0, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := testRegistry(t, Options{MaxUpstreams: 5, MaxInFlight: 8, Health: HealthOptions{Consecutive: 1}})
 		random := testRandom()
-		now := epoch
+		now := testStart
 		for ; len(data) >= 4; data = data[4:] {
 			name := ident.Upstream([]string{"a", "b", "c", "d", "e", "f", "g"}[data[1]%7])
 			incarnation := ident.Incarnation(data[2] % 3)
--- a/upstream/health.go
+++ b/upstream/health.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// HealthOptions say when an upstream is ejected and how it comes back. Zero
-// fields take the defaults.
+// HealthOptions configure when an upstream is ejected and how it is reinstated.
+// Zero fields take the defaults.
 type HealthOptions struct {
-	// Consecutive failures in a row eject.
+	// Consecutive is the number of consecutive failures that eject an upstream.
 	Consecutive int
-	// MinSuccess ejects when the success rate over recent attempts falls
-	// below it and at least MinAttempts were seen.
+	// MinSuccess is the success rate, 0 to 1, below which an upstream is
+	// ejected once it has had at least MinAttempts.
 	MinSuccess  float64
 	MinAttempts int
-	// FirstEjection is the length of the first ejection; each further one is
-	// twice as long, up to MaxEjection.
+	// FirstEjection is the duration of the first ejection; each further one
+	// lasts twice as long, up to MaxEjection.
 	FirstEjection time.Duration
 	MaxEjection   time.Duration
-	// ProbationSuccesses in a row end probation.
+	// ProbationSuccesses is the number of consecutive successes that ends
+	// probation.
 	ProbationSuccesses int
 }
 
@@ -34,20 +35,20 @@
 
 // Weights of the health estimate.
 const (
-	// successStep is the weight of one attempt in the success rate.
+	// successStep is the weight of one attempt in the moving success rate.
 	successStep = 0.05
-	// probationWeight is the weight of an upstream on probation, which keeps
-	// the work it gets down to a trickle.
+	// probationWeight is the weight of an upstream on probation and the lowest
+	// weight in slow start. It limits the work that the upstream gets.
 	probationWeight = 0.1
 )
 
 func (o HealthOptions) withDefaults() HealthOptions {
-	setInt(&o.Consecutive, DefaultConsecutive)
-	setInt(&o.MinAttempts, DefaultMinAttempts)
-	setInt(&o.ProbationSuccesses, DefaultProbationSuccesses)
-	setFloat(&o.MinSuccess, DefaultMinSuccess)
-	setDuration(&o.FirstEjection, DefaultFirstEjection)
-	setDuration(&o.MaxEjection, DefaultMaxEjection)
+	setIntIfZero(&o.Consecutive, DefaultConsecutive)
+	setIntIfZero(&o.MinAttempts, DefaultMinAttempts)
+	setIntIfZero(&o.ProbationSuccesses, DefaultProbationSuccesses)
+	setFloatIfZero(&o.MinSuccess, DefaultMinSuccess)
+	setDurationIfZero(&o.FirstEjection, DefaultFirstEjection)
+	setDurationIfZero(&o.MaxEjection, DefaultMaxEjection)
 	return o
 }
 
@@ -64,57 +65,57 @@
 	return nil
 }
 
-// healthPhase is where an upstream stands between trusted and ejected.
+// healthPhase is the health state of an upstream.
 type healthPhase uint8
 
 const (
 	healthy healthPhase = iota
 	ejected
-	probation
+	probation // reinstated after an ejection, with a reduced weight
 )
 
-// health is the record of one upstream's recent attempts.
+// health is the health state of one upstream, from its recent attempts.
 type health struct {
-	phase       healthPhase
-	success     float64 // success rate, newer attempts weigh more
-	attempts    int
-	consecutive int
-	passed      int // successes in a row on probation
-	ejections   int
-	until       time.Time // end of the ejection
+	phase               healthPhase
+	successRate         float64 // moving average, 0 to 1
+	attempts            int
+	consecutiveFailures int
+	probationSuccesses  int // consecutive, on probation
+	ejections           int
+	ejectedUntil        time.Time // end of the ejection
 }
 
-func newHealth() health { return health{success: 1} }
+func newHealth() health { return health{successRate: 1} }
 
-// observe records one attempt and tells whether the upstream should now be
-// ejected.
+// observe records the result of one attempt and reports whether the upstream
+// should be ejected.
 func (h *health) observe(result Result, opts *HealthOptions) bool {
 	if result == Cancelled {
 		return false
 	}
 	h.attempts++
 	if result == Succeeded {
-		h.success += successStep * (1 - h.success)
-		h.consecutive = 0
-		h.pass(opts)
+		h.successRate += successStep * (1 - h.successRate)
+		h.consecutiveFailures = 0
+		h.recordProbationSuccess(opts)
 		return false
 	}
-	h.success -= successStep * h.success
-	h.consecutive++
-	h.passed = 0
-	// One failure on probation is enough: it was let back in to be tested.
-	if h.phase == probation || h.consecutive >= opts.Consecutive {
+	h.successRate -= successStep * h.successRate
+	h.consecutiveFailures++
+	h.probationSuccesses = 0
+	// One failure on probation is enough, since probation is a test.
+	if h.phase == probation || h.consecutiveFailures >= opts.Consecutive {
 		return true
 	}
-	return h.attempts >= opts.MinAttempts && h.success < opts.MinSuccess
+	return h.attempts >= opts.MinAttempts && h.successRate < opts.MinSuccess
 }
 
-func (h *health) pass(opts *HealthOptions) {
+func (h *health) recordProbationSuccess(opts *HealthOptions) {
 	if h.phase != probation {
 		return
 	}
-	h.passed++
-	if h.passed >= opts.ProbationSuccesses {
+	h.probationSuccesses++
+	if h.probationSuccesses >= opts.ProbationSuccesses {
 		*h = newHealth()
 	}
 }
@@ -126,14 +127,15 @@
 	}
 	h.ejections++
 	h.phase = ejected
-	h.consecutive = 0
-	h.until = now.Add(length)
+	h.consecutiveFailures = 0
+	h.ejectedUntil = now.Add(length)
 }
 
-// readmit ends an ejection. What was measured before it does not count again.
-func (h *health) readmit() {
+// reinstate ends an ejection and starts probation. Attempts before the ejection
+// no longer count.
+func (h *health) reinstate() {
 	h.phase = probation
-	h.passed = 0
+	h.probationSuccesses = 0
 	h.attempts = 0
-	h.success = 1
+	h.successRate = 1
 }
--- a/upstream/herd_test.go
+++ b/upstream/herd_test.go
@@ -11,36 +11,36 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// chooser is one way of choosing among the same upstreams.
-type chooser struct {
-	name  string
-	all   bool // look at every upstream instead of a sample
-	blind bool // believe the report and forget own work
-	alone bool // expect nothing of the other entries
-	// senders is how many of the entries get requests, all if zero.
+// selectionPolicy is a way of selecting among the upstreams of the herd model.
+type selectionPolicy struct {
+	name          string
+	all           bool // consider every upstream instead of a sample
+	ignoreOwnWork bool // use the last report without correction
+	ignoreOthers  bool // assume that other entries send nothing
+	// senders is the number of entries that get requests; zero means all.
 	senders int
 }
 
-var choosers = []chooser{
-	{name: "least reported", all: true, blind: true},
-	{name: "least corrected by own work", all: true, alone: true},
-	{name: "sample corrected by own work", alone: true},
+var selectionPolicies = []selectionPolicy{
+	{name: "least reported", all: true, ignoreOwnWork: true},
+	{name: "least corrected by own work", all: true, ignoreOthers: true},
+	{name: "sample corrected by own work", ignoreOthers: true},
 	{name: "least corrected by all work", all: true},
 	{name: "sample corrected by all work"},
-	{name: "one sender, by own work", alone: true, senders: 1},
+	{name: "one sender, by own work", ignoreOthers: true, senders: 1},
 	{name: "one sender, by all work", senders: 1},
 }
 
-// herd is the size of the model: how many entries send to how many runners,
-// the time between a runner's reports and their delay.
+// herd is the configuration of the model. Entries send requests to runners, whose
+// reports are every apart and arrive lag after the measurement.
 type herd struct {
 	entries, upstreams int
 	every, lag         time.Duration
 }
 
-// todaysHerd is nine entries that send to 18 runners whose reports are a second
-// apart and up to a second late.
-var todaysHerd = herd{entries: 9, upstreams: 18, every: time.Second, lag: 500 * time.Millisecond}
+// nineEntryHerd has nine entries and 18 runners whose reports are a second apart
+// and half a second late.
+var nineEntryHerd = herd{entries: 9, upstreams: 18, every: time.Second, lag: 500 * time.Millisecond}
 
 const (
 	herdSlots    = 8
@@ -51,9 +51,9 @@
 	herdAnnounce = time.Second
 )
 
-// herdRunner serves requests in order in its slots.
+// herdRunner is a runner that serves requests in order of arrival in its slots.
 type herdRunner struct {
-	busy   timeHeap // ends of running requests
+	busy   timeHeap // completions of running requests
 	queue  []herdRequest
 	toSend []Report
 }
@@ -64,18 +64,18 @@
 	arrived time.Time
 }
 
-// herdEnd is a request that ends at a time.
-type herdEnd struct {
+// herdCompletion is the completion of a running request.
+type herdCompletion struct {
 	at      time.Time
 	request herdRequest
 }
 
-type timeHeap []herdEnd
+type timeHeap []herdCompletion
 
 func (h timeHeap) Len() int           { return len(h) }
 func (h timeHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
 func (h timeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *timeHeap) Push(x any)        { *h = append(*h, x.(herdEnd)) }
+func (h *timeHeap) Push(x any)        { *h = append(*h, x.(herdCompletion)) }
 func (h *timeHeap) Pop() any {
 	last := len(*h) - 1
 	end := (*h)[last]
@@ -83,10 +83,10 @@
 	return end
 }
 
-// herdModel is the state of one run.
+// herdModel is the state of one run of the model.
 type herdModel struct {
 	herd
-	how     chooser
+	policy  selectionPolicy
 	random  *rand.Rand
 	now     time.Time
 	senders []*Registry
@@ -95,14 +95,14 @@
 	waits   []time.Duration
 }
 
-func newHerdModel(t testing.TB, size herd, how chooser) *herdModel {
-	m := &herdModel{herd: size, how: how, random: rand.New(rand.NewPCG(5, 6)), now: epoch}
+func newHerdModel(t testing.TB, size herd, policy selectionPolicy) *herdModel {
+	m := &herdModel{herd: size, policy: policy, random: rand.New(rand.NewPCG(5, 6)), now: testStart}
 	for range size.entries {
 		r := testRegistry(t, Options{Entries: size.entries, SlowStart: time.Nanosecond})
 		for i := range size.upstreams {
 			a := engine(herdName(i), 1)
 			a.Lease = time.Hour
-			announce(t, r, epoch, a)
+			announce(t, r, testStart, a)
 		}
 		m.senders = append(m.senders, r)
 	}
@@ -112,10 +112,11 @@
 
 func herdName(i int) ident.Upstream { return ident.Upstream(fmt.Sprint("r", i)) }
 
-// run returns the 99th percentile and the mean of the wait for a slot.
+// run simulates herdLength and returns the 99th percentile and the mean of the
+// wait for a slot.
 func (m *herdModel) run(t testing.TB) (p99, mean time.Duration) {
 	perTick := float64(m.upstreams*herdSlots) * herdLoad * float64(herdTick) / float64(herdService)
-	for tick := 0; m.now.Before(epoch.Add(herdLength)); tick++ {
+	for tick := 0; m.now.Before(testStart.Add(herdLength)); tick++ {
 		m.now = m.now.Add(herdTick)
 		for i := range m.runners {
 			m.serve(i)
@@ -138,7 +139,7 @@
 func (m *herdModel) serve(i int) {
 	r := &m.runners[i]
 	for len(r.busy) > 0 && !r.busy[0].at.After(m.now) {
-		end := heap.Pop(&r.busy).(herdEnd)
+		end := heap.Pop(&r.busy).(herdCompletion)
 		m.senders[end.request.entry].Finish(m.now, end.request.attempt, Succeeded)
 	}
 	for len(r.queue) > 0 && len(r.busy) < herdSlots {
@@ -146,12 +147,12 @@
 		r.queue = r.queue[1:]
 		m.waits = append(m.waits, m.now.Sub(request.arrived))
 		length := time.Duration(m.random.ExpFloat64() * float64(herdService))
-		heap.Push(&r.busy, herdEnd{at: m.now.Add(length), request: request})
+		heap.Push(&r.busy, herdCompletion{at: m.now.Add(length), request: request})
 	}
 }
 
-// report measures at each interval and delivers after the delay. Announcements
-// keep a rhythm of their own.
+// report measures a runner's load once per interval and delivers the report after
+// the lag. Announcements are sent at their own interval.
 func (m *herdModel) report(t testing.TB, i, tick int) {
 	every, lag := int(m.every/herdTick), int(m.lag/herdTick)
 	r := &m.runners[i]
@@ -181,21 +182,21 @@
 
 func (m *herdModel) arrive() {
 	senders := m.entries
-	if m.how.senders > 0 {
-		senders = m.how.senders
+	if m.policy.senders > 0 {
+		senders = m.policy.senders
 	}
 	at := m.random.IntN(senders)
 	entry := m.senders[at]
-	if m.how.alone {
+	if m.policy.ignoreOthers {
 		entry.shares[Engine] = shareEstimate{own: 1e9, all: 1e9}
 	}
 	sample := 1
-	if m.how.all {
+	if m.policy.all {
 		sample = m.upstreams
 	}
 	found := entry.Pick(m.now, m.random, testPool, sample, nil)
 	best := found[0]
-	if m.how.blind {
+	if m.policy.ignoreOwnWork {
 		best = slices.MinFunc(found, func(a, b Candidate) int {
 			return m.reported(entry, a.Upstream) - m.reported(entry, b.Upstream)
 		})
@@ -213,28 +214,28 @@
 	return report.Running + report.Queued
 }
 
-// Nine entries read the same load report half a second to a second and a half
-// after it was measured. If each of them sends to the runner that looked least
-// loaded then, all send to the same one, its queue grows, and callers wait
-// behind one another while other runners are idle.
+// Nine entries use the same load report half a second to a second and a half
+// after it was measured. If each sends to the runner with the lowest reported
+// load, all send to the same one and callers queue there while other runners are
+// idle.
 func TestEntriesDoNotHerdAfterTheSameReport(t *testing.T) {
-	wait := func(how chooser) time.Duration {
-		p99, _ := newHerdModel(t, todaysHerd, how).run(t)
+	wait := func(policy selectionPolicy) time.Duration {
+		p99, _ := newHerdModel(t, nineEntryHerd, policy).run(t)
 		return p99
 	}
-	herd := wait(choosers[0])
-	ours := wait(chooser{})
-	if ours*4 > herd {
-		t.Fatalf("99th percentile of the wait: %v, not a quarter of the %v of the least reported", ours, herd)
+	uncorrected := wait(selectionPolicies[0])
+	corrected := wait(selectionPolicy{})
+	if corrected*4 > uncorrected {
+		t.Fatalf("99th percentile of the wait: %v, more than a quarter of the %v with the lowest reported load", corrected, uncorrected)
 	}
 }
 
-// BenchmarkHerd reports the wait for a slot under each way of choosing.
+// BenchmarkHerd reports the wait for a slot under each selection policy.
 func BenchmarkHerd(b *testing.B) {
-	for _, how := range choosers {
-		b.Run(how.name, func(b *testing.B) {
+	for _, policy := range selectionPolicies {
+		b.Run(policy.name, func(b *testing.B) {
 			for range b.N {
-				p99, mean := newHerdModel(b, todaysHerd, how).run(b)
+				p99, mean := newHerdModel(b, nineEntryHerd, policy).run(b)
 				b.ReportMetric(float64(p99.Milliseconds()), "p99-wait-ms")
 				b.ReportMetric(float64(mean.Microseconds())/1000, "mean-wait-ms")
 			}
@@ -242,39 +243,39 @@
 	}
 }
 
-// pacedHerd is the owners of a cell and the runners that they follow, with
-// reports as far apart as PaceFor ever asks for.
-var pacedHerd = herd{entries: 3, upstreams: 54, every: MaxReportEvery, lag: 20 * time.Millisecond}
+// slowReportHerd has the entries that own a cell and the runners they track, with
+// reports at the longest interval that ReportIntervalsFor returns.
+var slowReportHerd = herd{entries: 3, upstreams: 54, every: MaxReportEvery, lag: 20 * time.Millisecond}
 
-// Entries ask runners to report every ten seconds. What they sent themselves,
-// and the share of it that the others send alike, must carry them from one
-// report to the next, or callers wait for slots while other runners are idle.
-func TestPacedReportsDoNotMakeCallersWait(t *testing.T) {
-	often := pacedHerd
-	often.upstreams = UnpacedUpstreams + 1
-	often.every = 500 * time.Millisecond
-	seldom := often
-	seldom.every = MaxReportEvery
-	oftenWait, _ := newHerdModel(t, often, chooser{}).run(t)
-	seldomWait, _ := newHerdModel(t, seldom, chooser{}).run(t)
-	if seldomWait > oftenWait*3/2 {
-		t.Errorf("99th percentile of the wait: %v with reports every %v, %v every %v", seldomWait, seldom.every, oftenWait, often.every)
+// Runners report every ten seconds. Between reports the entries must estimate the
+// load from their own requests and the share that other entries send; otherwise
+// callers wait for slots while other runners are idle.
+func TestLongReportIntervalsDoNotMakeCallersWait(t *testing.T) {
+	frequent := slowReportHerd
+	frequent.upstreams = UnpacedUpstreams + 1
+	frequent.every = 500 * time.Millisecond
+	infrequent := frequent
+	infrequent.every = MaxReportEvery
+	frequentWait, _ := newHerdModel(t, frequent, selectionPolicy{}).run(t)
+	infrequentWait, _ := newHerdModel(t, infrequent, selectionPolicy{}).run(t)
+	if infrequentWait > frequentWait*3/2 {
+		t.Errorf("99th percentile of the wait: %v with reports every %v, %v every %v", infrequentWait, infrequent.every, frequentWait, frequent.every)
 	}
-	blind, _ := newHerdModel(t, seldom, choosers[0]).run(t)
-	if blind < 4*seldomWait {
-		t.Errorf("belief in the last report alone waits %v, so the model does not see old reports", blind)
+	uncorrectedWait, _ := newHerdModel(t, infrequent, selectionPolicies[0]).run(t)
+	if uncorrectedWait < 4*infrequentWait {
+		t.Errorf("99th percentile of the wait: %v with uncorrected reports, less than four times as long; the model does not show the effect of old reports", uncorrectedWait)
 	}
 }
 
-// BenchmarkHerdByInterval reports the wait for a slot by the time between
-// reports, before the runners that one daemon follows at the target.
-func BenchmarkHerdByInterval(b *testing.B) {
+// BenchmarkHerdByReportInterval reports the wait for a slot by the time between
+// reports, with the number of runners that one entry tracks at the design target.
+func BenchmarkHerdByReportInterval(b *testing.B) {
 	for _, every := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second, MaxReportEvery} {
 		b.Run(every.String(), func(b *testing.B) {
-			size := pacedHerd
+			size := slowReportHerd
 			size.every = every
 			for range b.N {
-				p99, mean := newHerdModel(b, size, chooser{}).run(b)
+				p99, mean := newHerdModel(b, size, selectionPolicy{}).run(b)
 				b.ReportMetric(float64(p99.Milliseconds()), "p99-wait-ms")
 				b.ReportMetric(float64(mean.Microseconds())/1000, "mean-wait-ms")
 			}
--- a/upstream/options.go
+++ b/upstream/options.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Options are the bounds and times of a registry. Zero fields take the
-// defaults named below.
+// Options configure a registry. Zero fields take the defaults below.
 type Options struct {
-	// MaxUpstreams and MaxInFlight bound the registry.
+	// MaxUpstreams bounds the registered upstreams, MaxInFlight the attempts
+	// in flight.
 	MaxUpstreams int
 	MaxInFlight  int
-	// ContactTimeout is how long after its last word an upstream gets nothing new,
-	// also when its lease is longer.
+	// ContactTimeout is the time after its last announcement at which an
+	// upstream stops getting new requests, also when its lease is longer.
 	ContactTimeout time.Duration
-	// DepartureTTL is how long the word that an upstream left is kept.
+	// DepartureTTL is how long the departure of an upstream is kept.
 	DepartureTTL time.Duration
 	// SlowStart is the time over which a new upstream's weight grows to one.
 	SlowStart time.Duration
-	// Transit is the time a request needs to reach an upstream and show in
-	// its report.
+	// Transit is the time between sending a request and the earliest load
+	// report that includes it.
 	Transit time.Duration
-	// Entries is how many entry processes are assumed to send to the same
-	// upstreams alike, until the reports show this process's real share.
+	// Entries is the number of entry processes that are assumed to send to
+	// the same upstreams at equal rates, until reports show the actual share
+	// of this process.
 	Entries int
-	// MaxEjected is the greatest share of a pool that may be ejected.
+	// MaxEjected is the largest share of a pool that may be ejected, 0 to 1.
 	MaxEjected float64
 	Health     HealthOptions
 }
@@ -33,31 +34,33 @@
 const (
 	DefaultMaxUpstreams = 4096
 	DefaultMaxInFlight  = 1 << 17
-	// DefaultContactTimeout leaves half a second of the five that a silent upstream
-	// may still get work for the request that is being sent.
+	// DefaultContactTimeout is half a second below the limit of 5 s after which
+	// a silent upstream gets no new work; the rest is for the request that is
+	// being sent.
 	DefaultContactTimeout = 4500 * time.Millisecond
 	DefaultDepartureTTL   = 2 * time.Minute
 	DefaultSlowStart      = 10 * time.Second
 	DefaultTransit        = 5 * time.Millisecond
-	// DefaultMaxEjected lets a failing half of a pool be set aside in full:
-	// with a bound below it, requests went on to upstreams known to fail.
+	// DefaultMaxEjected allows a failing half of a pool to be ejected
+	// completely: with a lower bound, requests were still sent to upstreams
+	// known to fail.
 	DefaultMaxEjected = 0.6
 )
 
 func (o Options) withDefaults() Options {
-	setInt(&o.MaxUpstreams, DefaultMaxUpstreams)
-	setInt(&o.MaxInFlight, DefaultMaxInFlight)
-	setInt(&o.Entries, 1)
-	setDuration(&o.ContactTimeout, DefaultContactTimeout)
-	setDuration(&o.DepartureTTL, DefaultDepartureTTL)
-	setDuration(&o.SlowStart, DefaultSlowStart)
-	setDuration(&o.Transit, DefaultTransit)
-	setFloat(&o.MaxEjected, DefaultMaxEjected)
+	setIntIfZero(&o.MaxUpstreams, DefaultMaxUpstreams)
+	setIntIfZero(&o.MaxInFlight, DefaultMaxInFlight)
+	setIntIfZero(&o.Entries, 1)
+	setDurationIfZero(&o.ContactTimeout, DefaultContactTimeout)
+	setDurationIfZero(&o.DepartureTTL, DefaultDepartureTTL)
+	setDurationIfZero(&o.SlowStart, DefaultSlowStart)
+	setDurationIfZero(&o.Transit, DefaultTransit)
+	setFloatIfZero(&o.MaxEjected, DefaultMaxEjected)
 	o.Health = o.Health.withDefaults()
 	return o
 }
 
-// Validate reports the first field out of range.
+// Validate returns an error that names the first field out of range.
 func (o Options) Validate() error {
 	if o.MaxUpstreams < 0 || o.MaxUpstreams > 1<<20 {
 		return fmt.Errorf("max upstreams: %d is not within 0 to %d", o.MaxUpstreams, 1<<20)
@@ -76,7 +79,7 @@
 		value time.Duration
 	}{
 		{"silence", o.ContactTimeout},
-		{"departure life", o.DepartureTTL},
+		{"departure TTL", o.DepartureTTL},
 		{"slow start", o.SlowStart},
 		{"transit", o.Transit},
 	}
@@ -88,19 +91,19 @@
 	return o.Health.validate()
 }
 
-func setInt(field *int, value int) {
+func setIntIfZero(field *int, value int) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
-func setDuration(field *time.Duration, value time.Duration) {
+func setDurationIfZero(field *time.Duration, value time.Duration) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
-func setFloat(field *float64, value float64) {
+func setFloatIfZero(field *float64, value float64) {
 	if *field == 0 {
 		*field = value
 	}
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -8,34 +8,35 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// listing is where a slot stands in its pools.
-type listing uint8
+// listKind selects the list of its pools that a slot is in.
+type listKind uint8
 
 const (
-	unlisted listing = iota
-	offered
-	setAside // ejected
+	noList listKind = iota
+	offeredList
+	ejectedList
 )
 
-// pool is the dense list of the slots that may serve one kind of request.
+// pool holds the slots that may serve one kind of request, as dense lists.
 type pool struct {
 	key   Pool
-	lists [setAside + 1][]uint32
+	lists [ejectedList + 1][]uint32
 }
 
-// place is a slot's position in one pool's list.
-type place struct {
+// membership is a slot's position in the current list of one pool.
+type membership struct {
 	pool     *pool
 	position int
 }
 
-// maySetAside tells whether one more offered slot may be ejected.
-func (p *pool) maySetAside(share float64) bool {
-	aside := len(p.lists[setAside])
-	return float64(aside+1) <= share*float64(aside+len(p.lists[offered]))
+// mayEject reports whether one more offered slot may be ejected under the
+// given maximum share.
+func (p *pool) mayEject(share float64) bool {
+	ejectedSlots := len(p.lists[ejectedList])
+	return float64(ejectedSlots+1) <= share*float64(ejectedSlots+len(p.lists[offeredList]))
 }
 
-// poolKeys lists the pools of an announcement.
+// poolKeys returns the pools of an announcement.
 func poolKeys(a *Announcement) []Pool {
 	switch a.Kind {
 	case Store:
@@ -63,40 +64,40 @@
 	})
 }
 
-// relist moves a slot to another list of its pools.
-func (r *Registry) relist(i uint32, to listing) {
+// moveToList moves a slot to another list of each of its pools.
+func (r *Registry) moveToList(i uint32, to listKind) {
 	s := &r.slots[i]
-	if s.listing == to {
+	if s.listKind == to {
 		return
 	}
-	if s.listing == unlisted {
-		r.enter(i)
+	if s.listKind == noList {
+		r.joinPools(i)
 	} else {
-		for _, at := range s.places {
-			r.leave(at, s.listing)
+		for _, m := range s.memberships {
+			r.removeFromList(m, s.listKind)
 		}
 	}
-	s.listing = to
-	if to == unlisted {
-		r.abandon(i)
+	s.listKind = to
+	if to == noList {
+		r.leavePools(i)
 		return
 	}
-	for j := range s.places {
-		at := &s.places[j]
-		at.position = len(at.pool.lists[to])
-		at.pool.lists[to] = append(at.pool.lists[to], i)
+	for j := range s.memberships {
+		m := &s.memberships[j]
+		m.position = len(m.pool.lists[to])
+		m.pool.lists[to] = append(m.pool.lists[to], i)
 	}
-	// An ejected slot that announces another version enters pools which it was
-	// not checked against when it was ejected.
-	if to == setAside {
-		for _, at := range s.places {
-			r.rescue(at.pool)
+	// An ejected slot that announces another version joins pools that were not
+	// checked when it was ejected.
+	if to == ejectedList {
+		for _, m := range s.memberships {
+			r.ensureOffered(m.pool)
 		}
 	}
 }
 
-// enter finds or makes the pools of a slot.
-func (r *Registry) enter(i uint32) {
+// joinPools sets the memberships of a slot and creates missing pools.
+func (r *Registry) joinPools(i uint32) {
 	s := &r.slots[i]
 	for _, key := range poolKeys(&s.announced) {
 		p := r.pools[key]
@@ -104,88 +105,91 @@
 			p = &pool{key: key}
 			r.pools[key] = p
 		}
-		if !slices.ContainsFunc(s.places, func(at place) bool { return at.pool == p }) {
-			s.places = append(s.places, place{pool: p})
+		if !slices.ContainsFunc(s.memberships, func(m membership) bool { return m.pool == p }) {
+			s.memberships = append(s.memberships, membership{pool: p})
 		}
 	}
 }
 
-// abandon forgets the pools of a slot and drops those that are empty now.
-func (r *Registry) abandon(i uint32) {
+// leavePools clears the memberships of a slot and deletes pools that became
+// empty.
+func (r *Registry) leavePools(i uint32) {
 	s := &r.slots[i]
-	for _, at := range s.places {
-		if len(at.pool.lists[offered])+len(at.pool.lists[setAside]) == 0 {
-			delete(r.pools, at.pool.key)
+	for _, m := range s.memberships {
+		if len(m.pool.lists[offeredList])+len(m.pool.lists[ejectedList]) == 0 {
+			delete(r.pools, m.pool.key)
 		} else {
-			r.rescue(at.pool)
+			r.ensureOffered(m.pool)
 		}
 	}
-	s.places = s.places[:0]
+	s.memberships = s.memberships[:0]
 }
 
-// rescue lets the first ejected slot of a pool back in when none is left that
-// is offered: the good ones left or fell silent after it was ejected.
-func (r *Registry) rescue(p *pool) {
-	if len(p.lists[offered]) > 0 || len(p.lists[setAside]) == 0 {
+// ensureOffered reinstates the first ejected slot of a pool that offers none.
+// This happens when the healthy slots leave or lose contact after the ejection.
+func (r *Registry) ensureOffered(p *pool) {
+	if len(p.lists[offeredList]) > 0 || len(p.lists[ejectedList]) == 0 {
 		return
 	}
-	i := p.lists[setAside][0]
-	r.slots[i].health.readmit()
-	r.relist(i, offered)
+	i := p.lists[ejectedList][0]
+	r.slots[i].health.reinstate()
+	r.moveToList(i, offeredList)
 }
 
-// leave removes a place by moving the list's last slot into it.
-func (r *Registry) leave(at place, from listing) {
-	list := at.pool.lists[from]
+// removeFromList removes a slot from one list of a pool by moving the last slot
+// of the list to its position.
+func (r *Registry) removeFromList(m membership, from listKind) {
+	list := m.pool.lists[from]
 	last := len(list) - 1
 	moved := list[last]
-	list[at.position] = moved
-	at.pool.lists[from] = list[:last]
-	places := r.slots[moved].places
-	for j := range places {
-		if places[j].pool == at.pool {
-			places[j].position = at.position
+	list[m.position] = moved
+	m.pool.lists[from] = list[:last]
+	memberships := r.slots[moved].memberships
+	for j := range memberships {
+		if memberships[j].pool == m.pool {
+			memberships[j].position = m.position
 		}
 	}
 }
 
-// sampleFactor is how many members are looked at for each one asked for. More
-// choices than one take the tail off the load; looking at all brings back the
-// herd that follows the same old report (docs/design/upstream.md).
+// sampleFactor is the number of members sampled for each candidate requested.
+// Choosing among several shortens the tail of the load distribution; choosing
+// among all lets every entry pick the same upstream after the same stale report
+// (docs/design/upstream.md).
 const sampleFactor = 4
 
-// maxSample bounds one pick.
+// maxSample bounds the sample of one pick.
 const maxSample = 64
 
-// Pick appends to out up to n candidates of a pool, the least loaded of a
-// random sample three times as large, best first.
+// Pick appends up to n candidates of a pool to out: the least loaded of a random
+// sample of sampleFactor times n, at most maxSample, best first.
 func (r *Registry) Pick(now time.Time, random *rand.Rand, key Pool, n int, out []Candidate) []Candidate {
 	r.Advance(now)
 	p := r.pools[key]
 	if p == nil || n < 1 {
 		return out
 	}
-	var drawn [maxSample]uint32
-	count := p.sample(random, drawn[:min(sampleFactor*n, maxSample)])
+	var sampled [maxSample]uint32
+	count := p.sample(random, sampled[:min(sampleFactor*n, maxSample)])
 	r.stats.Considered += uint64(count)
-	var rated [maxSample]rating
-	for j, i := range drawn[:count] {
-		rated[j] = rating{slot: i, score: r.score(now, i)}
+	var scored [maxSample]scoredSlot
+	for j, i := range sampled[:count] {
+		scored[j] = scoredSlot{slot: i, score: r.score(now, i)}
 	}
-	slices.SortFunc(rated[:count], byScore)
-	for _, best := range rated[:min(n, count)] {
+	slices.SortFunc(scored[:count], byScore)
+	for _, best := range scored[:min(n, count)] {
 		out = append(out, r.candidate(now, best.slot))
 	}
 	return out
 }
 
-// rating is the score of one slot.
-type rating struct {
+// scoredSlot is a slot with its score.
+type scoredSlot struct {
 	slot  uint32
 	score float64
 }
 
-func byScore(a, b rating) int {
+func byScore(a, b scoredSlot) int {
 	switch {
 	case a.score < b.score:
 		return -1
@@ -195,10 +199,11 @@
 	return 0
 }
 
-// sample fills into with distinct random members and returns how many. The
-// draw is Floyd's: no copy of the pool and no second try.
+// sample fills into with distinct random offered members and returns their
+// number. It uses Floyd's algorithm, which needs no copy of the pool and no
+// rejected draws.
 func (p *pool) sample(random *rand.Rand, into []uint32) int {
-	members := p.lists[offered]
+	members := p.lists[offeredList]
 	total := len(members)
 	want := min(len(into), total)
 	count := 0
@@ -214,8 +219,8 @@
 	return count
 }
 
-// Candidate returns one upstream of a pool, for example the holder of a
-// prefix. It returns false when the pool does not offer it.
+// Candidate returns one upstream of a pool, for example the one that holds a
+// prefix. It returns false when the pool does not offer the upstream.
 func (r *Registry) Candidate(now time.Time, key Pool, upstream ident.Upstream) (Candidate, bool) {
 	r.Advance(now)
 	i, ok := r.index[upstream]
@@ -223,11 +228,11 @@
 		return Candidate{}, false
 	}
 	s := &r.slots[i]
-	if s.listing != offered {
+	if s.listKind != offeredList {
 		return Candidate{}, false
 	}
-	for _, at := range s.places {
-		if at.pool.key == key {
+	for _, m := range s.memberships {
+		if m.pool.key == key {
 			return r.candidate(now, i), true
 		}
 	}
@@ -245,30 +250,31 @@
 		Slots:       s.announced.Slots,
 		BlockBytes:  s.announced.BlockBytes,
 		ChecksFence: s.announced.ChecksFence,
-		Load:        s.load.estimate(now, r.others(s)),
+		Load:        s.load.estimate(now, r.othersPerOwn(s)),
 		Weight:      r.weight(now, s),
 		Score:       r.score(now, i),
 	}
 }
 
-// others is how many requests of other entries come with each own one.
-func (r *Registry) others(s *slot) float64 {
-	return r.shares[s.announced.Kind].others(r.opts.Entries)
+// othersPerOwn returns the estimated number of requests of other entries per
+// request of this process.
+func (r *Registry) othersPerOwn(s *slot) float64 {
+	return r.shares[s.announced.Kind].othersPerOwn(r.opts.Entries)
 }
 
-// score is the expected work for each weighted slot.
+// score returns the expected requests per weighted slot.
 func (r *Registry) score(now time.Time, i uint32) float64 {
 	s := &r.slots[i]
-	requests := s.load.requests(r.others(s))
+	requests := s.load.requests(r.othersPerOwn(s))
 	return (requests + 1) / (float64(s.announced.Slots) * r.weight(now, s))
 }
 
-// weight is the share of its usual work an upstream should get now.
+// weight returns the share of its usual work that an upstream should get.
 func (r *Registry) weight(now time.Time, s *slot) float64 {
 	if s.health.phase == probation {
 		return probationWeight
 	}
-	age := now.Sub(s.since)
+	age := now.Sub(s.registeredAt)
 	if age >= r.opts.SlowStart {
 		return 1
 	}
@@ -276,10 +282,10 @@
 	return max(share, probationWeight)
 }
 
-// Size returns how many upstreams a pool offers.
+// Size returns the number of upstreams that a pool offers.
 func (r *Registry) Size(key Pool) int {
 	if p := r.pools[key]; p != nil {
-		return len(p.lists[offered])
+		return len(p.lists[offeredList])
 	}
 	return 0
 }
--- a/upstream/registry.go
+++ b/upstream/registry.go
@@ -7,54 +7,55 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Registry follows the upstreams that announced themselves.
+// Registry tracks the upstreams that announced themselves.
 type Registry struct {
 	opts       Options
 	slots      []slot
 	free       []uint32
 	index      map[ident.Upstream]uint32
 	pools      map[Pool]*pool
-	flights    map[Attempt]*flight
+	inFlight   map[Attempt]*sentAttempt
 	departures departures
 	timers     timerHeap
-	shares     [Service + 1]shareEstimate // by kind
+	shares     [Service + 1]shareEstimate // by Kind
 	stats      Stats
 }
 
-// Stats counts what a registry has seen since it was made.
+// Stats are counters of a registry since its creation.
 type Stats struct {
 	Refused   uint64 // announcements of an older or departed incarnation
 	Full      uint64 // announcements beyond MaxUpstreams
-	OldReport uint64
-	Expired   uint64
+	OldReport uint64 // reports that were not newer, or of another incarnation
+	Expired   uint64 // upstreams removed after their last announcement expired
 	Ejected   uint64
-	// Spared counts ejections left out to keep capacity.
+	// Spared counts ejections that were skipped to keep capacity (MaxEjected).
 	Spared uint64
-	// Untracked counts sends beyond MaxInFlight.
+	// Untracked counts attempts that were sent but not tracked: beyond
+	// MaxInFlight, or already in flight.
 	Untracked uint64
-	// Considered counts the upstreams that picks looked at.
+	// Considered counts the upstreams sampled by Pick.
 	Considered uint64
-	// Unmatched counts ends of attempts that are not in flight.
+	// Unmatched counts calls of Finish for attempts that are not in flight.
 	Unmatched uint64
 }
 
 // slot is one registered upstream.
 type slot struct {
-	used       bool
-	generation uint32
-	listing    listing
-	draining   bool
-	announced  Announcement
-	since      time.Time // start of this incarnation here
-	heard      time.Time
-	load       loadState
-	health     health
-	places     []place
-	// timer is when the slot is looked at next.
+	used         bool
+	generation   uint32
+	listKind     listKind
+	draining     bool
+	announced    Announcement
+	registeredAt time.Time // first announcement of this incarnation
+	lastContact  time.Time
+	load         loadState
+	health       health
+	memberships  []membership
+	// timer fires when the slot is refreshed next.
 	timer *timer
 }
 
-// NewRegistry makes an empty registry.
+// NewRegistry returns an empty registry.
 func NewRegistry(opts Options) (*Registry, error) {
 	if err := opts.Validate(); err != nil {
 		return nil, err
@@ -63,52 +64,55 @@
 		opts:       opts.withDefaults(),
 		index:      make(map[ident.Upstream]uint32),
 		pools:      make(map[Pool]*pool),
-		flights:    make(map[Attempt]*flight),
+		inFlight:   make(map[Attempt]*sentAttempt),
 		departures: newDepartures(),
 	}, nil
 }
 
-// AnnounceResult is what became of an announcement.
+// AnnounceResult is the result of an announcement.
 type AnnounceResult uint8
 
 // The results of Announce.
 const (
-	// Registered means that a new upstream or incarnation is followed now.
+	// Registered means that a new upstream or incarnation was registered.
 	Registered AnnounceResult = iota + 1
-	// Renewed means that the lease of a known incarnation goes on.
+	// Renewed means that the lease of a known incarnation was extended.
 	Renewed
-	// Departed means that the upstream is leaving; tell the other entries.
+	// Departed means that the upstream is leaving; the caller relays the
+	// departure to the other entries.
 	Departed
-	// Refused means that the incarnation has left, or is older than one heard
-	// of not long ago.
+	// Refused means that the incarnation has left, or is older than one that
+	// was in contact recently.
 	Refused
-	// Full means that MaxUpstreams are followed already.
+	// Full means that MaxUpstreams are registered already.
 	Full
 	// Invalid means that a field is out of range; the error names it.
 	Invalid
 )
 
-// Announce takes an upstream's word about itself.
+// Announce applies an announcement of an upstream.
 func (r *Registry) Announce(now time.Time, a Announcement) (AnnounceResult, error) {
 	r.Advance(now)
 	if err := a.Validate(); err != nil {
 		return Invalid, err
 	}
 	a.Slots = max(a.Slots, 1)
-	word := Departure{Upstream: a.Upstream, Incarnation: a.Incarnation}
-	if !a.Leaving && r.departures.refuses(now, word) {
+	departure := Departure{Upstream: a.Upstream, Incarnation: a.Incarnation}
+	if !a.Leaving && r.departures.refuses(now, departure) {
 		r.stats.Refused++
 		return Refused, nil
 	}
 	i, known := r.index[a.Upstream]
-	// An upstream's clock may step back between its lives. The words of an
-	// earlier one stop while those of the present one go on.
-	if known && a.Incarnation < r.slots[i].announced.Incarnation && now.Before(r.quietAt(&r.slots[i])) {
+	// A lower incarnation is not always older, since an upstream's clock may
+	// step back between two incarnations. It is accepted once the known
+	// incarnation is silent: a previous incarnation stops announcing itself,
+	// the current one does not.
+	if known && a.Incarnation < r.slots[i].announced.Incarnation && now.Before(r.contactDeadline(&r.slots[i])) {
 		r.stats.Refused++
 		return Refused, nil
 	}
 	if a.Leaving {
-		r.depart(now, word)
+		r.depart(now, departure)
 		return Departed, nil
 	}
 	if known && a.Incarnation == r.slots[i].announced.Incarnation {
@@ -126,36 +130,36 @@
 	return Registered, nil
 }
 
-// MergeDepartures takes the word of other entries that upstreams are leaving and
-// returns those that were news here, to be passed on.
-func (r *Registry) MergeDepartures(now time.Time, words []Departure) []Departure {
+// MergeDepartures applies departures received from other entries and returns
+// those that were new, to be relayed.
+func (r *Registry) MergeDepartures(now time.Time, reported []Departure) []Departure {
 	r.Advance(now)
-	var news []Departure
-	for _, word := range words {
-		if r.departures.has(word) {
+	var added []Departure
+	for _, departure := range reported {
+		if r.departures.has(departure) {
 			continue
 		}
-		if i, ok := r.index[word.Upstream]; ok && r.slots[i].announced.Incarnation > word.Incarnation {
+		if i, ok := r.index[departure.Upstream]; ok && r.slots[i].announced.Incarnation > departure.Incarnation {
 			continue
 		}
-		r.depart(now, word)
-		news = append(news, word)
+		r.depart(now, departure)
+		added = append(added, departure)
 	}
-	return news
+	return added
 }
 
-// Departures appends to out the departures still remembered, for exchange
-// with other entries.
+// Departures appends the departures still kept to out, for exchange with other
+// entries.
 func (r *Registry) Departures(out []Departure) []Departure {
 	return r.departures.list(out)
 }
 
-// depart takes an upstream out of its pools at once. It stays registered
-// until its lease runs out, so that work in flight keeps its address.
-func (r *Registry) depart(now time.Time, word Departure) {
-	r.departures.add(now, word, r.opts.DepartureTTL, r.opts.ContactTimeout)
-	i, ok := r.index[word.Upstream]
-	if !ok || r.slots[i].announced.Incarnation > word.Incarnation {
+// depart removes an upstream from its pools immediately. It stays registered
+// until its lease expires, so that work in flight keeps its address.
+func (r *Registry) depart(now time.Time, departure Departure) {
+	r.departures.add(now, departure, r.opts.DepartureTTL, r.opts.ContactTimeout)
+	i, ok := r.index[departure.Upstream]
+	if !ok || r.slots[i].announced.Incarnation > departure.Incarnation {
 		return
 	}
 	r.slots[i].draining = true
@@ -166,13 +170,13 @@
 	i := r.allocate()
 	s := &r.slots[i]
 	*s = slot{
-		used:       true,
-		generation: s.generation + 1,
-		announced:  a,
-		since:      now,
-		heard:      now,
-		health:     newHealth(),
-		timer:      &timer{at: now, slot: i},
+		used:         true,
+		generation:   s.generation + 1,
+		announced:    a,
+		registeredAt: now,
+		lastContact:  now,
+		health:       newHealth(),
+		timer:        &timer{at: now, slot: i},
 	}
 	heap.Push(&r.timers, s.timer)
 	r.index[a.Upstream] = i
@@ -182,11 +186,11 @@
 func (r *Registry) renew(now time.Time, i uint32, a Announcement) {
 	s := &r.slots[i]
 	if !samePools(&s.announced, &a) {
-		r.relist(i, unlisted)
+		r.moveToList(i, noList)
 	}
 	s.announced = a
-	s.heard = now
-	// What drained it was the word of another life.
+	s.lastContact = now
+	// The departure that set draining was of another incarnation.
 	s.draining = false
 	r.refresh(now, i)
 }
@@ -203,25 +207,27 @@
 
 func (r *Registry) remove(i uint32) {
 	s := &r.slots[i]
-	r.relist(i, unlisted)
+	r.moveToList(i, noList)
 	delete(r.index, s.announced.Upstream)
 	heap.Remove(&r.timers, s.timer.position)
 	*s = slot{generation: s.generation}
 	r.free = append(r.free, i)
 }
 
-// quietAt is when an upstream that says nothing more gets no more work.
-func (r *Registry) quietAt(s *slot) time.Time {
-	return s.heard.Add(min(r.opts.ContactTimeout, s.announced.Lease))
+// contactDeadline returns the time at which an upstream stops getting new work
+// unless it announces itself again.
+func (r *Registry) contactDeadline(s *slot) time.Time {
+	return s.lastContact.Add(min(r.opts.ContactTimeout, s.announced.Lease))
 }
 
-// goneAt is when an upstream that says nothing more is forgotten.
-func (r *Registry) goneAt(s *slot) time.Time {
-	return s.heard.Add(max(r.opts.ContactTimeout, s.announced.Lease))
+// removalDeadline returns the time at which an upstream is removed unless it
+// announces itself again.
+func (r *Registry) removalDeadline(s *slot) time.Time {
+	return s.lastContact.Add(max(r.opts.ContactTimeout, s.announced.Lease))
 }
 
-// Advance lets leases, ejections and departures run out. Every method with a
-// time calls it; a caller needs it only when nothing else happens.
+// Advance expires leases, ejections and departures. Every method that takes the
+// time calls it, so callers need it only when they call none of these.
 func (r *Registry) Advance(now time.Time) {
 	r.departures.expire(now)
 	for len(r.timers) > 0 && !r.timers[0].at.After(now) {
@@ -229,36 +235,37 @@
 	}
 }
 
-// refresh brings a slot's phase, listing and timer in line with its state.
+// refresh updates a slot's health phase, list and timer, or removes the slot
+// when its lease has expired.
 func (r *Registry) refresh(now time.Time, i uint32) {
 	s := &r.slots[i]
-	if !now.Before(r.goneAt(s)) {
+	if !now.Before(r.removalDeadline(s)) {
 		r.stats.Expired++
 		r.remove(i)
 		return
 	}
-	if s.health.phase == ejected && !now.Before(s.health.until) {
-		s.health.readmit()
+	if s.health.phase == ejected && !now.Before(s.health.ejectedUntil) {
+		s.health.reinstate()
 	}
-	quiet := !now.Before(r.quietAt(s))
+	silent := !now.Before(r.contactDeadline(s))
 	switch {
-	case s.draining || quiet:
-		r.relist(i, unlisted)
+	case s.draining || silent:
+		r.moveToList(i, noList)
 	case s.health.phase == ejected:
-		r.relist(i, setAside)
+		r.moveToList(i, ejectedList)
 	default:
-		r.relist(i, offered)
+		r.moveToList(i, offeredList)
 	}
-	r.timers.move(s.timer, r.nextTimer(s, quiet))
+	r.timers.reschedule(s.timer, r.nextTimer(s, silent))
 }
 
-func (r *Registry) nextTimer(s *slot, quiet bool) time.Time {
-	next := r.quietAt(s)
-	if quiet {
-		next = r.goneAt(s)
+func (r *Registry) nextTimer(s *slot, silent bool) time.Time {
+	next := r.contactDeadline(s)
+	if silent {
+		next = r.removalDeadline(s)
 	}
-	if s.health.phase == ejected && s.health.until.Before(next) {
-		next = s.health.until
+	if s.health.phase == ejected && s.health.ejectedUntil.Before(next) {
+		next = s.health.ejectedUntil
 	}
 	return next
 }
@@ -267,7 +274,7 @@
 func (r *Registry) Len() int { return len(r.index) }
 
 // InFlight returns the number of attempts in flight.
-func (r *Registry) InFlight() int { return len(r.flights) }
+func (r *Registry) InFlight() int { return len(r.inFlight) }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (r *Registry) Stats() Stats { return r.stats }
--- a/upstream/registry_test.go
+++ b/upstream/registry_test.go
@@ -8,7 +8,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-var epoch = time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC)
 
 var testPool = EnginePool(ident.Cell{Model: "m", DataCentre: "d"}, "v1", "")
 
@@ -53,25 +53,25 @@
 func TestPickReturnsLeastLoadedOfSample(t *testing.T) {
 	r := testRegistry(t, Options{})
 	for _, name := range []ident.Upstream{"a", "b", "c"} {
-		announce(t, r, epoch, engine(name, 1))
+		announce(t, r, testStart, engine(name, 1))
 	}
-	now := epoch.Add(time.Millisecond)
+	now := testStart.Add(time.Millisecond)
 	r.Report(now, Report{Upstream: "a", Incarnation: 1, MeasuredAt: now, Running: 5})
 	r.Report(now, Report{Upstream: "b", Incarnation: 1, MeasuredAt: now, Running: 1})
 	r.Report(now, Report{Upstream: "c", Incarnation: 1, MeasuredAt: now, Running: 9})
 	got := r.Pick(now, testRandom(), testPool, 3, nil)
 	if len(got) != 3 || got[0].Upstream != "b" || got[2].Upstream != "c" {
-		t.Fatalf("picked %+v, want b first of three and c last", got)
+		t.Fatalf("picked %+v, want three with b first and c last", got)
 	}
 }
 
 func TestOlderIncarnationIsRefused(t *testing.T) {
 	r := testRegistry(t, Options{})
-	announce(t, r, epoch, engine("a", 2))
-	if got := announce(t, r, epoch, engine("a", 1)); got != Refused {
+	announce(t, r, testStart, engine("a", 2))
+	if got := announce(t, r, testStart, engine("a", 1)); got != Refused {
 		t.Fatalf("older incarnation: result %d, want Refused", got)
 	}
-	if !offers(r, epoch, "a") {
+	if !offers(r, testStart, "a") {
 		t.Fatal("the newer incarnation is not offered")
 	}
 }
--- a/upstream/summary.go
+++ b/upstream/summary.go
@@ -2,23 +2,26 @@
 
 import "time"
 
-// Summary is what other processes need to know of a pool: one line for each
-// cell instead of one for each upstream.
+// Summary is the aggregate state of a pool that is sent to other processes: one
+// record for each cell instead of one for each upstream.
 type Summary struct {
-	// Offered is how many upstreams get work, Ejected how many are ejected.
+	// Offered is the number of upstreams that get work, Ejected the number of
+	// ejected ones.
 	Offered, Ejected int
-	// Slots is how many requests the offered run at once, weighted by slow
-	// start and probation; Requests what they are estimated to have.
+	// Slots is the number of requests that the offered upstreams run
+	// concurrently, weighted by slow start and probation. Requests is their
+	// estimated number of running and queued requests.
 	Slots        float64
 	Requests     float64
 	QueuedTokens float64
 	FreeBlocks   int64
-	// LinkBusy is the mean share of their links in use, 0 to 1.
+	// LinkBusy is the mean utilization of their links, 0 to 1.
 	LinkBusy float64
 }
 
-// Summary adds up a pool. It walks the pool, so it is for the exchange between
-// processes once a second and not for a decision on a request.
+// Summary returns the summary of a pool. It iterates over the whole pool, so it
+// is for the exchange between processes once a second and not for decisions on
+// requests.
 func (r *Registry) Summary(now time.Time, key Pool) Summary {
 	r.Advance(now)
 	p := r.pools[key]
@@ -26,12 +29,12 @@
 		return Summary{}
 	}
 	sum := Summary{
-		Offered: len(p.lists[offered]),
-		Ejected: len(p.lists[setAside]),
+		Offered: len(p.lists[offeredList]),
+		Ejected: len(p.lists[ejectedList]),
 	}
-	for _, i := range p.lists[offered] {
+	for _, i := range p.lists[offeredList] {
 		s := &r.slots[i]
-		load := s.load.estimate(now, r.others(s))
+		load := s.load.estimate(now, r.othersPerOwn(s))
 		sum.Slots += float64(s.announced.Slots) * r.weight(now, s)
 		sum.Requests += load.Requests
 		sum.QueuedTokens += load.QueuedTokens
--- a/upstream/timers.go
+++ b/upstream/timers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timer asks to look at a slot at a time.
+// timer schedules the next refresh of a slot.
 type timer struct {
 	at       time.Time
 	slot     uint32
@@ -13,7 +13,7 @@
 }
 
 // timerHeap implements heap.Interface, the earliest first. Each slot has one
-// timer that is moved, so that the heap never holds more than the slots.
+// timer that is rescheduled, so the heap never holds more timers than slots.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -38,8 +38,8 @@
 	return t
 }
 
-// move sets a timer in the heap to another time.
-func (h *timerHeap) move(t *timer, at time.Time) {
+// reschedule changes the time of a timer in the heap.
+func (h *timerHeap) reschedule(t *timer, at time.Time) {
 	t.at = at
 	heap.Fix(h, t.position)
 }
--- a/upstream/types.go
+++ b/upstream/types.go
@@ -8,7 +8,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Kind is what an upstream is.
+// Kind is the kind of an upstream.
 type Kind uint8
 
 // The kinds of upstream.
@@ -25,7 +25,7 @@
 	Adapters []ident.Adapter
 }
 
-// Announcement is an upstream's word about itself.
+// Announcement describes an upstream as the upstream itself reports it.
 type Announcement struct {
 	Upstream    ident.Upstream
 	Incarnation ident.Incarnation
@@ -38,30 +38,34 @@
 	// Service is set for services, Models for engines.
 	Service ident.Service
 	Models  []Loaded
-	// Leaving tells that the upstream takes no new work from now on.
+	// Leaving means that the upstream accepts no new work from now on.
 	Leaving bool
-	// Lease is how long the announcement holds.
-	Lease       time.Duration
+	// Lease is how long the announcement is valid.
+	Lease time.Duration
+	// ChecksFence means that the upstream refuses orders with a fencing token
+	// below the largest it has received.
 	ChecksFence bool
-	// Slots is how many requests the upstream runs at once, at least one.
-	Slots      int
+	// Slots is the number of requests that the upstream runs concurrently;
+	// zero counts as one.
+	Slots int
+	// BlockBytes is the size of one KV block.
 	BlockBytes int64
 }
 
 // Bounds on one announcement.
 const (
-	// MaxNameLength bounds each name in an announcement, in bytes.
+	// MaxNameLength bounds the name of an upstream, in bytes.
 	MaxNameLength = 255
-	// MaxPools bounds the pools one upstream is in: one for each loaded
-	// version and one for each adapter on it.
+	// MaxPools bounds the pools of one upstream: one for each loaded version
+	// and one for each adapter on it.
 	MaxPools = 32
-	// MaxSlots bounds what an upstream may claim to run at once.
+	// MaxSlots bounds the concurrent requests that an upstream may announce.
 	MaxSlots = 1 << 16
-	// MaxLease bounds the lease an upstream may ask for.
+	// MaxLease bounds the lease that an upstream may request.
 	MaxLease = time.Hour
 )
 
-// Validate reports the first field of an announcement that is out of range.
+// Validate returns an error that names the first field out of range.
 func (a *Announcement) Validate() error {
 	if a.Upstream == "" {
 		return errors.New("upstream: is empty")
@@ -95,8 +99,8 @@
 	return count
 }
 
-// Pool names the upstreams that may serve one kind of request. Fields that do
-// not apply to the kind are empty.
+// Pool is the key of the set of upstreams that may serve one kind of request.
+// Fields that do not apply to the kind are empty.
 type Pool struct {
 	Kind       Kind
 	Model      ident.Model
@@ -107,7 +111,7 @@
 	Shard      uint16
 }
 
-// EnginePool is the pool of the engines of a cell that have a version and,
+// EnginePool returns the pool of the engines of a cell that have a version and,
 // unless it is empty, an adapter loaded.
 func EnginePool(cell ident.Cell, version ident.Version, adapter ident.Adapter) Pool {
 	return Pool{
@@ -120,32 +124,34 @@
 	}
 }
 
-// StorePool is the pool of the store hosts of a data centre.
+// StorePool returns the pool of the store hosts of a data centre.
 func StorePool(dataCentre ident.DataCentre, shard uint16) Pool {
 	return Pool{Kind: Store, DataCentre: dataCentre, Shard: shard}
 }
 
-// ServicePool is the pool of the replicas of a service in a data centre.
+// ServicePool returns the pool of the replicas of a service in a data centre.
 func ServicePool(service ident.Service, dataCentre ident.DataCentre, shard uint16) Pool {
 	return Pool{Kind: Service, Service: service, DataCentre: dataCentre, Shard: shard}
 }
 
-// Report is an upstream's lagging account of its work.
+// Report is a load report of an upstream. It describes the load at an earlier
+// time.
 type Report struct {
 	Upstream    ident.Upstream
 	Incarnation ident.Incarnation
-	// MeasuredAt is on the upstream's own clock and only orders reports that
-	// arrive within Options.Silence of one another.
+	// MeasuredAt is on the upstream's clock. It only orders reports that arrive
+	// within Options.ContactTimeout of one another.
 	MeasuredAt time.Time
-	// Age is how old the measurement was when it arrived.
-	Age     time.Duration
+	// Age is the age of the measurement on arrival.
+	Age time.Duration
+	// Running and Queued are numbers of requests.
 	Running int
 	Queued  int
-	// QueuedTokens is the prompt work waiting, in tokens.
+	// QueuedTokens is the pending prefill, in tokens.
 	QueuedTokens int64
-	// FreeBlocks is the room in the engine's cache, in blocks.
+	// FreeBlocks is the free capacity of the engine's cache, in blocks.
 	FreeBlocks int64
-	// LinkBusy is the share of the upstream's link in use, 0 to 1.
+	// LinkBusy is the utilization of the upstream's link, 0 to 1.
 	LinkBusy float64
 }
 
@@ -155,42 +161,44 @@
 	Number  uint32
 }
 
-// Result is how an attempt ended, as far as it tells about the upstream.
+// Result is the outcome of an attempt as far as it concerns the upstream's
+// health.
 type Result uint8
 
 // The results of an attempt.
 const (
-	// Succeeded means that the upstream answered, also with an error that was
-	// the caller's fault.
+	// Succeeded means that the upstream answered. This includes errors caused
+	// by the caller.
 	Succeeded Result = iota + 1
-	// Failed means that the upstream could not be reached, broke the
-	// connection, answered badly or reported a failure of its own.
+	// Failed means that the upstream could not be reached, closed the
+	// connection, sent an invalid answer or reported an internal failure.
 	Failed
 	// Stalled means that the upstream accepted the work and made no progress
-	// within its time.
+	// before the timeout.
 	Stalled
-	// Cancelled means that the caller left; it tells nothing.
+	// Cancelled means that the caller disconnected; it does not count for or
+	// against the upstream.
 	Cancelled
 )
 
-// Departure is the word that one incarnation of an upstream is leaving. It
-// outlives the registration, so that a stale announcement that another entry
-// still relays does not bring the upstream back.
+// Departure records that one incarnation of an upstream is leaving. It is kept
+// longer than the registration, so that a stale announcement relayed by another
+// entry does not register the upstream again.
 type Departure struct {
 	Upstream    ident.Upstream
 	Incarnation ident.Incarnation
 }
 
-// Load is the estimate of an upstream's work at one moment.
+// Load is the estimated load of an upstream at one time.
 type Load struct {
-	// Requests is running and queued work, in requests.
+	// Requests is the number of running and queued requests.
 	Requests float64
-	// QueuedTokens is prompt work not yet prefilled, in tokens.
+	// QueuedTokens is the pending prefill, in tokens.
 	QueuedTokens float64
-	// Own is the work of this process in flight, in requests.
+	// Own is the number of this process's requests in flight.
 	Own int
-	// Age is how long ago the last report was measured; Reported is false
-	// when there is none.
+	// Age is the time since the last report was measured. Reported is false
+	// when there is no report; then Age, FreeBlocks and LinkBusy are zero.
 	Age        time.Duration
 	Reported   bool
 	FreeBlocks int64
@@ -208,10 +216,10 @@
 	BlockBytes  int64
 	ChecksFence bool
 	Load        Load
-	// Weight is the share of its usual work the upstream should get, 0 to 1:
-	// below one in slow start and on probation.
+	// Weight is the share of its usual work that the upstream should get, 0 to
+	// 1. It is below one in slow start and on probation.
 	Weight float64
-	// Score orders candidates: expected work for each weighted slot. Less is
-	// better.
+	// Score orders candidates: the expected requests per weighted slot. Lower
+	// is better.
 	Score float64
 }
--- a/upstream/work.go
+++ b/upstream/work.go
@@ -6,7 +6,8 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Report takes an upstream's load report and tells whether it was news.
+// Report applies an upstream's load report. It returns false for a report that
+// is not newer, or is of an unknown upstream or another incarnation.
 func (r *Registry) Report(now time.Time, report Report) bool {
 	r.Advance(now)
 	i, ok := r.index[report.Upstream]
@@ -18,84 +19,85 @@
 	report.Queued = max(report.Queued, 0)
 	report.QueuedTokens = max(report.QueuedTokens, 0)
 	s := &r.slots[i]
-	if !s.load.take(report, now, r.opts.Transit, r.opts.ContactTimeout) {
+	if !s.load.apply(report, now, r.opts.Transit, r.opts.ContactTimeout) {
 		r.stats.OldReport++
 		return false
 	}
-	r.shares[s.announced.Kind].observe(s.load.counted(), report.Running+report.Queued)
+	r.shares[s.announced.Kind].observe(s.load.ownReported(), report.Running+report.Queued)
 	return true
 }
 
-// Dispatch records that an attempt is being sent to an upstream. tokens is
-// its prompt work, without what is reused. It returns false when the upstream
-// is not offered any more; the caller must then choose again.
+// Dispatch records that an attempt is being sent to an upstream. tokens is the
+// number of prompt tokens to prefill, without reused ones. It returns false when
+// the upstream is no longer offered; the caller must then choose again.
 func (r *Registry) Dispatch(now time.Time, attempt Attempt, upstream ident.Upstream, tokens int64) bool {
 	r.Advance(now)
 	i, ok := r.index[upstream]
-	if !ok || r.slots[i].listing != offered {
+	if !ok || r.slots[i].listKind != offeredList {
 		return false
 	}
-	if _, twice := r.flights[attempt]; twice || len(r.flights) >= r.opts.MaxInFlight {
+	if _, twice := r.inFlight[attempt]; twice || len(r.inFlight) >= r.opts.MaxInFlight {
 		r.stats.Untracked++
 		return true
 	}
 	s := &r.slots[i]
-	f := &flight{upstream: i, generation: s.generation, sent: now, tokens: tokens}
-	r.flights[attempt] = f
-	s.load.send(f)
+	a := &sentAttempt{upstream: i, generation: s.generation, sentAt: now, tokens: tokens}
+	r.inFlight[attempt] = a
+	s.load.send(a)
 	return true
 }
 
-// FirstToken records that an attempt's prompt work is done.
+// FirstToken records that the prefill of an attempt is complete.
 func (r *Registry) FirstToken(attempt Attempt) {
-	f, ok := r.flights[attempt]
+	a, ok := r.inFlight[attempt]
 	if !ok {
 		return
 	}
-	if s := r.slotOf(f); s != nil {
-		s.load.prefilled(f)
+	if s := r.slotFor(a); s != nil {
+		s.load.prefilled(a)
 	}
 }
 
-// Finish records the end of an attempt. An attempt that is not in flight is
-// counted and changes nothing.
+// Finish records the result of an attempt. An attempt that is not in flight is
+// counted in Stats.Unmatched and changes nothing else.
 func (r *Registry) Finish(now time.Time, attempt Attempt, result Result) {
 	r.Advance(now)
-	f, ok := r.flights[attempt]
+	a, ok := r.inFlight[attempt]
 	if !ok {
 		r.stats.Unmatched++
 		return
 	}
-	delete(r.flights, attempt)
-	s := r.slotOf(f)
+	delete(r.inFlight, attempt)
+	s := r.slotFor(a)
 	if s == nil {
 		return
 	}
-	s.load.finish(f, now)
+	s.load.finish(a, now)
 	if s.health.observe(result, &r.opts.Health) {
-		r.eject(now, f.upstream)
+		r.eject(now, a.upstream)
 	}
 }
 
-// slotOf returns the slot a flight was sent to, nil if the upstream has gone
-// or lives again since.
-func (r *Registry) slotOf(f *flight) *slot {
-	s := &r.slots[f.upstream]
-	if !s.used || s.generation != f.generation {
+// slotFor returns the slot that an attempt was sent to, nil if the upstream was
+// removed or has a new incarnation.
+func (r *Registry) slotFor(a *sentAttempt) *slot {
+	s := &r.slots[a.upstream]
+	if !s.used || s.generation != a.generation {
 		return nil
 	}
 	return s
 }
 
-// eject takes an upstream out of its pools for a while, unless that would
-// leave one of them without capacity: then a bad upstream is better than none.
+// eject ejects an upstream for the time that its health gives, unless more than
+// MaxEjected of one of its pools would be ejected: a failing upstream is better
+// than too little capacity.
 func (r *Registry) eject(now time.Time, i uint32) {
 	s := &r.slots[i]
 	if s.health.phase == ejected {
 		return
 	}
-	for _, at := range s.places {
-		if !at.pool.maySetAside(r.opts.MaxEjected) {
+	for _, m := range s.memberships {
+		if !m.pool.mayEject(r.opts.MaxEjected) {
 			r.stats.Spared++
 			return
 		}
