--- a/member/directory.go
+++ b/member/directory.go
@@ -16,8 +16,8 @@
 	DefaultRetention  = time.Hour
 )
 
-// Version is a place in the sequence of changes of one root. A new root starts
-// a new epoch, so positions of different roots are never compared.
+// Version is a position in the sequence of changes of one root. A new root starts
+// a new epoch, so sequence numbers of different roots are never compared.
 type Version struct {
 	// Epoch is the term of the control group's leader.
 	Epoch    uint64 `cbor:"1,keyasint"`
@@ -32,7 +32,8 @@
 	return cmp.Compare(v.Sequence, other.Sequence)
 }
 
-// Update brings a View forward. A delta follows From; a snapshot replaces all.
+// Update advances a View to version To. A delta applies to a view at version From;
+// a snapshot replaces the whole content.
 type Update struct {
 	From     Version  `cbor:"1,keyasint"`
 	To       Version  `cbor:"2,keyasint"`
@@ -42,16 +43,16 @@
 
 // DirectoryOptions configure a Directory.
 type DirectoryOptions struct {
-	// MaxMembers bounds the processes known, those down included.
+	// MaxMembers bounds the processes known, including those that are down.
 	MaxMembers int
-	// History is how many changes are kept for deltas.
+	// History is the number of changes kept for deltas.
 	History int
-	// Retention is how long a process that is down stays known, so that stale
-	// claims about it are recognised.
+	// Retention is the time for which a process that is down is kept, so that
+	// stale claims about it are recognised.
 	Retention time.Duration
 }
 
-// Validate names the first option that can't work.
+// Validate returns an error if an option is not above zero.
 func (o DirectoryOptions) Validate() error {
 	if o.MaxMembers <= 0 || o.History <= 0 || o.Retention <= 0 {
 		return errors.New("member: MaxMembers, History and Retention must be above zero")
@@ -59,18 +60,19 @@
 	return nil
 }
 
-// Directory is the root's merged knowledge of every process. It is not safe
-// for concurrent use.
+// Directory is the root's merged list of all processes. It is not safe for
+// concurrent use.
 type Directory struct {
 	opts    DirectoryOptions
 	version Version
-	members map[ident.Host]entry
-	// history[i] changed the directory to sequence firstKept+i.
-	history   []Member
-	firstKept uint64
+	members map[ident.Host]memberRecord
+	// history[i] is the change with sequence number firstSequence+i.
+	history       []Member
+	firstSequence uint64
 }
 
-type entry struct {
+// memberRecord is a member with the parent that reported it.
+type memberRecord struct {
 	member    Member
 	parent    ident.Host
 	downSince time.Time
@@ -82,31 +84,31 @@
 		return nil, err
 	}
 	directory := &Directory{
-		opts:      opts,
-		version:   Version{Epoch: epoch},
-		members:   make(map[ident.Host]entry),
-		firstKept: 1,
+		opts:          opts,
+		version:       Version{Epoch: epoch},
+		members:       make(map[ident.Host]memberRecord),
+		firstSequence: 1,
 	}
 	return directory, nil
 }
 
-// Version returns the current place in the sequence.
+// Version returns the current position in the sequence.
 func (d *Directory) Version() Version { return d.version }
 
-// Merge takes claims reported by a parent and returns how many were new.
+// Merge applies claims reported by a parent and returns the number that were new.
 // Stale claims are ignored: a process that moved to another parent has a later
-// session there, so the old parent's "down" changes nothing.
+// session there, so a "down" from its old parent has no effect.
 func (d *Directory) Merge(now time.Time, parent ident.Host, claims []Member) int {
 	accepted := 0
 	for _, claim := range claims {
-		if d.mergeOne(now, parent, claim) {
+		if d.mergeClaim(now, parent, claim) {
 			accepted++
 		}
 	}
 	return accepted
 }
 
-func (d *Directory) mergeOne(now time.Time, parent ident.Host, claim Member) bool {
+func (d *Directory) mergeClaim(now time.Time, parent ident.Host, claim Member) bool {
 	if claim.Validate() != nil {
 		return false
 	}
@@ -114,7 +116,7 @@
 	if exists && !claim.supersedes(known.member) {
 		return false
 	}
-	if !exists && len(d.members) >= d.opts.MaxMembers && !d.forgetOne(now) {
+	if !exists && len(d.members) >= d.opts.MaxMembers && !d.removeOldestDown(now) {
 		return false
 	}
 	d.set(now, parent, claim)
@@ -122,17 +124,18 @@
 }
 
 func (d *Directory) set(now time.Time, parent ident.Host, claim Member) {
-	next := entry{member: claim, parent: parent}
+	next := memberRecord{member: claim, parent: parent}
 	if claim.State == StateDown {
 		next.downSince = now
 	}
 	d.members[claim.Host] = next
-	d.record(claim)
+	d.appendChange(claim)
 }
 
-// record numbers a change. History is cut when it has grown to twice its
-// bound, so that the cost of moving it is spread over as many changes.
-func (d *Directory) record(claim Member) {
+// appendChange adds a change to the history under the next sequence number. The
+// history is truncated to its bound only when it reaches twice the bound, which
+// amortizes the cost of the copy.
+func (d *Directory) appendChange(claim Member) {
 	d.version.Sequence++
 	d.history = append(d.history, claim)
 	if len(d.history) < 2*d.opts.History {
@@ -140,51 +143,54 @@
 	}
 	excess := len(d.history) - d.opts.History
 	d.history = slices.Clone(d.history[excess:])
-	d.firstKept += uint64(excess)
+	d.firstSequence += uint64(excess)
 }
 
-// forget drops a member here and, by the next update, in every view.
-func (d *Directory) forget(host ident.Host) {
+// remove removes a member from the directory and, by the next update, from every
+// view.
+func (d *Directory) remove(host ident.Host) {
 	claim := d.members[host].member
 	claim.State = StateForgotten
 	delete(d.members, host)
-	d.record(claim)
+	d.appendChange(claim)
 }
 
-// forgetOne drops one member that has been down longest, if any is down.
-func (d *Directory) forgetOne(now time.Time) bool {
-	var victim ident.Host
-	oldest := now.Add(1)
+// removeOldestDown removes the member that has been down longest. It returns false
+// if none is down.
+func (d *Directory) removeOldestDown(now time.Time) bool {
+	var oldestHost ident.Host
+	oldestTime := now.Add(1)
 	for host, e := range d.members {
-		if e.member.State == StateDown && e.downSince.Before(oldest) {
-			victim, oldest = host, e.downSince
+		if e.member.State == StateDown && e.downSince.Before(oldestTime) {
+			oldestHost, oldestTime = host, e.downSince
 		}
 	}
-	if victim == "" {
+	if oldestHost == "" {
 		return false
 	}
-	d.forget(victim)
+	d.remove(oldestHost)
 	return true
 }
 
-// ParentLost marks the members of a parent down when they have not attached
-// elsewhere. The caller waits a grace period after the parent's lease ran out,
-// within which its children find another parent and report a new session.
+// ParentLost marks the members of a parent that have not attached elsewhere as
+// down and returns their number. The caller first waits for a grace period after
+// the parent's lease expired, in which its children attach to another parent with
+// a new session.
 func (d *Directory) ParentLost(now time.Time, parent ident.Host) int {
-	lost := d.hostsWhere(func(e entry) bool {
+	lostHosts := d.hostsWhere(func(e memberRecord) bool {
 		return e.parent == parent && e.member.State != StateDown
 	})
-	for _, host := range lost {
+	for _, host := range lostHosts {
 		claim := d.members[host].member
 		claim.State = StateDown
 		d.set(now, parent, claim)
 	}
-	return len(lost)
+	return len(lostHosts)
 }
 
-// hostsWhere returns the hosts that match, in order, so that equal inputs give
-// equal sequences.
-func (d *Directory) hostsWhere(match func(entry) bool) []ident.Host {
+// hostsWhere returns the matching hosts in sorted order, so that equal inputs give
+// equal sequences of changes.
+func (d *Directory) hostsWhere(match func(memberRecord) bool) []ident.Host {
 	var hosts []ident.Host
 	for host, e := range d.members {
 		if match(e) {
@@ -195,32 +201,33 @@
 	return hosts
 }
 
-// Tick forgets members that have been down longer than Retention.
+// Tick removes members that have been down for longer than Retention.
 func (d *Directory) Tick(now time.Time) {
-	expired := d.hostsWhere(func(e entry) bool {
+	expired := d.hostsWhere(func(e memberRecord) bool {
 		return e.member.State == StateDown && now.Sub(e.downSince) > d.opts.Retention
 	})
 	for _, host := range expired {
-		d.forget(host)
+		d.remove(host)
 	}
 }
 
-// Since returns what brings a view at the given version up to date: a delta
-// when the changes are still kept, otherwise a snapshot. The second result is
-// false when the view is up to date, or ahead: then this root was replaced.
+// Since returns the update from the given version to the current one: a delta if
+// the changes are still kept, otherwise a snapshot. The second result is false if
+// that version is the current one or a later one. A later one means that this root
+// has been replaced.
 func (d *Directory) Since(have Version) (Update, bool) {
 	if have.Compare(d.version) >= 0 {
 		return Update{}, false
 	}
-	if have.Epoch != d.version.Epoch || have.Sequence+1 < d.firstKept {
+	if have.Epoch != d.version.Epoch || have.Sequence+1 < d.firstSequence {
 		return d.snapshot(), true
 	}
-	changes := d.history[have.Sequence+1-d.firstKept:]
+	changes := d.history[have.Sequence+1-d.firstSequence:]
 	return Update{From: have, To: d.version, Members: latestOnly(changes)}, true
 }
 
-// latestOnly keeps the last claim about each host, in order, so that a view
-// that missed a flapping process gets one claim for it.
+// latestOnly returns the last claim about each host, in order. A process that has
+// changed state several times thus takes one claim of an update.
 func latestOnly(changes []Member) []Member {
 	last := make(map[ident.Host]int, len(changes))
 	for i, change := range changes {
--- a/member/feed.go
+++ b/member/feed.go
@@ -1,51 +1,53 @@
 package member
 
-// feedHistory is how many updates a Feed keeps for deltas.
+// feedHistory is the number of updates that a Feed keeps for deltas.
 const feedHistory = 256
 
-// Feed is a view that others follow in turn: a relay's copy of the directory.
-// It is not safe for concurrent use.
+// Feed is a relay's copy of the directory. It is a View that also keeps recent
+// updates for the views of the relay's children. It is not safe for concurrent
+// use.
 type Feed struct {
 	View
-	recent []Update
+	history []Update
 }
 
-// NewFeed returns a feed that knows nobody.
+// NewFeed returns an empty feed.
 func NewFeed() *Feed {
 	return &Feed{View: *NewView()}
 }
 
-// Apply brings the feed forward.
+// Apply advances the feed by an update. Errors are those of View.Apply.
 func (f *Feed) Apply(update Update) error {
 	if err := f.View.Apply(update); err != nil {
 		return err
 	}
 	if update.Snapshot {
-		f.recent = nil
+		f.history = nil
 		return nil
 	}
-	f.recent = append(f.recent, update)
-	if len(f.recent) >= 2*feedHistory {
-		f.recent = append([]Update(nil), f.recent[feedHistory:]...)
+	f.history = append(f.history, update)
+	if len(f.history) >= 2*feedHistory {
+		f.history = append([]Update(nil), f.history[feedHistory:]...)
 	}
 	return nil
 }
 
-// Since returns what brings a view at the given version to this feed's. The
-// second result is false when the view is up to date, or ahead: a child that
-// came from a parent with later changes waits until this feed has them too.
+// Since returns the update from the given version to the version of this feed. The
+// second result is false if the given version is the same or a later one: a child
+// whose previous parent had later changes waits until this feed has them too.
 func (f *Feed) Since(have Version) (Update, bool) {
 	if have.Compare(f.version) >= 0 {
 		return Update{}, false
 	}
-	for i := range f.recent {
-		if f.recent[i].From == have {
-			return f.join(f.recent[i:]), true
+	for i := range f.history {
+		if f.history[i].From == have {
+			return f.join(f.history[i:]), true
 		}
 	}
 	return f.snapshot(), true
 }
 
+// join combines consecutive deltas into one.
 func (f *Feed) join(updates []Update) Update {
 	var changes []Member
 	for i := range updates {
--- a/member/member.go
+++ b/member/member.go
@@ -6,7 +6,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Role is what a process does.
+// Role is the role of a process in the system.
 type Role uint8
 
 // The roles of processes.
@@ -16,19 +16,21 @@
 	RoleRelay
 )
 
-// State is what is known of a process.
+// State is the state of a process as far as it is known.
 type State uint8
 
 // The states of a process, in the order in which one Stamp passes through them.
 const (
-	// StateAlive takes new callers.
+	// StateAlive means that the process accepts new callers.
 	StateAlive State = iota + 1
-	// StateDraining serves those who know it and is named to nobody new.
+	// StateDraining means that the process serves its present callers and is
+	// not named to new ones.
 	StateDraining
-	// StateDown went silent or left.
+	// StateDown means that the process went silent or left.
 	StateDown
-	// StateForgotten has been down for longer than the retention; a view
-	// drops it. Only a Directory makes this claim.
+	// StateForgotten means that the process has been removed from the
+	// directory, usually after it was down for longer than the retention. Views
+	// remove it too. Only a Directory makes this claim.
 	StateForgotten
 )
 
@@ -63,24 +65,24 @@
 	return cmp.Compare(s.Session, other.Session)
 }
 
-// Member describes one process.
+// Member is a claim about one process: its addresses and its state.
 type Member struct {
 	Host       ident.Host       `cbor:"1,keyasint"`
 	DataCentre ident.DataCentre `cbor:"2,keyasint"`
 	Role       Role             `cbor:"3,keyasint"`
-	// Callers is the address callers use and Announce the one upstreams use,
-	// each an IP and port; only entries have them.
+	// Callers is the address for callers and Announce the one for upstreams,
+	// each an IP and port. Only entries have them.
 	Callers  string `cbor:"4,keyasint,omitempty"`
 	Announce string `cbor:"8,keyasint,omitempty"`
-	// Peers is the address other processes use.
+	// Peers is the address for other processes of the system.
 	Peers string `cbor:"5,keyasint"`
 	Stamp Stamp  `cbor:"6,keyasint"`
 	State State  `cbor:"7,keyasint"`
 }
 
-// supersedes reports whether the claim m replaces the claim old. Within one
-// stamp a process only moves from alive to draining to down: a parent that
-// gave a child up must see a new session before it lives again.
+// supersedes reports whether the claim m replaces the claim old. Within one stamp
+// a process only changes from alive to draining to down: once a parent has marked
+// a child down, only a new session makes it alive again.
 func (m Member) supersedes(old Member) bool {
 	if order := m.Stamp.Compare(old.Stamp); order != 0 {
 		return order > 0
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -10,7 +10,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func claim(host string, incarnation, session int, state State) Member {
 	return Member{
@@ -41,9 +41,9 @@
 	return directory
 }
 
-// A heartbeat can be late, repeated or from an earlier incarnation of its sender. The
-// sequences below end with the verdict on the last heartbeat. A wrong verdict
-// would let a dead process back into the address answers callers get.
+// Heartbeats arrive late, repeated or from an earlier incarnation of the sender.
+// Each case checks the verdict on its last heartbeat. With a wrong verdict callers
+// get the address of a dead process.
 func TestHeartbeatVerdicts(t *testing.T) {
 	type step struct {
 		after time.Duration
@@ -55,19 +55,19 @@
 		want  Verdict
 	}{
 		{"first", []step{{0, claim("a", 1, 1, StateAlive)}}, VerdictAccepted},
-		{"again", []step{{0, claim("a", 1, 1, StateAlive)}, {0, claim("a", 1, 1, StateAlive)}}, VerdictAccepted},
+		{"repeated", []step{{0, claim("a", 1, 1, StateAlive)}, {0, claim("a", 1, 1, StateAlive)}}, VerdictAccepted},
 		{"earlier incarnation", []step{{0, claim("a", 2, 1, StateAlive)}, {0, claim("a", 1, 9, StateAlive)}}, VerdictStale},
 		{"earlier session", []step{{0, claim("a", 1, 2, StateAlive)}, {0, claim("a", 1, 1, StateAlive)}}, VerdictStale},
 		{"alive after draining", []step{{0, claim("a", 1, 1, StateDraining)}, {0, claim("a", 1, 1, StateAlive)}}, VerdictStale},
 		{"silent, then the same session", []step{{0, claim("a", 1, 1, StateAlive)}, {3 * time.Second, claim("a", 1, 1, StateAlive)}}, VerdictStale},
 		{"silent, then a new session", []step{{0, claim("a", 1, 1, StateAlive)}, {3 * time.Second, claim("a", 1, 2, StateAlive)}}, VerdictAccepted},
-		{"no room", []step{{0, claim("a", 1, 1, StateAlive)}, {0, claim("b", 1, 1, StateAlive)}, {0, claim("c", 1, 1, StateAlive)}}, VerdictFull},
-		{"room of one that is down", []step{{0, claim("a", 1, 1, StateDown)}, {0, claim("b", 1, 1, StateAlive)}, {0, claim("c", 1, 1, StateAlive)}}, VerdictAccepted},
+		{"too many children", []step{{0, claim("a", 1, 1, StateAlive)}, {0, claim("b", 1, 1, StateAlive)}, {0, claim("c", 1, 1, StateAlive)}}, VerdictFull},
+		{"replaces a child that is down", []step{{0, claim("a", 1, 1, StateDown)}, {0, claim("b", 1, 1, StateAlive)}, {0, claim("c", 1, 1, StateAlive)}}, VerdictAccepted},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			registry := newRegistry(t, 2)
-			now := start
+			now := testStart
 			var got Verdict
 			for _, s := range c.steps {
 				now = now.Add(s.after)
@@ -81,39 +81,39 @@
 	}
 }
 
-// A process heartbeats and then falls silent. Its parent reports it alive once
-// and down once, however many heartbeats or ticks follow, so that the directory
-// is not flooded by repetition.
+// A process sends heartbeats and then goes silent. Its parent must report it alive
+// once and down once, however many heartbeats or ticks follow; otherwise the
+// directory would be flooded with repeated claims.
 func TestRegistryReportsEachChangeOnce(t *testing.T) {
 	registry := newRegistry(t, 10)
-	registry.Heartbeat(start, claim("a", 1, 1, StateAlive))
+	registry.Heartbeat(testStart, claim("a", 1, 1, StateAlive))
 	if got := registry.Changes(); len(got) != 1 || got[0].State != StateAlive {
 		t.Fatalf("changes %+v", got)
 	}
-	registry.Heartbeat(start.Add(time.Second), claim("a", 1, 1, StateAlive))
+	registry.Heartbeat(testStart.Add(time.Second), claim("a", 1, 1, StateAlive))
 	if got := registry.Changes(); got != nil {
-		t.Fatalf("a repeated heartbeat is reported: %+v", got)
+		t.Fatalf("a repeated heartbeat is reported as a change: %+v", got)
 	}
-	registry.Tick(start.Add(4 * time.Second))
-	registry.Tick(start.Add(5 * time.Second))
+	registry.Tick(testStart.Add(4 * time.Second))
+	registry.Tick(testStart.Add(5 * time.Second))
 	if got := registry.Changes(); len(got) != 1 || got[0].State != StateDown {
 		t.Fatalf("changes %+v", got)
 	}
 }
 
-// An entry loses its relay and attaches to another. Callers keep getting the
-// entry's address, because the old relay's "down" carries the earlier session
-// and is ignored, whichever report reaches the root first.
-func TestMoveBetweenParentsInEitherOrder(t *testing.T) {
+// An entry loses its relay and attaches to another one. The "down" from the old
+// relay has the earlier session and must be ignored in either order of arrival;
+// otherwise callers would no longer get the entry's address.
+func TestMoveBetweenParentsWithReportsInEitherOrder(t *testing.T) {
 	moved := claim("a", 1, 2, StateAlive)
 	lost := claim("a", 1, 1, StateDown)
 	for _, reports := range [][2]Member{{moved, lost}, {lost, moved}} {
 		directory := newDirectory(t, 10)
-		directory.Merge(start, "relay-1", []Member{claim("a", 1, 1, StateAlive)})
+		directory.Merge(testStart, "relay-1", []Member{claim("a", 1, 1, StateAlive)})
 		for _, report := range reports {
-			directory.Merge(start, "relay-2", []Member{report})
+			directory.Merge(testStart, "relay-2", []Member{report})
 		}
-		directory.ParentLost(start, "relay-1")
+		directory.ParentLost(testStart, "relay-1")
 		view := NewView()
 		update, _ := directory.Since(view.Version())
 		if err := view.Apply(update); err != nil {
@@ -125,11 +125,11 @@
 	}
 }
 
-// An entry that drains takes no new callers but still sends what it has queued.
-// Words between entries must reach it, and only it and the living ones.
+// A draining entry accepts no new callers but still sends its queued requests.
+// Messages between entries must go to alive and draining entries and to no others.
 func TestPresentIncludesDraining(t *testing.T) {
 	directory, view := newDirectory(t, 10), NewView()
-	directory.Merge(start, "relay-1", []Member{claim("a", 1, 1, StateAlive), claim("b", 1, 1, StateDraining), claim("c", 1, 1, StateDown)})
+	directory.Merge(testStart, "relay-1", []Member{claim("a", 1, 1, StateAlive), claim("b", 1, 1, StateDraining), claim("c", 1, 1, StateDown)})
 	update, _ := directory.Since(view.Version())
 	if err := view.Apply(update); err != nil {
 		t.Fatal(err)
@@ -139,27 +139,27 @@
 	}
 }
 
-// A relay dies with processes attached. Its living children are marked down and
-// those of other parents stay as they are; a second report of the same loss
-// changes nothing. Children that moved on show up with a later session.
+// A relay crashes with processes attached. Its children that are not down must be
+// marked down and those of other parents must not change; a second report of the
+// same loss has no effect. Children that attach elsewhere have a later session.
 func TestParentLostMarksItsChildrenDown(t *testing.T) {
 	directory := newDirectory(t, 10)
-	directory.Merge(start, "relay-1", []Member{claim("a", 1, 1, StateAlive), claim("b", 1, 1, StateDraining)})
-	directory.Merge(start, "relay-2", []Member{claim("c", 1, 1, StateAlive)})
-	if lost := directory.ParentLost(start, "relay-1"); lost != 2 {
-		t.Errorf("lost %d, want 2", lost)
+	directory.Merge(testStart, "relay-1", []Member{claim("a", 1, 1, StateAlive), claim("b", 1, 1, StateDraining)})
+	directory.Merge(testStart, "relay-2", []Member{claim("c", 1, 1, StateAlive)})
+	if lost := directory.ParentLost(testStart, "relay-1"); lost != 2 {
+		t.Errorf("%d members lost, want 2", lost)
 	}
-	if lost := directory.ParentLost(start, "relay-1"); lost != 0 {
-		t.Errorf("lost %d again", lost)
+	if lost := directory.ParentLost(testStart, "relay-1"); lost != 0 {
+		t.Errorf("%d members lost by a repeated report, want 0", lost)
 	}
 }
 
-// A root is replaced while updates of the old one are under way. A view that
-// followed the old root again would revive processes known to be down.
-func TestViewNeverGoesBack(t *testing.T) {
+// A root is replaced while updates of the old root are still in transit. A view
+// that applied them would list processes as alive that are known to be down.
+func TestViewRefusesOlderUpdates(t *testing.T) {
 	view := NewView()
-	fresh := Update{To: Version{Epoch: 2, Sequence: 1}, Snapshot: true, Members: []Member{claim("a", 1, 1, StateDown)}}
-	if err := view.Apply(fresh); err != nil {
+	newest := Update{To: Version{Epoch: 2, Sequence: 1}, Snapshot: true, Members: []Member{claim("a", 1, 1, StateDown)}}
+	if err := view.Apply(newest); err != nil {
 		t.Fatal(err)
 	}
 	cases := []struct {
@@ -184,13 +184,13 @@
 	}
 }
 
-// Views that follow at random intervals, some so rarely that they need a
-// snapshot, end equal to the directory, whatever they missed.
+// Views that get updates at random intervals, some so rarely that they need a
+// snapshot, must end up equal to the directory.
 func TestViewsConverge(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	directory := newDirectory(t, 8)
 	views := []*View{NewView(), NewView(), NewView()}
-	now := start
+	now := testStart
 	for step := range 2000 {
 		now = now.Add(time.Minute)
 		host := fmt.Sprintf("h%d", rng.IntN(20))
@@ -199,14 +199,14 @@
 		directory.Tick(now)
 		for i, view := range views {
 			if rng.IntN(1+10*i) == 0 {
-				follow(t, directory, view)
+				catchUp(t, directory, view)
 			}
 		}
 	}
 	for i, view := range views {
-		follow(t, directory, view)
+		catchUp(t, directory, view)
 		if view.Len() != len(directory.members) {
-			t.Errorf("view %d knows %d, directory %d", i, view.Len(), len(directory.members))
+			t.Errorf("view %d has %d members, directory %d", i, view.Len(), len(directory.members))
 		}
 		for host, e := range directory.members {
 			if got, _ := view.Lookup(host); got != e.member {
@@ -216,7 +216,7 @@
 	}
 }
 
-func follow(t *testing.T, directory *Directory, view *View) {
+func catchUp(t *testing.T, directory *Directory, view *View) {
 	t.Helper()
 	update, behind := directory.Since(view.Version())
 	if !behind {
--- a/member/registry.go
+++ b/member/registry.go
@@ -18,13 +18,13 @@
 
 // RegistryOptions configure a Registry.
 type RegistryOptions struct {
-	// Timeout is the silence after which a child is down.
+	// Timeout is the time without a heartbeat after which a child is down.
 	Timeout time.Duration
-	// MaxChildren bounds the table.
+	// MaxChildren bounds the children, including those that are down.
 	MaxChildren int
 }
 
-// Validate names the first option that can't work.
+// Validate returns an error that names the first option that is not above zero.
 func (o RegistryOptions) Validate() error {
 	if o.Timeout <= 0 {
 		return errors.New("member: Timeout must be above zero")
@@ -40,15 +40,16 @@
 
 // The verdicts on a heartbeat.
 const (
-	// VerdictAccepted means the sender is a member until Timeout passes.
+	// VerdictAccepted means that the sender is a member until Timeout has
+	// passed without another heartbeat.
 	VerdictAccepted Verdict = iota + 1
 	// VerdictStale means that a later incarnation or session is known, or that
-	// this session was given up: the sender must attach again.
+	// this session has been marked down. The sender must attach again.
 	VerdictStale
-	// VerdictFull means that the parent has no room for another child.
+	// VerdictFull means that the parent has no capacity for another child.
 	VerdictFull
-	// VerdictUnknown means that a short heartbeat came from a process that the
-	// parent has no claim of: it must send its claim.
+	// VerdictUnknown means that the parent has no claim for the sender of a
+	// short heartbeat. The sender must send its claim.
 	VerdictUnknown
 )
 
@@ -68,12 +69,13 @@
 	}
 }
 
-// Registry is a parent's table of the processes attached to it. It is not safe
-// for concurrent use.
+// Registry is a parent's table of the processes attached to it, its children. It is
+// not safe for concurrent use.
 type Registry struct {
 	opts     RegistryOptions
 	children map[ident.Host]*child
-	// changes waits for Changes; it holds one claim for each host.
+	// changes holds the latest changed claim of each host until the next call
+	// of Changes.
 	changes map[ident.Host]Member
 }
 
@@ -95,8 +97,8 @@
 	return registry, nil
 }
 
-// Heartbeat takes one heartbeat. The member's State is what the sender says of
-// itself: alive or draining, or down when it leaves for good.
+// Heartbeat applies a heartbeat. The State of m is the state that the sender
+// reports: alive, draining, or down when it leaves permanently.
 func (r *Registry) Heartbeat(now time.Time, m Member) Verdict {
 	known, exists := r.children[m.Host]
 	if !exists {
@@ -107,8 +109,8 @@
 		return VerdictAccepted
 	}
 	// A claim that does not supersede the known one comes from an earlier
-	// incarnation, or from a session already reported as down. Accepting it would
-	// bring a dead process back into address answers.
+	// incarnation or session, or from a session already reported as down. If it
+	// were accepted, callers would again get the address of a dead process.
 	if !m.supersedes(known.member) {
 		return VerdictStale
 	}
@@ -118,8 +120,8 @@
 	return VerdictAccepted
 }
 
-// ShortHeartbeat takes a short heartbeat, which repeats the stamp and state of a claim
-// that the parent already has.
+// ShortHeartbeat applies a short heartbeat. It has only the host, stamp and state
+// of a process whose claim the parent already has.
 func (r *Registry) ShortHeartbeat(now time.Time, host ident.Host, stamp Stamp, state State) Verdict {
 	known, exists := r.children[host]
 	if !exists || known.member.Stamp.Compare(stamp) < 0 {
@@ -140,7 +142,8 @@
 	return VerdictAccepted
 }
 
-// evictDown makes room by forgetting the child that has been down longest.
+// evictDown removes the child that has been down longest. It returns false if none
+// is down.
 func (r *Registry) evictDown() bool {
 	var oldest *child
 	for _, c := range r.children {
@@ -158,7 +161,7 @@
 	return true
 }
 
-// Tick marks the children down whose last heartbeat is older than Timeout.
+// Tick marks children whose last heartbeat is older than Timeout as down.
 func (r *Registry) Tick(now time.Time) {
 	for _, c := range r.children {
 		if c.member.State == StateDown || now.Sub(c.lastSeen) <= r.opts.Timeout {
@@ -169,7 +172,8 @@
 	}
 }
 
-// Changes returns the claims that are new since the last call, by host.
+// Changes returns the claims that have changed since the last call, ordered by
+// host.
 func (r *Registry) Changes() []Member {
 	if len(r.changes) == 0 {
 		return nil
@@ -183,7 +187,7 @@
 	return claims
 }
 
-// All returns every claim, by host. A parent sends it to a new root.
+// All returns all claims, ordered by host. A parent sends them to a new root.
 func (r *Registry) All() []Member {
 	claims := make([]Member, 0, len(r.children))
 	for _, c := range r.children {
@@ -204,14 +208,15 @@
 	return live
 }
 
-// SortByHost orders claims, so that equal sets give equal messages.
+// SortByHost sorts claims by host, so that equal sets give equal messages.
 func SortByHost(claims []Member) {
 	slices.SortFunc(claims, func(a, b Member) int {
 		return strings.Compare(string(a.Host), string(b.Host))
 	})
 }
 
-// Validate rejects a claim that could not be acted on.
+// Validate returns an error that names the first field of a claim that is missing
+// or out of range.
 func (m Member) Validate() error {
 	switch {
 	case m.Host == "":
--- a/member/view.go
+++ b/member/view.go
@@ -8,31 +8,30 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// ErrGap reports a delta that does not follow the view's version. The view is
-// unchanged; the process asks again with the version it has.
+// ErrGap is returned for a delta whose From is not the view's version. The view is
+// unchanged; the process requests an update from its version again.
 var ErrGap = errors.New("member: the delta does not follow this view")
 
-// ErrStale reports an update of an earlier epoch or position.
+// ErrStale is returned for an update to an earlier version than the view's.
 var ErrStale = errors.New("member: the update is older than this view")
 
-// View is one process's copy of the directory. It is not safe for concurrent
-// use.
+// View is a process's copy of the directory. It is not safe for concurrent use.
 type View struct {
 	version Version
 	members map[ident.Host]Member
 }
 
-// NewView returns a view that knows nobody.
+// NewView returns an empty view.
 func NewView() *View {
 	return &View{members: make(map[ident.Host]Member)}
 }
 
-// Version returns the place in the root's sequence that the view reflects.
+// Version returns the position in the root's sequence that the view reflects.
 func (v *View) Version() Version { return v.version }
 
-// Apply brings the view forward. It never goes back: an update of an earlier
-// epoch comes from a root that has been replaced, and following it would
-// revive processes that the present root knows to be down.
+// Apply advances the view by an update. It never returns to an earlier version: an
+// update of an earlier epoch comes from a root that has been replaced, and applying
+// it would list processes as alive that the current root knows to be down.
 func (v *View) Apply(update Update) error {
 	if update.To.Compare(v.version) < 0 {
 		return ErrStale
@@ -53,31 +52,31 @@
 	return nil
 }
 
-// Lookup returns what is known of a host.
+// Lookup returns the claim about a host, if there is one.
 func (v *View) Lookup(host ident.Host) (Member, bool) {
 	m, known := v.members[host]
 	return m, known
 }
 
-// Len returns the number of processes known, those down included.
+// Len returns the number of processes known, including those that are down.
 func (v *View) Len() int { return len(v.members) }
 
-// Alive returns the processes of a role that take new work, those of the given
-// data centre first and otherwise by host, so that every process that holds
-// the same view computes the same list.
-func (v *View) Alive(role Role, near ident.DataCentre) []Member {
-	return v.ordered(near, func(m Member) bool { return m.Role == role && m.State == StateAlive })
+// Alive returns the processes of a role that accept new work. Those of the
+// preferred data centre come first; otherwise they are ordered by host. Every
+// process with the same view thus computes the same list.
+func (v *View) Alive(role Role, preferred ident.DataCentre) []Member {
+	return v.ordered(preferred, func(m Member) bool { return m.Role == role && m.State == StateAlive })
 }
 
-// Present returns the processes of a role that are up, draining ones too, in
-// the order of Alive.
-func (v *View) Present(role Role, near ident.DataCentre) []Member {
-	return v.ordered(near, func(m Member) bool {
+// Present returns the processes of a role that are alive or draining, in the order
+// of Alive.
+func (v *View) Present(role Role, preferred ident.DataCentre) []Member {
+	return v.ordered(preferred, func(m Member) bool {
 		return m.Role == role && (m.State == StateAlive || m.State == StateDraining)
 	})
 }
 
-func (v *View) ordered(near ident.DataCentre, match func(Member) bool) []Member {
+func (v *View) ordered(preferred ident.DataCentre, match func(Member) bool) []Member {
 	var matching []Member
 	for _, m := range v.members {
 		if match(m) {
@@ -85,8 +84,8 @@
 		}
 	}
 	slices.SortFunc(matching, func(a, b Member) int {
-		if aNear, bNear := a.DataCentre == near, b.DataCentre == near; aNear != bNear {
-			if aNear {
+		if aPreferred, bPreferred := a.DataCentre == preferred, b.DataCentre == preferred; aPreferred != bPreferred {
+			if aPreferred {
 				return -1
 			}
 			return 1
