--- a/upstream/faults_test.go
+++ b/upstream/faults_test.go
@@ -54,7 +54,7 @@
 // Requests sent to it afterwards time out or are cut off. It must get no new
 // request later than 2 s after its announcement or 5 s after its last contact,
 // even if entries that do not know yet still relay its old announcement.
-func TestLeavingOrSilentUpstreamGetsNoNewRequests(t *testing.T) {
+func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
 	const second = time.Second
 	cases := map[string][]step{
 		"own departure announcement": {
