--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,12 +1,11 @@
-// Package placement chooses the runner for a prompt that comes as a chain of
-// parts, the stores to fetch its parts from, and the store to keep them in.
+// Package placement chooses the runner for a prompt that consists of a chain of parts, the
+// stores from which to fetch the parts, and the store in which to keep them.
 //
-// The choice goes by the predicted time to the first event plus what a choice
-// costs besides time: a shared part that is read again, and a part that is
-// moved. Runners keep only what they read last, so that requests with the same
-// shared part are drawn to the same runner by a hash that all entries compute
-// alike: an entry needs no word of the others to find the runner that has just
-// read a part.
+// The choice minimizes the predicted time to the first event plus two other costs:
+// recomputing a shared part and moving a part between hosts. Runners cache only the most
+// recently used parts, so requests with the same shared part are sent to the same runner.
+// That runner is found by rendezvous hashing, which all entries compute alike: an entry
+// needs no message from other entries to find the runner that has just prefilled a part.
 package placement
 
 import (
@@ -16,103 +15,102 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rates turn tokens into time. They are estimates: a wrong one shifts choices
-// between runners and harms no promise.
+// Rates convert tokens to time and weigh costs. They are estimates: a wrong rate shifts
+// choices between runners and breaks no guarantee.
 type Rates struct {
-	// PrefillPerMs is how many prompt tokens a runner reads in a millisecond.
+	// PrefillPerMs is the number of prompt tokens that a runner prefills in a millisecond.
 	PrefillPerMs float64
-	// RecomputeMsPerToken weighs a shared token that is read again although a
-	// runner had read it, in milliseconds of waiting.
+	// RecomputeMsPerToken is the cost of recomputing a shared token that a runner has
+	// already prefilled, in milliseconds of waiting.
 	RecomputeMsPerToken float64
-	// MoveMsPerToken weighs a token moved between hosts.
+	// MoveMsPerToken is the cost of moving a token between hosts, in milliseconds.
 	MoveMsPerToken float64
-	// HomePull is the probability that the first runner by hash still has a
-	// part that stands in a store, and FirstPull that it has one that stands in
-	// none: then a request before this one has very likely just brought it.
-	HomePull, FirstPull float64
-	// CrossFactor is how much longer a transfer between data centres takes.
+	// HomeHitStored is the probability that the home runner still caches a part that is in
+	// a store. HomeHitUnstored is the probability for a part that is in no store: an
+	// earlier request has very likely just brought it to the home runner.
+	HomeHitStored, HomeHitUnstored float64
+	// CrossFactor is the ratio of the transfer time between data centres to that within
+	// one.
 	CrossFactor float64
-	// FullMs weighs a runner whose memory the prompt would fill once over.
+	// FullMs is the cost, in milliseconds, of a runner whose entire memory would be filled.
 	FullMs float64
-	// SlotMs weighs each request beyond the runner's slots.
+	// SlotMs is the cost, in milliseconds, of each request beyond the runner's slots.
 	SlotMs float64
 }
 
-// DefaultRates suit runners that read 110 to 160 tokens a millisecond, and a
-// price of a token read again of six times a token's share of its prompt's
-// worth.
+// DefaultRates returns rates for runners that prefill 110 to 160 tokens a millisecond,
+// where a recomputed token costs six times its share of the value of its prompt.
 func DefaultRates() Rates {
 	return Rates{
 		PrefillPerMs: 120, RecomputeMsPerToken: 0.16, MoveMsPerToken: 0.001,
-		HomePull: 0.35, FirstPull: 0.85, CrossFactor: 2, FullMs: 600, SlotMs: 40,
+		HomeHitStored: 0.35, HomeHitUnstored: 0.85, CrossFactor: 2, FullMs: 600, SlotMs: 40,
 	}
 }
 
-// Part is one part of a prompt. All parts but the last are shared.
+// Part is one of the ordered pieces of a prompt. All parts but the last are shared.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Source is where a part can be fetched from.
+// Source identifies where a part can be fetched from.
 type Source struct {
-	// Store is the index of the store, -1 for none.
+	// Store is the index of the store, or -1 for none.
 	Store  int
 	Tokens int
 }
 
-// Store is a host that keeps parts, or a runner whose cache others may fetch
-// from.
+// Store is a host that keeps parts, or a runner from whose cache other runners may fetch.
 type Store struct {
 	Address    string
 	DataCentre string
 	LinkMbps   float64
 	FirstByte  time.Duration
 	Capacity   int
-	// Used are the tokens known to be held or on their way.
+	// Used is the number of tokens known to be stored or in transfer to the store.
 	Used int
 	Open bool
-	// Queued are the tokens that others are already waiting for.
+	// Queued is the number of tokens that other requests are waiting to fetch.
 	Queued int
-	// Risk is the probability that a part is gone by the time of the fetch, as
-	// it may be from a runner's cache.
+	// Risk is the probability that a part is gone by the time of the fetch. It is above 0
+	// for a runner's cache.
 	Risk float64
 }
 
-// Runner is one candidate.
+// Runner is a candidate for a prompt.
 type Runner struct {
 	ID         string
 	DataCentre string
 	Slots      int
 	Memory     int
-	// Requests and Tokens are under way there, of all entries.
+	// Requests and Tokens count the work in progress at the runner, of all entries.
 	Requests int
 	Tokens   int
-	// PendingPrefill are the tokens under way that are still to be read.
+	// PendingPrefill is the number of tokens in progress that are still to be prefilled.
 	PendingPrefill int
-	// HealthPenalty is added to the prediction.
+	// HealthPenalty is added to the predicted cost.
 	HealthPenalty time.Duration
-	// Full tells that it has no room for the prompt now.
+	// Full indicates that the runner has no capacity for the prompt now.
 	Full bool
 }
 
-// Prompt is what is to be placed.
+// Prompt is a prompt to be placed.
 type Prompt struct {
 	Parts []Part
-	// Output is the most tokens that the answer may have.
+	// Output is the maximum number of tokens of the answer.
 	Output int
-	// Whole lists for each part the stores that hold it whole.
+	// Whole lists, for each part, the stores that hold it completely.
 	Whole [][]int
-	// Cached tells whether a runner has very likely still got a part.
+	// Cached reports whether a runner very likely still caches a part.
 	Cached func(runner, part int) bool
-	// CachesKnown reports that the runners' caches are known: what Cached denies is in none
-	// of them but for what was read in the last moments.
+	// CachesKnown indicates that the contents of the runners' caches are known: a part for
+	// which Cached returns false is in no cache, unless it was prefilled very recently.
 	CachesKnown bool
-	// TokenBytes is the size of a token's memory.
+	// TokenBytes is the KV memory of one token in bytes.
 	TokenBytes int
 }
 
-// Tokens returns the length of the prompt.
+// Tokens returns the length of the prompt in tokens.
 func (p *Prompt) Tokens() int {
 	total := 0
 	for _, part := range p.Parts {
@@ -121,98 +119,100 @@
 	return total
 }
 
-// anchor is the last shared part, by which requests are drawn together; -1
-// when nothing is shared.
-func (p *Prompt) anchor() int { return len(p.Parts) - 2 }
+// lastShared returns the index of the last shared part, which determines the home runner,
+// or -1 if no part is shared.
+func (p *Prompt) lastShared() int { return len(p.Parts) - 2 }
 
-// Choice is a runner with what to fetch there.
+// Choice is a chosen runner and what to fetch to it.
 type Choice struct {
 	Runner int
-	// Fetch lists for each part the store to fetch it from, -1 for none.
+	// Fetch holds, for each part, the store to fetch it from, or -1 for none.
 	Fetch []int
-	// PrefillTokens are the tokens that the runner is expected to read.
+	// PrefillTokens is the number of tokens that the runner is expected to prefill.
 	PrefillTokens int
-	// Certain tells that the runner reads the whole prompt: nothing of it is known
-	// or guessed to be there, and nothing is fetched.
+	// Certain indicates that the runner prefills the complete prompt: no part of it is
+	// known or assumed to be cached there, and nothing is fetched.
 	Certain bool
-	// CostMs is the weighed prediction in milliseconds.
+	// CostMs is the predicted cost in milliseconds.
 	CostMs float64
-	// Home tells that the runner is the first by hash.
+	// Home indicates that the runner is the prompt's home runner.
 	Home bool
 }
 
-// Choose returns the best candidate; ok is false when there is none. salt keeps
-// the hashes of different weight versions and teams apart.
+// Choose returns the candidate with the lowest cost; ok is false if there is none. salt
+// separates the hashes of different weight versions and teams.
 func Choose(rates *Rates, salt string, p *Prompt, runners []Runner, stores []Store) (Choice, bool) {
 	best := Choice{Runner: -1}
 	if len(runners) == 0 {
 		return best, false
 	}
 	key := p.key(salt)
-	home := p.home(key, runners)
-	// Two lists by turns: one of its own for each candidate was most of the time.
+	homeRunner := p.homeRunner(key, runners)
+	// Two lists are swapped between candidates: allocating one for each candidate took most
+	// of the time.
 	spare := make([]int, len(p.Parts))
 	best.Fetch = make([]int, len(p.Parts))
-	step, score := 0.0, uint64(0)
+	bestStep, bestScore := 0.0, uint64(0)
 	for i := range runners {
-		choice := evaluate(rates, p, i, runners, stores, i == home, spare)
-		at := math.Floor(choice.CostMs / equalMs)
-		if best.Runner >= 0 && at > step {
+		choice := evaluate(rates, p, i, runners, stores, i == homeRunner, spare)
+		costStep := math.Floor(choice.CostMs / costStepMs)
+		if best.Runner >= 0 && costStep > bestStep {
 			continue
 		}
-		own := hash(runners[i].ID, key)
-		if best.Runner < 0 || at < step || own > score {
+		score := hash(runners[i].ID, key)
+		if best.Runner < 0 || costStep < bestStep || score > bestScore {
 			best, spare = choice, best.Fetch
-			step, score = at, own
+			bestStep, bestScore = costStep, score
 		}
 	}
 	return best, true
 }
 
-// equalMs is the step in milliseconds within which two runners are as good as each
-// other for a caller. The hash decides between them: by the order of a list, or
-// by a difference that all entries are told alike, all would choose the same one.
-const equalMs = 0.5
+// costStepMs is the difference in milliseconds within which two runners count as equally
+// good. The hash decides between them: if the order of a list decided, or a difference that
+// is reported to all entries alike, all entries would choose the same runner.
+const costStepMs = 0.5
 
-// key is what runners are ordered by for the prompt: that of its last shared part,
-// or its own where nothing is shared.
+// key returns the hash key by which runners are ranked for the prompt: that of its last
+// shared part, or of its only part if nothing is shared.
 func (p *Prompt) key(salt string) string {
 	if len(p.Parts) == 0 {
 		return salt
 	}
-	return salt + "/" + p.Parts[max(p.anchor(), 0)].ID
+	return salt + "/" + p.Parts[max(p.lastShared(), 0)].ID
 }
 
-// firstReads is how many runners may be the first to read a part. One that is full
-// for a moment is passed over; where three are, the fleet is, and a part that is read
-// at each runner that has room is read again wherever its next prompt goes.
-const firstReads = 3
+// homeCandidates is the number of runners that may be the home of a part. A runner that is
+// full for a moment is skipped. If three are full, the fleet is, and then a part that is
+// prefilled wherever there is capacity would be recomputed wherever its next prompt goes.
+const homeCandidates = 3
 
-// home is the first runner by hash that has room among the first few, or the first of
-// all if none of them has. A part that nobody has read yet is nowhere cheaper: of 58
-// long prompts refused in 34 calm seconds, 56 had waited for a first runner that was
-// full, with a part that stood nowhere.
-func (p *Prompt) home(key string, runners []Runner) int {
-	if p.anchor() < 0 {
+// homeRunner returns the highest-ranked of the first homeCandidates runners that has
+// capacity, or the highest-ranked of all if none has, or -1 if no part is shared. A part
+// that no runner has prefilled costs the same everywhere, so waiting for a full runner
+// gains nothing: without the skip, 56 of 58 long prompts that were refused within 34 s of
+// normal load had waited for a full first runner although their part was cached nowhere.
+func (p *Prompt) homeRunner(key string, runners []Runner) int {
+	if p.lastShared() < 0 {
 		return -1
 	}
-	var first [firstReads]struct {
+	var first [homeCandidates]struct {
 		runner int
 		score  uint64
 	}
 	count := 0
 	for i := range runners {
 		score := hash(runners[i].ID, key)
-		at := count
-		for at > 0 && first[at-1].score < score {
-			at--
+		rank := count
+		for rank > 0 && first[rank-1].score < score {
+			rank--
 		}
-		if at == firstReads {
+		if rank == homeCandidates {
 			continue
 		}
-		count = min(count+1, firstReads)
-		copy(first[at+1:count], first[at:])
-		first[at].runner, first[at].score = i, score
+		count = min(count+1, homeCandidates)
+		copy(first[rank+1:count], first[rank:])
+		first[rank].runner, first[rank].score = i, score
 	}
 	for _, f := range first[:count] {
 		if !runners[f.runner].Full {
@@ -222,8 +222,8 @@
 	return first[0].runner
 }
 
-// knownAnywhere reports whether any of the runners has very likely still got a part.
-func (p *Prompt) knownAnywhere(runners, part int) bool {
+// cachedAnywhere reports whether any of the runners very likely still caches a part.
+func (p *Prompt) cachedAnywhere(runners, part int) bool {
 	if p.Cached == nil {
 		return false
 	}
@@ -235,56 +235,57 @@
 	return false
 }
 
-// evaluate weighs one runner. It writes what to fetch into fetch.
-func evaluate(rates *Rates, p *Prompt, index int, runners []Runner, stores []Store, home bool, fetch []int) Choice {
+// evaluate computes the cost of one runner. It writes the stores to fetch from into fetch.
+func evaluate(rates *Rates, p *Prompt, index int, runners []Runner, stores []Store, isHome bool, fetch []int) Choice {
 	r := &runners[index]
-	c := Choice{Runner: index, Home: home, Fetch: fetch, Certain: true}
+	c := Choice{Runner: index, Home: isHome, Fetch: fetch, Certain: true}
 	ms := 0.0
-	read := 0.0
-	chain := true // the parts so far need no reading
+	prefillTokens := 0.0
+	contiguous := true // no part so far needs prefill
 	for i, part := range p.Parts {
 		c.Fetch[i] = -1
 		last := i == len(p.Parts)-1
 		if last {
-			read += float64(part.Tokens)
+			prefillTokens += float64(part.Tokens)
 			break
 		}
-		store, fetchMs := p.source(rates, i, r, stores)
-		absent := 1.0
+		store, fetchMs := p.bestSource(rates, i, r, stores)
+		missProbability := 1.0
 		switch {
 		case p.Cached != nil && p.Cached(index, i):
-			absent = 0.1
+			missProbability = 0.1
 			c.Certain = false
-		case home && store >= 0:
-			absent = 1 - rates.HomePull
-		case home && !p.knownAnywhere(len(runners), i):
-			// Where it is known to be elsewhere, the guess that it is here draws the
-			// prompt away from it.
-			absent = 1 - rates.FirstPull
+		case isHome && store >= 0:
+			missProbability = 1 - rates.HomeHitStored
+		case isHome && !p.cachedAnywhere(len(runners), i):
+			// If the part is known to be cached elsewhere, assuming that it is also cached
+			// here would draw the prompt away from that runner.
+			missProbability = 1 - rates.HomeHitUnstored
 		}
-		if store >= 0 && chain && fetchMs < rates.againMs(part) {
+		if store >= 0 && contiguous && fetchMs < rates.recomputeMs(part) {
 			c.Fetch[i] = store
 			c.Certain = false
-			ms += absent * (fetchMs + rates.MoveMsPerToken*float64(part.Tokens))
+			ms += missProbability * (fetchMs + rates.MoveMsPerToken*float64(part.Tokens))
 			continue
 		}
-		if absent == 1 {
-			chain = false
+		if missProbability == 1 {
+			contiguous = false
 		} else if !p.CachesKnown {
 			c.Certain = false
 		}
-		read += absent * float64(part.Tokens)
-		ms += absent * rates.RecomputeMsPerToken * float64(part.Tokens)
+		prefillTokens += missProbability * float64(part.Tokens)
+		ms += missProbability * rates.RecomputeMsPerToken * float64(part.Tokens)
 	}
-	c.PrefillTokens = int(read)
-	ms += (read + float64(r.PendingPrefill)) / rates.PrefillPerMs
+	c.PrefillTokens = int(prefillTokens)
+	ms += (prefillTokens + float64(r.PendingPrefill)) / rates.PrefillPerMs
 	ms += pressure(rates, p, r)
 	c.CostMs = ms + milliseconds(r.HealthPenalty)
 	return c
 }
 
-// pressure weighs a runner's memory and slots. Memory weighs from three
-// quarters on: beyond it, the parts kept for others give way first.
+// pressure returns the cost of a runner's memory and slot usage in milliseconds. Memory
+// usage has a cost above three quarters: beyond that, the parts cached for other requests
+// are evicted first.
 func pressure(rates *Rates, p *Prompt, r *Runner) float64 {
 	ms := 0.0
 	if r.Memory > 0 {
@@ -297,9 +298,9 @@
 	return ms
 }
 
-// source returns the store from which a runner gets a part soonest, and the
-// time in milliseconds.
-func (p *Prompt) source(rates *Rates, part int, r *Runner, stores []Store) (int, float64) {
+// bestSource returns the store from which a runner gets a part soonest, and the cost of the
+// fetch in milliseconds. The store is -1 if there is none.
+func (p *Prompt) bestSource(rates *Rates, part int, r *Runner, stores []Store) (int, float64) {
 	best, bestMs := -1, 0.0
 	if part >= len(p.Whole) {
 		return best, bestMs
@@ -318,8 +319,9 @@
 	return best, bestMs
 }
 
-// TransferMs is how long a part takes from a store in its own data centre at the
-// pace that its link should have, behind what waits there already.
+// TransferMs returns the time in milliseconds to transfer a part from a store in the same
+// data centre at the nominal rate of its link, behind the transfers that are already
+// queued.
 func TransferMs(p *Prompt, part int, store *Store) float64 {
 	if store.LinkMbps <= 0 {
 		return 0
@@ -333,11 +335,11 @@
 		return 0
 	}
 	perToken := float64(p.TokenBytes) * 8 / (store.LinkMbps * 1000)
-	own := perToken * float64(p.Parts[part].Tokens)
+	score := perToken * float64(p.Parts[part].Tokens)
 	if store.DataCentre != r.DataCentre {
-		own *= rates.CrossFactor
+		score *= rates.CrossFactor
 	}
-	return own + perToken*float64(store.Queued)
+	return score + perToken*float64(store.Queued)
 }
 
 func hash(a, b string) uint64 {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -14,11 +14,11 @@
 	return list
 }
 
-func long() *Prompt {
+func longPrompt() *Prompt {
 	return &Prompt{Parts: []Part{{"shared", 12800}, {"own", 4200}}, Output: 20, TokenBytes: 18432, Whole: make([][]int, 2)}
 }
 
-func bigStore(dataCentre string) Store {
+func largeStore(dataCentre string) Store {
 	return Store{Address: "s-" + dataCentre, DataCentre: dataCentre, LinkMbps: 83000, FirstByte: 6 * time.Millisecond, Capacity: 2000000, Open: true}
 }
 
@@ -32,46 +32,46 @@
 	return c
 }
 
-func TestNoRunnerIsNoChoice(t *testing.T) {
+func TestChooseWithoutRunners(t *testing.T) {
 	rates := DefaultRates()
-	if _, ok := Choose(&rates, "m.1", long(), nil, nil); ok {
-		t.Fatal("a choice among none")
+	if _, ok := Choose(&rates, "m.1", longPrompt(), nil, nil); ok {
+		t.Fatal("Choose returned a choice without any runner")
 	}
 }
 
-// Entries that know nothing of each other's requests send the same first part
-// to the same runner, so that it is read once.
-func TestFirstReadsMeetAtOneRunner(t *testing.T) {
+// Entries that do not know of each other's requests must send a part that is not cached yet
+// to the same runner, so that it is prefilled once.
+func TestEntriesPrefillNewPartAtSameRunner(t *testing.T) {
 	list := runners(18)
-	first := choose(t, long(), list, nil)
+	first := choose(t, longPrompt(), list, nil)
 	if !first.Home {
-		t.Fatal("an idle fleet does not use the first runner by hash")
+		t.Fatal("the prompt is not sent to its home runner in an idle fleet")
 	}
 	shifted := append(append([]Runner(nil), list[5:]...), list[:5]...)
-	second := choose(t, long(), shifted, nil)
+	second := choose(t, longPrompt(), shifted, nil)
 	if shifted[second.Runner].ID != list[first.Runner].ID {
-		t.Fatalf("another order of runners: %s, want %s", shifted[second.Runner].ID, list[first.Runner].ID)
+		t.Fatalf("with the runners in another order: chose %s, want %s", shifted[second.Runner].ID, list[first.Runner].ID)
 	}
-	other := long()
+	other := longPrompt()
 	other.Parts[0].ID = "another"
-	spread := map[int]bool{}
+	chosen := map[int]bool{}
 	for i := range 200 {
 		other.Parts[0].ID = fmt.Sprint(i)
-		spread[choose(t, other, list, nil).Runner] = true
+		chosen[choose(t, other, list, nil).Runner] = true
 	}
-	if len(spread) < 16 {
-		t.Fatalf("200 parts meet at %d of 18 runners", len(spread))
+	if len(chosen) < 16 {
+		t.Fatalf("200 parts are spread over only %d of 18 runners, want at least 16", len(chosen))
 	}
 }
 
-func TestCachedPartDrawsTheRequest(t *testing.T) {
+func TestRunnerWithCachedPartIsPreferred(t *testing.T) {
 	list := runners(18)
-	p := long()
+	p := longPrompt()
 	home := choose(t, p, list, nil).Runner
-	has := (home + 7) % 18
-	p.Cached = func(runner, part int) bool { return runner == has && part == 0 }
-	if c := choose(t, p, list, nil); c.Runner != has {
-		t.Fatalf("runner %d, the part is at %d", c.Runner, has)
+	holder := (home + 7) % 18
+	p.Cached = func(runner, part int) bool { return runner == holder && part == 0 }
+	if c := choose(t, p, list, nil); c.Runner != holder {
+		t.Fatalf("chose runner %d, the part is cached at %d", c.Runner, holder)
 	}
 }
 
@@ -80,61 +80,60 @@
 		name string
 		load func(*Runner)
 	}{
-		{"much to read", func(r *Runner) { r.PendingPrefill = 300000 }},
+		{"long pending prefill", func(r *Runner) { r.PendingPrefill = 300000 }},
 		{"memory full", func(r *Runner) { r.Tokens = 400000 }},
 		{"slots full", func(r *Runner) { r.Requests = 90 }},
-		{"distrusted", func(r *Runner) { r.HealthPenalty = 5 * time.Second }},
+		{"unhealthy", func(r *Runner) { r.HealthPenalty = 5 * time.Second }},
 	}
 	for _, c := range cases {
 		list := runners(18)
-		home := choose(t, long(), list, nil).Runner
+		home := choose(t, longPrompt(), list, nil).Runner
 		c.load(&list[home])
-		if got := choose(t, long(), list, nil); got.Runner == home {
-			t.Errorf("%s: the busy runner is chosen", c.name)
+		if got := choose(t, longPrompt(), list, nil); got.Runner == home {
+			t.Errorf("%s: the busy runner was chosen", c.name)
 		}
 	}
 }
 
-// Many shared parts come for the first time at once. The first runner by hash for
-// one of them has no room for 800 ms, all others are idle. The prompt would wait for
-// it and be refused, although nobody has read the part and any runner may begin.
-// Entries that know nothing of each other still have to meet at one runner.
-func TestFirstReadGoesPastAFullRunner(t *testing.T) {
+// A prompt must not wait for its home runner, and be refused, while that runner is full for
+// 800 ms, no runner has prefilled the part and all others are idle. Independent entries
+// must still choose the same runner.
+func TestNewPartSkipsFullHomeRunner(t *testing.T) {
 	list := runners(18)
-	first := choose(t, long(), list, nil).Runner
+	first := choose(t, longPrompt(), list, nil).Runner
 	list[first].Full, list[first].HealthPenalty = true, 800*time.Millisecond
-	second := choose(t, long(), list, nil)
+	second := choose(t, longPrompt(), list, nil)
 	if second.Runner == first || !second.Home {
-		t.Fatalf("runner %d (first by hash %d), home %t", second.Runner, first, second.Home)
+		t.Fatalf("chose runner %d (full home runner %d), home %t", second.Runner, first, second.Home)
 	}
 	shifted := append(append([]Runner(nil), list[7:]...), list[:7]...)
-	if again := choose(t, long(), shifted, nil); shifted[again.Runner].ID != list[second.Runner].ID {
-		t.Fatalf("another entry chooses %s, not %s", shifted[again.Runner].ID, list[second.Runner].ID)
+	if again := choose(t, longPrompt(), shifted, nil); shifted[again.Runner].ID != list[second.Runner].ID {
+		t.Fatalf("with the runners in another order: chose %s, want %s", shifted[again.Runner].ID, list[second.Runner].ID)
 	}
-	p := long()
+	p := longPrompt()
 	p.Cached = func(runner, part int) bool { return runner == first && part == 0 }
 	if c := choose(t, p, list, nil); c.Runner != first {
-		t.Fatalf("runner %d, the part is at %d and would be read again", c.Runner, first)
+		t.Fatalf("chose runner %d; the part is cached at %d and would be recomputed", c.Runner, first)
 	}
 	for i := range list {
 		list[i].Full, list[i].HealthPenalty = true, 800*time.Millisecond
 	}
-	if c := choose(t, long(), list, nil); c.Runner != first {
-		t.Fatalf("all are full, and runner %d is chosen, not the first by hash", c.Runner)
+	if c := choose(t, longPrompt(), list, nil); c.Runner != first {
+		t.Fatalf("all runners are full: chose runner %d, want the first by hash", c.Runner)
 	}
 }
 
-func TestWholePartsAreFetched(t *testing.T) {
-	p := long()
+func TestCompletePartsAreFetched(t *testing.T) {
+	p := longPrompt()
 	p.Whole[0] = []int{0}
-	stores := []Store{bigStore("north")}
+	stores := []Store{largeStore("north")}
 	c := choose(t, p, runners(18), stores)
 	if c.Fetch[0] != 0 || c.Fetch[1] != -1 || c.PrefillTokens > 4300 {
-		t.Fatalf("fetch %v, reads %d", c.Fetch, c.PrefillTokens)
+		t.Fatalf("fetch %v, prefill of %d tokens", c.Fetch, c.PrefillTokens)
 	}
 	stores[0].Open = false
 	if c := choose(t, p, runners(18), stores); c.Fetch[0] != -1 {
-		t.Fatal("a closed store is read")
+		t.Fatal("fetched from a closed store")
 	}
 }
 
@@ -143,53 +142,53 @@
 	for i := range list {
 		list[i].DataCentre = []string{"north", "dock"}[i%2]
 	}
-	p := long()
+	p := longPrompt()
 	p.Whole[0] = []int{0}
 	for i := range 20 {
 		p.Parts[0].ID = fmt.Sprint(i)
 		rates := DefaultRates()
-		rates.HomePull = 0
-		c, _ := Choose(&rates, "m.1", p, list, []Store{bigStore("dock")})
+		rates.HomeHitStored = 0
+		c, _ := Choose(&rates, "m.1", p, list, []Store{largeStore("dock")})
 		if list[c.Runner].DataCentre != "dock" {
-			t.Fatalf("part %d goes to %s", i, list[c.Runner].DataCentre)
+			t.Fatalf("part %d: chose a runner in %s, want dock", i, list[c.Runner].DataCentre)
 		}
 	}
 }
 
-// Callers leave a stream after two seconds without an event. While many prompts wait
-// for one store's link, a part is fetched from the other store that has it, or from a
-// runner's cache, although that may have dropped it.
-func TestBusyStoreGivesWay(t *testing.T) {
-	p := long()
+// Callers abandon a stream after two seconds without an event. While many prompts wait for
+// one store's link, a part must be fetched from another store that has it, or from a
+// runner's cache, although the cache may have evicted it.
+func TestFetchAvoidsStoreWithLongQueue(t *testing.T) {
+	p := longPrompt()
 	p.Whole[0] = []int{0, 1}
-	slow, cache := bigStore("north"), Store{Address: "r3", DataCentre: "north", LinkMbps: 370000, Open: true, Risk: 0.1}
+	slow, cache := largeStore("north"), Store{Address: "r3", DataCentre: "north", LinkMbps: 370000, Open: true, Risk: 0.1}
 	stores := []Store{slow, cache}
 	if c := choose(t, p, runners(18), stores); c.Fetch[0] != 0 {
-		t.Fatal("a sound store is passed over for a cache")
+		t.Fatal("fetched from a runner's cache although the store is idle")
 	}
 	stores[0].Queued = 600000
 	if c := choose(t, p, runners(18), stores); c.Fetch[0] != 1 {
-		t.Fatal("a store behind a long queue is read")
+		t.Fatal("fetched from a store with a long queue")
 	}
 }
 
-func TestKeepAtFindsRoom(t *testing.T) {
-	quick := Store{Address: "q", LinkMbps: 130000, FirstByte: 500 * time.Microsecond, Capacity: 400000, Open: true}
-	big := bigStore("dock")
+func TestKeepAtChoosesStoreWithCapacity(t *testing.T) {
+	fast := Store{Address: "q", LinkMbps: 130000, FirstByte: 500 * time.Microsecond, Capacity: 400000, Open: true}
+	big := largeStore("dock")
 	cases := []struct {
 		name   string
 		part   Part
 		stores []Store
 		want   int
 	}{
-		{"small parts go to a quick store", Part{"a", 240}, []Store{big, quick}, 1},
-		{"small parts are kept in a slow store where no quick one has room", Part{"a", 240}, []Store{big, with(quick, 395000)}, 0},
-		{"parts that are read for less than a fetch costs go nowhere else", Part{"a", 30}, []Store{big}, -1},
-		{"parts that a slow store sends sooner than they are read go to any", Part{"b", 1500}, []Store{big, with(quick, 215000)}, 0},
-		{"large parts leave room in a quick store", Part{"a", 12800}, []Store{with(quick, 215000)}, -1},
-		{"small ones fill it", Part{"a", 240}, []Store{with(quick, 215000)}, 0},
-		{"a full store takes nothing", Part{"a", 240}, []Store{with(quick, 395000)}, -1},
-		{"a closed store takes nothing", Part{"a", 12800}, []Store{{Capacity: 2000000, LinkMbps: 1}}, -1},
+		{"a small part goes to a fast store", Part{"a", 240}, []Store{big, fast}, 1},
+		{"a small part goes to a slow store if no fast one has capacity", Part{"a", 240}, []Store{big, withUsed(fast, 395000)}, 0},
+		{"a part that is cheaper to recompute than to fetch is not kept", Part{"a", 30}, []Store{big}, -1},
+		{"a part that is cheaper to fetch than to recompute goes to a slow store", Part{"b", 1500}, []Store{big, withUsed(fast, 215000)}, 0},
+		{"a large part leaves capacity in a fast store", Part{"a", 12800}, []Store{withUsed(fast, 215000)}, -1},
+		{"a small part may use that capacity", Part{"a", 240}, []Store{withUsed(fast, 215000)}, 0},
+		{"a full store accepts no part", Part{"a", 240}, []Store{withUsed(fast, 395000)}, -1},
+		{"a closed store accepts no part", Part{"a", 12800}, []Store{{Capacity: 2000000, LinkMbps: 1}}, -1},
 	}
 	rates := DefaultRates()
 	for _, c := range cases {
@@ -199,13 +198,13 @@
 	}
 }
 
-func with(s Store, used int) Store {
+func withUsed(s Store, used int) Store {
 	s.Used = used
 	return s
 }
 
 func TestKeepAtSpreadsByCapacityAndLink(t *testing.T) {
-	stores := []Store{bigStore("dock"), bigStore("north")}
+	stores := []Store{largeStore("dock"), largeStore("north")}
 	stores[1].Capacity /= 3
 	counts := [2]int{}
 	rates := DefaultRates()
@@ -213,22 +212,21 @@
 		counts[KeepAt(&rates, "m.1", Part{fmt.Sprint(i), 5000}, 18432, stores)]++
 	}
 	if share := float64(counts[0]) / 4000; share < 0.70 || share > 0.80 {
-		t.Fatalf("the store with three times the room takes %.2f of the parts", share)
+		t.Fatalf("the store with three times the capacity gets %.2f of the parts, want 0.70 to 0.80", share)
 	}
 }
 
-// Short prompts come whose parts stand in a quick store, and most runners have nothing
-// to do: for each prompt, many are as good as each other. Entries that chose the first
-// of a list would all send to one runner, until words on its load came, and to the next
-// one then.
-func TestPromptsSpreadOverEquallyGoodRunners(t *testing.T) {
+// Short prompts whose parts are in a fast store have many equally good runners in a mostly
+// idle fleet. If entries chose the first of a list, all would send to one runner until load
+// reports arrive, and then all to the next one.
+func TestPromptsSpreadOverEqualRunners(t *testing.T) {
 	list := runners(26)
 	store := Store{Address: "s", DataCentre: "north", LinkMbps: 130000, FirstByte: 500 * time.Microsecond, Capacity: 500000, Open: true}
 	sent := make(map[int]int)
 	const prompts = 2600
 	for i := range prompts {
 		p := &Prompt{Parts: []Part{{fmt.Sprintf("p%d", i), 250}, {"own", 80}}, Output: 3, TokenBytes: 18432, Whole: [][]int{{0}, nil}}
-		// The first runner by hash has something to read.
+		// Prefill is pending at the home runner.
 		first := choose(t, p, list, []Store{store}).Runner
 		list[first].PendingPrefill = 300
 		sent[choose(t, p, list, []Store{store}).Runner]++
@@ -236,29 +234,29 @@
 	}
 	for runner, n := range sent {
 		if n > 2*prompts/len(list) {
-			t.Errorf("runner %d gets %d of %d prompts", runner, n, prompts)
+			t.Errorf("runner %d gets %d of %d prompts, more than twice its share", runner, n, prompts)
 		}
 	}
 }
 
-// In a long overload nearly every runner is full, and each has room for a moment now
-// and then. A part that nobody has read yet, sent wherever room is just then, would be
-// read there, and again wherever its next prompt finds room. It meets at one of the
-// first three runners by hash, or waits for the first.
-func TestFirstReadsStayTogetherInAnOverload(t *testing.T) {
+// In a long overload nearly every runner is full, and each has capacity only now and then.
+// A new part that is sent wherever there is capacity would be prefilled there, and
+// recomputed wherever its next prompt goes. It must go to one of the first three runners by
+// hash, or wait for the first.
+func TestNewPartsUseFewRunnersUnderOverload(t *testing.T) {
 	list := runners(30)
 	homes := make(map[int]bool)
-	for room := range list {
+	for free := range list {
 		for i := range list {
-			list[i].Full, list[i].HealthPenalty = i != room, 0
-			if i != room {
+			list[i].Full, list[i].HealthPenalty = i != free, 0
+			if i != free {
 				list[i].HealthPenalty = 800 * time.Millisecond
 			}
 		}
-		p := long()
-		homes[p.home(p.key("m.1"), list)] = true
+		p := longPrompt()
+		homes[p.homeRunner(p.key("m.1"), list)] = true
 	}
-	if len(homes) != firstReads {
-		t.Errorf("%d runners are the first to read a part by turns, want %d", len(homes), firstReads)
+	if len(homes) != homeCandidates {
+		t.Errorf("%d runners serve as home of one part, want %d", len(homes), homeCandidates)
 	}
 }
--- a/placement/shortlist.go
+++ b/placement/shortlist.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Shortlist returns the places of the candidates that come first by hash for a key, most
-// at most, in the order in which they stand. id names a candidate, and fit tells whether
-// it can be chosen; it is asked only of those that may come first.
+// Shortlist returns the indices, in ascending order, of the up to limit candidates that
+// rank highest by hash for a key. id returns a candidate's name. eligible reports whether a
+// candidate can be chosen; it is called only for those that may rank high enough.
 //
-// The load pattern is a fleet of thousands of candidates that are idle nearly always.
-// Weighing all of them takes an entry's processor longer than the rest of a request, and
-// the best of the first hundred are as good. All entries draw up the same list: requests
-// with the same key meet where their parts are kept.
-func Shortlist(key string, n, most int, id func(int) string, fit func(int) bool) []int {
-	if n <= most {
+// Designed for a fleet of thousands of candidates that are idle nearly always. Evaluating
+// all of them takes more of an entry's CPU time than the rest of a request, and the best of
+// the first hundred are as good. All entries compute the same list, so that requests with
+// the same key go to the runners that cache their parts.
+func Shortlist(key string, n, limit int, id func(int) string, eligible func(int) bool) []int {
+	if n <= limit {
 		var all []int
 		for i := range n {
-			if fit(i) {
+			if eligible(i) {
 				all = append(all, i)
 			}
 		}
@@ -25,25 +25,25 @@
 	}
 	type ranked struct {
 		score uint64
-		at    int
+		index int
 	}
-	// The first so far, the last of them in front.
-	first := make([]ranked, 0, most+1)
+	// top holds the best candidates so far in ascending order of score.
+	top := make([]ranked, 0, limit+1)
 	for i := range n {
 		score := hash(id(i), key)
-		if len(first) == most && score <= first[0].score || !fit(i) {
+		if len(top) == limit && score <= top[0].score || !eligible(i) {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(first, score, func(r ranked, score uint64) int { return cmp.Compare(r.score, score) })
-		first = slices.Insert(first, at, ranked{score: score, at: i})
-		if len(first) > most {
-			first = slices.Delete(first, 0, 1)
+		index, _ := slices.BinarySearchFunc(top, score, func(r ranked, score uint64) int { return cmp.Compare(r.score, score) })
+		top = slices.Insert(top, index, ranked{score: score, index: i})
+		if len(top) > limit {
+			top = slices.Delete(top, 0, 1)
 		}
 	}
-	places := make([]int, len(first))
-	for i, r := range first {
-		places[i] = r.at
+	indices := make([]int, len(top))
+	for i, r := range top {
+		indices[i] = r.index
 	}
-	slices.Sort(places)
-	return places
+	slices.Sort(indices)
+	return indices
 }
