--- a/estimate/doc.go
+++ b/estimate/doc.go
@@ -1,7 +1,7 @@
-// Package estimate learns from what is observed how fast engines are and how large
-// their prompts, so that decisions need no constant of an engine or a workload.
+// Package estimate derives the speed of engines and the size of their prompts from
+// observations, so that decisions do not depend on constants of an engine or a workload.
 //
-// Each estimate begins with a value that harms nobody, stays within bounds, and
-// forgets: what was observed long ago counts less than what was observed last.
-// Observations and their order are all it depends on; there is no clock.
+// Each estimate starts at a safe value, stays within bounds, and is weighted by recency:
+// older observations count less than newer ones. Estimates depend only on the observations
+// and their order, not on a clock.
 package estimate
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Engines that read at paces a hundred times apart serve prompts of any size, with
-// noise and with answers that are held up now and then. An estimate that stays at
-// its start value takes slow reading for a slow store, or lets a runner have seconds
-// of work unread.
-func TestReadingFindsThePaceOfAnyEngine(t *testing.T) {
+// Engines whose speeds differ by a factor of a hundred serve prompts of any size, with
+// noise and with an occasional delayed answer. An estimate that stays at its start value
+// would mistake slow prefill for a slow store, or leave a runner with seconds of pending
+// prefill.
+func TestPrefillTimeFollowsAnyEngineSpeed(t *testing.T) {
 	for _, perMs := range []float64{4, 22, 66, 120, 157, 500} {
 		for _, size := range []int{400, 2400, 17000} {
 			random := rand.New(rand.NewPCG(1, uint64(size)))
@@ -23,7 +23,7 @@
 				}
 				r.Observe(tokens, time.Duration(ms*float64(time.Millisecond)))
 			}
-			// What counts is the predicted time, within a fifth and what noise adds.
+			// The predicted time is what matters: within a fifth, plus what noise adds.
 			got, want := r.BaseMs()+float64(size)/r.PerMs(), 20+float64(size)/perMs
 			if got < 0.8*want-5 || got > 1.35*want+45 {
 				t.Errorf("%v tokens a ms, prompts of %d: predicted %.0f ms, takes %.0f", perMs, size, got, want)
@@ -32,13 +32,13 @@
 	}
 }
 
-func TestReadingBeginsWithItsStartAndForgets(t *testing.T) {
+func TestPrefillTimeStartsAtStartValueAndDecays(t *testing.T) {
 	r := NewPrefillTime(120, 50*time.Millisecond)
 	for range 7 {
 		r.Observe(6000, time.Second)
 	}
 	if r.PerMs() != 120 || r.BaseMs() != 50 {
-		t.Errorf("%.0f tokens a ms after 7 observations", r.PerMs())
+		t.Errorf("%.0f tokens a ms after 7 observations, want the start value 120", r.PerMs())
 	}
 	feed := func(perMs float64) {
 		for i := range 300 {
@@ -48,16 +48,16 @@
 	}
 	feed(40)
 	if got := r.PerMs(); got < 36 || got > 44 {
-		t.Errorf("%.0f tokens a ms, are 40", got)
+		t.Errorf("%.0f tokens a ms, want 36 to 44", got)
 	}
 	feed(160)
 	if got := r.PerMs(); got < 144 || got > 176 {
-		t.Errorf("%.0f tokens a ms after a change to 160", got)
+		t.Errorf("%.0f tokens a ms after a change to 160, want 144 to 176", got)
 	}
 }
 
-// Prompts of one size only: the slope can't be told from the rest.
-func TestReadingOfOneSize(t *testing.T) {
+// With prompts of one size only, the slope cannot be separated from the intercept.
+func TestPrefillTimeWithOnePromptSize(t *testing.T) {
 	r := NewPrefillTime(120, 50*time.Millisecond)
 	for range 100 {
 		r.Observe(6000, 200*time.Millisecond)
@@ -68,14 +68,14 @@
 	r.Observe(0, time.Second)
 	r.Observe(100, 0)
 	if got := r.PerMs(); got < 30 || got > 50 {
-		t.Errorf("%.0f tokens a ms", got)
+		t.Errorf("%.0f tokens a ms, want 30 to 50", got)
 	}
 }
 
-// Many quick checks stand beside a few long reviews. Whatever their sizes are, the
-// checks have to count as light and the reviews not. Where all are of much the same
-// size, none may be held back for being large.
-func TestLightLiesBetweenSmallAndLarge(t *testing.T) {
+// Many short checks run beside a few long reviews. Whatever their sizes, the checks must
+// count as small and the reviews must not. If all prompts have about the same size, none
+// may be held back as large.
+func TestSmallLiesBetweenSmallAndLargePrompts(t *testing.T) {
 	for _, scale := range []float64{0.25, 1, 4, 16} {
 		s := NewSize(2000)
 		for i := range 2000 {
@@ -85,8 +85,8 @@
 			}
 			s.Observe(int(tokens * scale))
 		}
-		if light := float64(s.Small()); light < 700*scale || light > 8000*scale {
-			t.Errorf("sizes of 600 and 12000 times %v: light up to %.0f", scale, light)
+		if small := float64(s.Small()); small < 700*scale || small > 8000*scale {
+			t.Errorf("sizes of 600 and 12000 times %v: small up to %.0f tokens", scale, small)
 		}
 	}
 	for _, size := range []int{40, 400, 9000} {
@@ -94,8 +94,8 @@
 		for i := range 500 {
 			same.Observe(size + (i%5-2)*size/10)
 		}
-		if light := same.Small(); light < size*13/10 || light > 3*size {
-			t.Errorf("all prompts are of about %d tokens: light up to %d", size, light)
+		if small := same.Small(); small < size*13/10 || small > 3*size {
+			t.Errorf("all prompts have about %d tokens: small up to %d", size, small)
 		}
 	}
 	s := NewSize(2000)
@@ -103,28 +103,28 @@
 		s.Observe(90000)
 	}
 	if s.Small() != 2000 {
-		t.Errorf("light up to %d after ten prompts", s.Small())
+		t.Errorf("small up to %d tokens after ten prompts, want the start value 2000", s.Small())
 	}
 }
 
-// Callers wait 15 s at most, and some come back with a part of it. A change of the
-// operator's has them wait 5 s from then on. Taken by the old figure, all would count
-// as callers that come back.
-func TestLongestFollowsWhatCallersWait(t *testing.T) {
+// Callers wait 15 s at most, and some retry with the remaining part of it. When an operator
+// lowers the limit to 5 s, the estimate must follow: with the old value all callers would
+// count as retries.
+func TestLongestFollowsCallerWaits(t *testing.T) {
 	var l Longest
 	if l.Value() != 0 {
-		t.Errorf("%v before anything was seen", l.Value())
+		t.Errorf("estimate %v before any observation", l.Value())
 	}
 	for i := range 1000 {
 		l.Observe(time.Duration(3+12*((i+1)%2)) * time.Second)
 	}
 	if got := l.Value(); got < 14900*time.Millisecond || got > 15*time.Second {
-		t.Errorf("%v, callers wait 15 s", got)
+		t.Errorf("estimate %v, callers wait 15 s", got)
 	}
 	for range 2000 {
 		l.Observe(5 * time.Second)
 	}
 	if got := l.Value(); got != 5*time.Second {
-		t.Errorf("%v after a change to 5 s", got)
+		t.Errorf("estimate %v after a change to 5 s", got)
 	}
 }
--- a/estimate/longest.go
+++ b/estimate/longest.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// longestForget is the share that an estimate keeps with each observation that lies
-// below it: after 700 it has lost half.
-const longestForget = 0.999
+// longestDecay is the factor by which the estimate decreases with each observation below
+// it. It halves after 700 observations.
+const longestDecay = 0.999
 
-// Longest estimates the longest time that callers of one kind come with. The zero
-// value is ready and begins with nothing.
-type Longest struct{ most float64 }
+// Longest estimates the longest wait time among callers of one kind. The zero value is
+// ready to use and has the estimate 0.
+type Longest struct{ longest float64 }
 
-// Observe takes in one time.
+// Observe adds one wait time.
 func (l *Longest) Observe(d time.Duration) {
-	l.most = max(toMs(d), l.most*longestForget)
+	l.longest = max(toMs(d), l.longest*longestDecay)
 }
 
-// Value is the estimate.
-func (l *Longest) Value() time.Duration { return time.Duration(l.most * float64(time.Millisecond)) }
+// Value returns the estimate.
+func (l *Longest) Value() time.Duration { return time.Duration(l.longest * float64(time.Millisecond)) }
--- a/estimate/size.go
+++ b/estimate/size.go
@@ -1,37 +1,37 @@
 package estimate
 
 const (
-	// sizeWeight is the weight of the newest prompt: the last 200 make up two
-	// thirds of an estimate.
+	// sizeWeight is the weight of the newest prompt. The last 200 make up two thirds of an
+	// estimate.
 	sizeWeight = 1.0 / 200
-	// sizeLeast is the number of prompts from which the estimate counts.
-	sizeLeast = 50
-	// lightShare is the share of the mean size up to which a prompt is light: where
-	// a few large prompts stand beside many small ones, it lies between the two.
-	lightShare = 0.7
-	// usualTimes is how many times the median size is light at the least: where all
-	// prompts are of much the same size, none is larger than the others.
-	usualTimes = 2
-	// medianStep is the share by which the median follows each prompt.
+	// sizeMinCount is the number of prompts below which the start value is used.
+	sizeMinCount = 50
+	// meanFactor is the fraction of the mean size up to which a prompt is small. With a few
+	// large prompts among many small ones, it lies between the two.
+	meanFactor = 0.7
+	// medianFactor is the multiple of the median size up to which a prompt is always small.
+	// If all prompts have about the same size, none counts as large.
+	medianFactor = 2
+	// medianStep is the relative step by which the median estimate follows each prompt.
 	medianStep = 0.02
 )
 
-// Size estimates up to which size a prompt is light beside the others that come.
+// Size estimates the size up to which a prompt is small compared with the others.
 type Size struct {
 	start        int
-	seen         int
+	count        int
 	mean, median float64
 }
 
-// NewSize returns an estimate that begins with start tokens.
+// NewSize returns an estimate that starts at start tokens.
 func NewSize(start int) *Size { return &Size{start: start} }
 
-// Observe takes in the size of one prompt in tokens.
+// Observe adds the size of one prompt in tokens.
 func (s *Size) Observe(tokens int) {
-	s.seen = min(s.seen+1, sizeLeast+1)
+	s.count = min(s.count+1, sizeMinCount+1)
 	weight := sizeWeight
-	if s.seen <= sizeLeast {
-		weight = 1 / float64(s.seen)
+	if s.count <= sizeMinCount {
+		weight = 1 / float64(s.count)
 	}
 	size := float64(max(tokens, 1))
 	s.mean += weight * (size - s.mean)
@@ -45,10 +45,10 @@
 	}
 }
 
-// Small is the largest size in tokens that counts as light.
+// Small returns the largest size in tokens that counts as small.
 func (s *Size) Small() int {
-	if s.seen < sizeLeast {
+	if s.count < sizeMinCount {
 		return s.start
 	}
-	return int(max(lightShare*s.mean, usualTimes*s.median))
+	return int(max(meanFactor*s.mean, medianFactor*s.median))
 }
