--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,7 +1,8 @@
-// Package rollout decides which model runners load weights that were named, and
-// which may take no new prompt any more because they lack weights past the bound.
+// Package rollout decides which model runners load a new target version of weights, and
+// which runners may accept no new prompt because they lack a version whose bound has
+// expired.
 //
-// A version has a bound from its naming on: by then no runner may begin a prompt
-// on older weights. A newer version sets a bound of its own and takes nothing
-// from that of an older one.
+// The bound of a version starts when the version becomes a target: after it, no runner may
+// begin a prompt on older weights. A newer version has a bound of its own and does not
+// extend the bound of an older one.
 package rollout
--- /dev/null
+++ b/rollout/minimum_versions.go
@@ -0,0 +1,91 @@
+package rollout
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/lovagereach/lovagereach/roster"
+)
+
+const (
+	// raiseFraction is the fraction of a version's bound after which no prompt is sent to a
+	// runner that lacks the version. The rest of the bound is for prompts that wait at a
+	// runner.
+	raiseFraction = 0.9
+	// minLeadFraction is the fraction of the bound for which a leader must have led before it
+	// raises a minimum version, unless most runners have the version. Without it, as after
+	// an outage of the control group, no runner could have received an order yet, and all
+	// prompts would be refused immediately.
+	minLeadFraction = 0.6
+)
+
+// Runner is a model runner as the leader sees it.
+type Runner struct {
+	roster.Upstream
+	// Heard indicates that the leader has recently received an announcement from the
+	// runner.
+	Heard bool
+}
+
+// MinimumVersions tracks, for one leader, the oldest version of each model on which a
+// prompt may still begin. It is not safe for concurrent use.
+//
+// Load steps alone cannot enforce the bound: a runner may refuse its orders, be unreachable
+// for the leader, or restart with weights whose bound expired long ago. A leader that does
+// not receive announcements from most runners does not raise a minimum version above the
+// runners' versions: it may be behind a network partition, and entries would refuse all
+// prompts because its orders do not arrive.
+type MinimumVersions struct{ oldest map[string]uint64 }
+
+// NewMinimumVersions returns a MinimumVersions that allows all versions.
+func NewMinimumVersions() *MinimumVersions { return &MinimumVersions{oldest: make(map[string]uint64)} }
+
+// Raise raises the minimum versions to those whose bound expires, for a leader that was
+// elected at the time led, and returns the minimum versions by model. fleet is called only
+// when a version is due.
+func (m *MinimumVersions) Raise(targets *TargetVersions, fleet func() []Runner, led time.Time, bound time.Duration, now time.Time) []roster.Loaded {
+	var runners []Runner
+	for model, list := range targets.byModel {
+		for _, target := range list {
+			if target.version <= m.oldest[model] || now.Sub(target.at) < fraction(raiseFraction, bound) {
+				continue
+			}
+			if runners == nil {
+				runners = fleet()
+			}
+			have, heard, total := census(runners, model, target.version)
+			if 2*have > total || now.Sub(led) >= fraction(minLeadFraction, bound) && 2*heard > total {
+				m.oldest[model] = target.version
+			}
+		}
+	}
+	var minimum []roster.Loaded
+	for _, model := range slices.Sorted(maps.Keys(m.oldest)) {
+		minimum = append(minimum, roster.Loaded{Model: model, Version: m.oldest[model]})
+	}
+	return minimum
+}
+
+// census counts the serving runners of a model: those that have the version or a newer one,
+// those that the leader hears from, and all.
+func census(runners []Runner, model string, version uint64) (have, heard, total int) {
+	for i := range runners {
+		has := runners[i].VersionOf(model)
+		if has == 0 || runners[i].State != roster.Serving {
+			continue
+		}
+		total++
+		if has >= version {
+			have++
+		}
+		if runners[i].Heard {
+			heard++
+		}
+	}
+	return have, heard, total
+}
+
+func fraction(share float64, total time.Duration) time.Duration {
+	return time.Duration(share * float64(total))
+}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -21,154 +21,154 @@
 	return NewSchedule(Options{AtOnce: 1, Bound: bound, Notice: 200 * time.Millisecond})
 }
 
-// first returns the first turn that a schedule gives, and when.
-func first(s *Schedule, live []roster.Upstream, n *TargetVersions, now time.Time) (Step, time.Time) {
+// first returns the first load step of a schedule and its time.
+func first(s *Schedule, live []roster.Upstream, targets *TargetVersions, now time.Time) (Step, time.Time) {
 	for range 100 {
-		if turns := s.Next(live, n, now); len(turns) > 0 {
-			return turns[0], now
+		if steps := s.Next(live, targets, now); len(steps) > 0 {
+			return steps[0], now
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
 	return Step{}, now
 }
 
-// A runner comes back with the weights that it had three versions ago, while others
-// only lack the newest. Its bound has ended: any other order would leave it out of
-// service, or worse in service, for the whole round.
-func TestTheRunnerThatLacksWeightsLongestComesFirst(t *testing.T) {
-	n := NewTargetVersions()
+// A runner restarts with the weights of three versions ago, while others lack only the
+// newest. Its bound has expired: in any other order it would be out of service, or in
+// service on old weights, for the whole round.
+func TestRunnerLackingWeightsLongestLoadsFirst(t *testing.T) {
+	targets := NewTargetVersions()
 	for version := uint64(2); version <= 4; version++ {
-		n.Record("m", version, start.Add(time.Duration(version)*8*time.Second))
+		targets.Record("m", version, start.Add(time.Duration(version)*8*time.Second))
 	}
 	live := []roster.Upstream{runner("a", 3), runner("b", 3), runner("z", 1)}
-	turn, _ := first(testSchedule(), live, n, start.Add(33*time.Second))
-	if turn.Upstream.ID != "z" || turn.Version != 4 {
-		t.Fatalf("the first turn is %+v", turn)
+	step, _ := first(testSchedule(), live, targets, start.Add(33*time.Second))
+	if step.Upstream.ID != "z" || step.Version != 4 {
+		t.Fatalf("the first step is %+v, want runner z and version 4", step)
 	}
 }
 
-// Ten runners lack a version with 3 s left of its bound. A newer one is named. The
-// time of all must not count from the newer one: one load at a time would bring the
-// last runner to the older version after 20 s.
-func TestANewerVersionTakesNothingFromTheBoundOfAnOlderOne(t *testing.T) {
-	n := NewTargetVersions()
-	n.Record("m", 2, start)
-	n.Record("m", 3, start.Add(9*time.Second))
+// Ten runners lack a version with 3 s left of its bound when a newer version becomes the
+// target. The deadline must not count from the newer one: with one load at a time, the last
+// runner would have the older version only after 20 s.
+func TestNewerVersionDoesNotExtendBoundOfOlder(t *testing.T) {
+	targets := NewTargetVersions()
+	targets.Record("m", 2, start)
+	targets.Record("m", 3, start.Add(9*time.Second))
 	var live []roster.Upstream
 	for i := range 10 {
 		live = append(live, runner(fmt.Sprint(i), 1))
 	}
 	s := NewSchedule(Options{AtOnce: 10, Bound: bound, Notice: 200 * time.Millisecond})
-	s.Next(live, n, start.Add(9*time.Second))
+	s.Next(live, targets, start.Add(9*time.Second))
 	if got := s.Account(); got.AtOnce < 7 || got.Lacking != 10 || got.Age(start.Add(9*time.Second)) != 9*time.Second {
-		t.Fatalf("account %+v", got)
+		t.Fatalf("account %+v, want AtOnce of 7 or more, 10 lacking, 9 s behind", got)
 	}
 }
 
-func TestFloor(t *testing.T) {
-	n := NewTargetVersions()
-	n.Record("m", 2, start)
-	n.Record("m", 3, start.Add(8*time.Second))
-	n.Record("other", 1, start.Add(time.Hour))
+func TestMinimumVersions(t *testing.T) {
+	targets := NewTargetVersions()
+	targets.Record("m", 2, start)
+	targets.Record("m", 3, start.Add(8*time.Second))
+	targets.Record("other", 1, start.Add(time.Hour))
 	heard := func(u roster.Upstream) Runner { return Runner{Upstream: u, Heard: true} }
-	silent := func(u roster.Upstream) Runner { return Runner{Upstream: u} }
+	unheard := func(u roster.Upstream) Runner { return Runner{Upstream: u} }
 	behind := []Runner{heard(runner("a", 1)), heard(runner("b", 2))}
-	most := []Runner{silent(runner("a", 1)), silent(runner("b", 3)), silent(runner("c", 3))}
-	unheard := []Runner{silent(runner("a", 1)), heard(runner("b", 2))}
+	most := []Runner{unheard(runner("a", 1)), unheard(runner("b", 3)), unheard(runner("c", 3))}
+	tooFew := []Runner{unheard(runner("a", 1)), heard(runner("b", 2))}
 	at := func(version uint64) []roster.Loaded { return []roster.Loaded{{Model: "m", Version: version}} }
 	cases := []struct {
 		name    string
 		led, at time.Duration
-		floor   []roster.Loaded
+		minimum []roster.Loaded
 		fleet   []Runner
 	}{
 		{"within the bound", 0, 13 * time.Second, nil, most},
-		{"a little before its end", 0, 13500 * time.Millisecond, at(2), behind},
-		{"of the next version", 0, 21500 * time.Millisecond, at(3), behind},
-		{"a leader that has just come", 13 * time.Second, 21 * time.Second, nil, behind},
-		{"the same, and most runners have the version", 13 * time.Second, 21500 * time.Millisecond, at(3), most},
-		{"a leader that had its time", 13 * time.Second, 22 * time.Second, at(3), behind},
-		{"a leader that hears too few", 0, 22 * time.Second, nil, unheard},
+		{"shortly before the end of the bound", 0, 13500 * time.Millisecond, at(2), behind},
+		{"shortly before the end of the next version's bound", 0, 21500 * time.Millisecond, at(3), behind},
+		{"a newly elected leader", 13 * time.Second, 21 * time.Second, nil, behind},
+		{"a newly elected leader, and most runners have the version", 13 * time.Second, 21500 * time.Millisecond, at(3), most},
+		{"a leader that has led for long enough", 13 * time.Second, 22 * time.Second, at(3), behind},
+		{"a leader that hears from too few runners", 0, 22 * time.Second, nil, tooFew},
 	}
 	for _, c := range cases {
-		got := NewMinimumVersions().Raise(n, func() []Runner { return c.fleet }, start.Add(c.led), bound, start.Add(c.at))
-		if !slices.Equal(got, c.floor) {
-			t.Errorf("%s: %v", c.name, got)
+		got := NewMinimumVersions().Raise(targets, func() []Runner { return c.fleet }, start.Add(c.led), bound, start.Add(c.at))
+		if !slices.Equal(got, c.minimum) {
+			t.Errorf("%s: minimum versions %v", c.name, got)
 		}
 	}
 }
 
-// Runners start again with old weights after the bound, so that most are below the
-// floor again. It must not sink: callers would be answered on weights past the bound.
-func TestTheFloorNeverSinks(t *testing.T) {
-	n, f := NewTargetVersions(), NewMinimumVersions()
-	n.Record("m", 2, start)
+// Runners restart with old weights after the bound, so that most are below the minimum
+// version again. It must not decrease: callers would be answered on weights past the bound.
+func TestMinimumVersionNeverDecreases(t *testing.T) {
+	targets, minimum := NewTargetVersions(), NewMinimumVersions()
+	targets.Record("m", 2, start)
 	fleet := []Runner{{Upstream: runner("a", 2)}, {Upstream: runner("b", 2)}}
-	told := func() []Runner { return fleet }
-	want := f.Raise(n, told, start, bound, start.Add(14*time.Second))
+	listFleet := func() []Runner { return fleet }
+	want := minimum.Raise(targets, listFleet, start, bound, start.Add(14*time.Second))
 	fleet = []Runner{{Upstream: runner("a", 1)}, {Upstream: runner("b", 1)}}
-	if got := f.Raise(n, told, start, bound, start.Add(15*time.Second)); len(want) != 1 || !slices.Equal(got, want) {
-		t.Fatalf("the floor is %v, then %v", want, got)
+	if got := minimum.Raise(targets, listFleet, start, bound, start.Add(15*time.Second)); len(want) != 1 || !slices.Equal(got, want) {
+		t.Fatalf("the minimum version is %v, then %v", want, got)
 	}
 }
 
-func TestNamingsAreBoundedAndKeepTheOldest(t *testing.T) {
-	n := NewTargetVersions()
+func TestTargetVersionsAreBoundedAndKeepOldest(t *testing.T) {
+	targets := NewTargetVersions()
 	for version := uint64(2); version < 500; version++ {
-		n.Record("m", version, start.Add(time.Duration(version)*time.Second))
+		targets.Record("m", version, start.Add(time.Duration(version)*time.Second))
 	}
-	n.Record("m", 7, start)
-	if len(n.byModel["m"]) != maxNamings || n.Newest("m") != 499 {
-		t.Fatalf("%d namings, newest %d", len(n.byModel["m"]), n.Newest("m"))
+	targets.Record("m", 7, start)
+	if len(targets.byModel["m"]) != maxTargets || targets.Newest("m") != 499 {
+		t.Fatalf("%d target versions, newest %d", len(targets.byModel["m"]), targets.Newest("m"))
 	}
-	if at, lacks := n.FirstLacked("m", 1); !lacks || at != start.Add(2*time.Second) {
-		t.Fatalf("version 1 is lacked since %v", at)
+	if at, lacks := targets.FirstLacked("m", 1); !lacks || at != start.Add(2*time.Second) {
+		t.Fatalf("a runner with version 1 lacks a version since %v", at)
 	}
-	if _, lacks := n.FirstLacked("m", 499); lacks {
-		t.Fatal("the newest version lacks one")
+	if _, lacks := targets.FirstLacked("m", 499); lacks {
+		t.Fatal("a runner with the newest version lacks one")
 	}
 }
 
-// fleet plays runners that are given turns. stuck ones take their order and are
-// still at it when their load is given up.
+// fleet simulates runners that receive load steps. Stuck runners accept their order and are
+// still loading when the load is abandoned.
 type fleet struct {
 	schedule *Schedule
-	namings  *TargetVersions
+	targets  *TargetVersions
 	live     []roster.Upstream
 	stuck    map[string]bool
 	load     time.Duration
 }
 
-const givenUp = 8 * time.Second
+const abandonAfter = 8 * time.Second
 
-// play runs for so long and returns how long some runner that isn't stuck lacked a
-// version at most.
+// play simulates the given time and returns the longest time for which a runner that is not
+// stuck lacked a version.
 func (f *fleet) play(now time.Time, length time.Duration) (worst time.Duration) {
 	type order struct {
 		end     time.Time
 		version uint64
 	}
-	under := map[string]order{}
+	orders := map[string]order{}
 	for end := now.Add(length); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		for i := range f.live {
 			id := f.live[i].ID
-			if o, loads := under[id]; loads && !now.Before(o.end) {
-				delete(under, id)
+			if o, loads := orders[id]; loads && !now.Before(o.end) {
+				delete(orders, id)
 				if !f.stuck[id] {
 					f.live[i].Loaded = []roster.Loaded{{Model: "m", Version: o.version}}
 				}
 				f.schedule.Release(f.live[i], !f.stuck[id], now)
 			}
-			if since, lacks := f.namings.FirstLacked("m", f.live[i].VersionOf("m")); lacks && !f.stuck[id] {
+			if since, lacks := f.targets.FirstLacked("m", f.live[i].VersionOf("m")); lacks && !f.stuck[id] {
 				worst = max(worst, now.Sub(since))
 			}
 		}
-		for _, turn := range f.schedule.Next(f.live, f.namings, now) {
-			takes := f.load
-			if f.stuck[turn.Upstream.ID] {
-				takes = givenUp
+		for _, step := range f.schedule.Next(f.live, f.targets, now) {
+			duration := f.load
+			if f.stuck[step.Upstream.ID] {
+				duration = abandonAfter
 			}
-			under[turn.Upstream.ID] = order{end: now.Add(takes), version: turn.Version}
+			orders[step.Upstream.ID] = order{end: now.Add(duration), version: step.Version}
 		}
 	}
 	return worst
@@ -177,9 +177,9 @@
 func newFleet(runners int, stuck ...string) *fleet {
 	f := &fleet{
 		schedule: NewSchedule(Options{AtOnce: 3, Bound: bound, Notice: 200 * time.Millisecond}),
-		namings:  NewTargetVersions(), stuck: map[string]bool{}, load: 1800 * time.Millisecond,
+		targets:  NewTargetVersions(), stuck: map[string]bool{}, load: 1800 * time.Millisecond,
 	}
-	f.namings.Record("m", 2, start)
+	f.targets.Record("m", 2, start)
 	for i := range runners {
 		f.live = append(f.live, runner(fmt.Sprintf("r%02d", i), 1))
 	}
@@ -189,11 +189,12 @@
 	return f
 }
 
-// Callers are refused, or answered on weights past their bound, by runners that
-// would load at once. A few others take their orders and never end them; each holds
-// a turn until it is given up, and has lacked the weights for longest, so that it
-// comes first again. Nearly half of the runners may do so without harm to the rest.
-func TestRunnersThatNeverEndTheirLoadsLeaveTurnsToTheOthers(t *testing.T) {
+// A few runners accept their orders and never complete them. Each occupies a load slot
+// until its load is abandoned, and is first in the queue again because it has lacked the
+// weights for longest. Runners that would load immediately must still get their step in
+// time, or callers are refused or answered on weights past the bound. Nearly half of the
+// runners may be stuck.
+func TestStuckLoadsDoNotDelayOtherRunners(t *testing.T) {
 	for stuck := range 9 {
 		var ids []string
 		for i := range stuck {
@@ -205,46 +206,47 @@
 	}
 }
 
-// A runner's order was lost once. Others fail always. It must have its second turn
-// before each of them has had one turn after the other: callers are else refused by a
-// runner that would have loaded long ago.
-func TestOneFailedTurnDoesNotPutARunnerBehindThoseThatAlwaysFail(t *testing.T) {
-	n := NewTargetVersions()
-	n.Record("m", 2, start)
+// One order of a runner was lost, while other runners always fail. The runner must get its
+// second step before each of them has had its steps one after the other, or callers are
+// refused by a runner that would have loaded long ago.
+func TestSingleFailedStepIsRetriedBeforeRunnersThatAlwaysFail(t *testing.T) {
+	targets := NewTargetVersions()
+	targets.Record("m", 2, start)
 	live := []roster.Upstream{runner("a", 1), runner("b", 1), runner("c", 1), runner("z", 1)}
 	s := testSchedule()
-	turns := map[string]int{}
+	steps := map[string]int{}
 	now := start
-	for ; turns["z"] < 2 && now.Sub(start) < time.Minute; now = now.Add(50 * time.Millisecond) {
-		for _, turn := range s.Next(live, n, now) {
-			turns[turn.Upstream.ID]++
-			s.Release(turn.Upstream, false, now.Add(3*time.Second))
+	for ; steps["z"] < 2 && now.Sub(start) < time.Minute; now = now.Add(50 * time.Millisecond) {
+		for _, step := range s.Next(live, targets, now) {
+			steps[step.Upstream.ID]++
+			s.Release(step.Upstream, false, now.Add(3*time.Second))
 			now = now.Add(3 * time.Second)
 		}
 	}
-	for id, had := range turns {
-		if had > 3 || turns["z"] < 2 {
-			t.Fatalf("%s had %d turns, all: %v", id, had, turns)
+	for id, count := range steps {
+		if count > 3 || steps["z"] < 2 {
+			t.Fatalf("runner %s had %d steps; steps by runner: %v", id, count, steps)
 		}
 	}
 }
 
-// A runner crashes while it loads and starts again under its name, with the weights of
-// before. Its former life holds its turn until that load is given up, and had failed
-// before; the new life must have its turn at once, for callers are refused by it.
-func TestTheNextLifeOfARunnerOwesNothingToTheFormer(t *testing.T) {
-	n := NewTargetVersions()
-	n.Record("m", 2, start)
-	former, next := runner("a", 1), runner("a", 1)
-	former.StartedMs, next.StartedMs = 1000, 2000
+// A runner crashes while it loads and restarts under its name with its previous weights.
+// The previous incarnation occupies its load slot until that load is abandoned, and had
+// failed before. The new incarnation must get its step immediately, because it refuses
+// callers until then.
+func TestNewIncarnationDoesNotInheritBackoff(t *testing.T) {
+	targets := NewTargetVersions()
+	targets.Record("m", 2, start)
+	previous, next := runner("a", 1), runner("a", 1)
+	previous.StartedMs, next.StartedMs = 1000, 2000
 	s := testSchedule()
-	turn, at := first(s, []roster.Upstream{former}, n, start)
+	step, at := first(s, []roster.Upstream{previous}, targets, start)
 	for range 5 {
-		s.Release(turn.Upstream, false, at)
-		turn, at = first(s, []roster.Upstream{former}, n, at)
+		s.Release(step.Upstream, false, at)
+		step, at = first(s, []roster.Upstream{previous}, targets, at)
 	}
 	s.options.AtOnce = 2
-	if turn, began := first(s, []roster.Upstream{next, runner("b", 1)}, n, at); turn.Upstream.StartedMs != 2000 || began.Sub(at) > time.Second {
-		t.Fatalf("%v after its start the first turn is %+v", began.Sub(at), turn)
+	if step, startedAt := first(s, []roster.Upstream{next, runner("b", 1)}, targets, at); step.Upstream.StartedMs != 2000 || startedAt.Sub(at) > time.Second {
+		t.Fatalf("%v after the restart the first step is %+v, want the new incarnation within a second", startedAt.Sub(at), step)
 	}
 }
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -11,56 +11,59 @@
 )
 
 const (
-	// inTime is the part of the bound within which all runners are to have a
-	// version. Fewer loads at a time leave more runners to serve.
-	inTime = 0.8
-	// loadNearly is the part of the usual time of a load after which the runner is
-	// asked, and loadFirst the time assumed before any load has been seen.
-	loadNearly = 0.85
-	loadFirst  = 2 * time.Second
-	// drainLead is how long before a load is expected to end the next runner is
-	// named. Most runs end within it; longer, and capacity is idle.
+	// targetFraction is the fraction of the bound within which all runners should have a
+	// version. Fewer concurrent loads leave more runners to serve.
+	targetFraction = 0.8
+	// firstCheckFraction is the fraction of the expected load time after which the runner
+	// is polled first, and initialLoadTime the load time assumed before any load was
+	// measured.
+	firstCheckFraction = 0.85
+	initialLoadTime    = 2 * time.Second
+	// drainLead is how long before the expected end of a load the next runner is listed as
+	// loading. Most runs complete within it; a longer time would leave capacity idle.
 	drainLead = 500 * time.Millisecond
-	// loadsShare bounds the loads at a time to one runner in so many, where that
-	// is more than the setting.
-	loadsShare = 5
-	// unreachableFor is how long a runner is left alone that could not be asked
-	// or refused its order, and unreachableMost the longest; each time in a row
-	// doubles it. A crashed runner would else hold one of the few turns.
-	unreachableFor  = 500 * time.Millisecond
-	unreachableMost = 4 * time.Second
+	// runnersPerLoad is the number of runners per concurrent load, where that allows more
+	// loads than Options.AtOnce.
+	runnersPerLoad = 5
+	// minBackoff is how long a runner that was unreachable or refused its order is skipped,
+	// and maxBackoff the longest such time; each failure in a row doubles it. Otherwise a
+	// crashed runner would occupy one of the few load slots.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 4 * time.Second
 )
 
 // Options configure a Schedule.
 type Options struct {
 	// AtOnce bounds the runners that load at the same time.
 	AtOnce int
-	// Bound is the time from the naming of a version on after which no prompt may
+	// Bound is the time, from when a version becomes the target, after which no prompt may
 	// begin on an older one.
 	Bound time.Duration
-	// Notice is how long before its order a runner is at least listed as loading,
-	// so that it is sent nothing that it would refuse.
+	// Notice is the minimum time for which a runner is listed as loading before its order,
+	// so that it receives nothing that it would refuse.
 	Notice time.Duration
 }
 
-// Step is a load whose time has come.
+// Step is a load that is due.
 type Step struct {
 	Upstream roster.Upstream
 	Model    string
 	Version  uint64
 }
 
-// Account tells how far the runners are behind the named weights.
+// Account reports how far the runners are behind the target versions.
 type Account struct {
-	// Lacking of Runners lack weights, Loading take no prompts meanwhile, and
-	// AtOnce may load at a time.
+	// Lacking is the number of runners that lack weights, of Runners in total. Loading is
+	// the number of runners that accept no prompts because of a load, and AtOnce the number
+	// that may load at the same time.
 	Lacking, Runners, Loading, AtOnce int
-	// Longest has lacked a version for longest, since Since.
+	// Longest is the runner that has lacked a version for longest, and Since the time since
+	// which it has.
 	Longest string
 	Since   time.Time
 }
 
-// Age is how long the runner that is furthest behind has lacked weights.
+// Age returns for how long the runner that is furthest behind has lacked weights.
 func (a *Account) Age(now time.Time) time.Duration {
 	if a.Lacking == 0 {
 		return 0
@@ -68,170 +71,171 @@
 	return now.Sub(a.Since)
 }
 
-// Schedule gives runners their turns to load. It is not safe for concurrent use.
+// Schedule assigns load steps to runners. It is not safe for concurrent use.
 //
-// The runner whose bound ends first comes first: the one that has lacked some
-// version for longest. By any other order, as by name, weights named one shortly
-// after the other would begin the round again each time, and the last runners
-// would never have a turn.
+// The runner whose bound expires first comes first: the one that has lacked some version
+// for longest. In any other order, for example by name, each new version that follows
+// shortly after another would start the round again, and the last runners would never load.
 //
-// No more runners load at a time than must for each to be in time. A runner is
-// listed a little before its order, so that it has finished its runs when its turn
-// comes and the turn is not spent waiting.
+// No more runners load at the same time than necessary for each to meet its bound. A runner
+// is listed as loading a little before its order, so that it has completed its runs when
+// its step begins and the step is not spent waiting.
 type Schedule struct {
 	options Options
-	// named are the runners whose turn is next, with the time of their listing;
-	// busy are those that load. What is known of one life of a runner says nothing
-	// of the next.
-	named, busy map[life]time.Time
-	avoided     map[life]avoidance
-	// usual is how long a load takes from its order on.
-	usual   time.Duration
-	learnt  bool
-	account Account
+	// listed holds the runners that are next to load, with the time of their listing, and
+	// loading those that load, with the start of the load. State of one incarnation of a
+	// runner does not apply to the next.
+	listed, loading map[incarnation]time.Time
+	backoffs        map[incarnation]backoff
+	// loadTime is the expected time from the order to the end of a load.
+	loadTime time.Duration
+	measured bool
+	account  Account
 }
 
-// life is one life of a runner.
-type life struct {
-	id   string
-	born uint64
+// incarnation identifies one incarnation of a runner.
+type incarnation struct {
+	id      string
+	started uint64
 }
 
-func lifeOf(u *roster.Upstream) life { return life{id: u.ID, born: u.StartedMs} }
+func keyOf(u *roster.Upstream) incarnation { return incarnation{id: u.ID, started: u.StartedMs} }
 
-type avoidance struct {
-	ended, until time.Time
-	inRow        int
+type backoff struct {
+	endedAt, until time.Time
+	failures       int
 }
 
-// NewSchedule returns a schedule without any load under way.
+// NewSchedule returns a schedule without any load in progress.
 func NewSchedule(options Options) *Schedule {
 	return &Schedule{
-		options: options, named: make(map[life]time.Time), busy: make(map[life]time.Time),
-		avoided: make(map[life]avoidance), usual: loadFirst,
+		options: options, listed: make(map[incarnation]time.Time), loading: make(map[incarnation]time.Time),
+		backoffs: make(map[incarnation]backoff), loadTime: initialLoadTime,
 	}
 }
 
-// late is a runner that lacks weights.
-type late struct {
+// candidate is a runner that lacks weights.
+type candidate struct {
 	Step
-	// since is when the first version that it lacks was named, and waits the later
-	// of that and the end of its latest turn, if that was in vain. By since alone,
-	// runners that always fail would come first again each time.
-	since, waits time.Time
+	// since is when the first version that the runner lacks became the target. queuedSince
+	// is the later of since and the end of the runner's latest failed step: ordered by
+	// since alone, runners that always fail would come first again each time.
+	since, queuedSince time.Time
 }
 
-// Next takes in the runners that are heard, lists those whose turn comes, and
-// returns those whose turn it is; each is to be ended by Release.
-func (s *Schedule) Next(live []roster.Upstream, namings *TargetVersions, now time.Time) []Step {
-	queue, runners := s.queue(live, namings)
-	most := s.atOnce(queue, runners, now) + s.overdue(now)
-	free := most - len(s.busy)
-	for _, since := range s.busy {
-		if now.Sub(since) > s.usual-drainLead {
+// Next updates the schedule with the runners that the leader hears from, lists those that
+// are next as loading, and returns the steps that are due. Each step must be ended by
+// Release.
+func (s *Schedule) Next(live []roster.Upstream, targets *TargetVersions, now time.Time) []Step {
+	queue, runners := s.queue(live, targets)
+	limit := s.atOnce(queue, runners, now) + s.overdue(now)
+	free := limit - len(s.loading)
+	for _, since := range s.loading {
+		if now.Sub(since) > s.loadTime-drainLead {
 			free++
 		}
 	}
-	var turns []Step
-	wanting := make(map[life]bool, len(queue))
+	var steps []Step
+	eligible := make(map[incarnation]bool, len(queue))
 	for i := range queue {
-		id := lifeOf(&queue[i].Upstream)
-		if _, loads := s.busy[id]; loads || now.Before(s.avoided[id].until) {
+		id := keyOf(&queue[i].Upstream)
+		if _, loads := s.loading[id]; loads || now.Before(s.backoffs[id].until) {
 			continue
 		}
-		wanting[id] = true
-		at, named := s.named[id]
+		eligible[id] = true
+		at, listed := s.listed[id]
 		switch {
-		case named && len(s.busy) < most && now.Sub(at) >= s.options.Notice:
-			delete(s.named, id)
-			s.busy[id] = now
+		case listed && len(s.loading) < limit && now.Sub(at) >= s.options.Notice:
+			delete(s.listed, id)
+			s.loading[id] = now
 			free--
-			turns = append(turns, queue[i].Step)
-		case !named && len(s.named) < free:
-			s.named[id] = now
+			steps = append(steps, queue[i].Step)
+		case !listed && len(s.listed) < free:
+			s.listed[id] = now
 		}
 	}
-	maps.DeleteFunc(s.named, func(id life, _ time.Time) bool { return !wanting[id] })
-	s.forget(live)
-	s.note(queue, runners, most)
-	return turns
+	maps.DeleteFunc(s.listed, func(id incarnation, _ time.Time) bool { return !eligible[id] })
+	s.dropStale(live)
+	s.recordAccount(queue, runners, limit)
+	return steps
 }
 
-// forget drops what is known of lives that have ended.
-func (s *Schedule) forget(live []roster.Upstream) {
-	if len(s.avoided) <= len(live) {
+// dropStale deletes the backoffs of incarnations that are gone.
+func (s *Schedule) dropStale(live []roster.Upstream) {
+	if len(s.backoffs) <= len(live) {
 		return
 	}
-	lives := make(map[life]bool, len(live))
+	present := make(map[incarnation]bool, len(live))
 	for i := range live {
-		lives[lifeOf(&live[i])] = true
+		present[keyOf(&live[i])] = true
 	}
-	maps.DeleteFunc(s.avoided, func(id life, _ avoidance) bool { return !lives[id] })
+	maps.DeleteFunc(s.backoffs, func(id incarnation, _ backoff) bool { return !present[id] })
 }
 
-// overdue counts the loads that take twice their usual time and more, up to half of
-// AtOnce: they may never end, and the others must not wait until they are given up.
-// They may also be slow because too many load, so that it can't be all of them.
+// overdue returns the number of loads that take more than twice the expected time, at most
+// half of AtOnce: they may never complete, and other runners must not wait until they are
+// abandoned. They may also be slow because too many runners load, so that they cannot all
+// be discounted.
 func (s *Schedule) overdue(now time.Time) int {
 	n := 0
-	for _, since := range s.busy {
-		if now.Sub(since) > 2*s.usual {
+	for _, since := range s.loading {
+		if now.Sub(since) > 2*s.loadTime {
 			n++
 		}
 	}
 	return min(n, (s.options.AtOnce+1)/2)
 }
 
-// queue lists the runners that lack weights, the one that has waited for longest
-// first, and counts all that have a model.
-func (s *Schedule) queue(live []roster.Upstream, namings *TargetVersions) (queue []late, runners int) {
+// queue returns the runners that lack weights, the one that has waited for longest first,
+// and the number of all serving runners that have a model.
+func (s *Schedule) queue(live []roster.Upstream, targets *TargetVersions) (queue []candidate, runners int) {
 	for i := range live {
 		u := &live[i]
 		if len(u.Loaded) == 0 || u.State != roster.Serving {
 			continue
 		}
 		runners++
-		first := late{}
+		first := candidate{}
 		for _, loaded := range u.Loaded {
-			since, lacks := namings.FirstLacked(loaded.Model, loaded.Version)
+			since, lacks := targets.FirstLacked(loaded.Model, loaded.Version)
 			if lacks && (first.Version == 0 || since.Before(first.since)) {
-				turn := Step{Upstream: *u, Model: loaded.Model, Version: namings.Newest(loaded.Model)}
-				first = late{Step: turn, since: since}
+				step := Step{Upstream: *u, Model: loaded.Model, Version: targets.Newest(loaded.Model)}
+				first = candidate{Step: step, since: since}
 			}
 		}
 		if first.Version != 0 {
-			first.waits = first.since
-			if ended := s.avoided[lifeOf(u)].ended; ended.After(first.since) {
-				first.waits = ended
+			first.queuedSince = first.since
+			if endedAt := s.backoffs[keyOf(u)].endedAt; endedAt.After(first.since) {
+				first.queuedSince = endedAt
 			}
 			queue = append(queue, first)
 		}
 	}
-	slices.SortFunc(queue, func(a, b late) int {
-		return cmp.Or(a.waits.Compare(b.waits), cmp.Compare(a.Upstream.ID, b.Upstream.ID))
+	slices.SortFunc(queue, func(a, b candidate) int {
+		return cmp.Or(a.queuedSince.Compare(b.queuedSince), cmp.Compare(a.Upstream.ID, b.Upstream.ID))
 	})
 	return queue, runners
 }
 
-// atOnce is how many runners may load at a time for each of the queue to be in
-// time. A later version, with more time left, takes nothing from the bound of
-// those before it in the queue.
-func (s *Schedule) atOnce(queue []late, runners int, now time.Time) int {
+// atOnce returns the number of runners that may load at the same time for the whole queue
+// to be in time. A later version, with more time left, does not extend the bound of the
+// runners before it in the queue.
+func (s *Schedule) atOnce(queue []candidate, runners int, now time.Time) int {
 	needed := 1
-	turn := float64(s.usual + s.options.Notice)
-	within := part(inTime, s.options.Bound)
+	step := float64(s.loadTime + s.options.Notice)
+	within := fraction(targetFraction, s.options.Bound)
 	for i := range queue {
-		left := max(queue[i].waits.Add(within).Sub(now), s.usual)
-		needed = max(needed, int(math.Ceil(float64(i+1)*turn/float64(left))))
+		left := max(queue[i].queuedSince.Add(within).Sub(now), s.loadTime)
+		needed = max(needed, int(math.Ceil(float64(i+1)*step/float64(left))))
 	}
-	limit := max(s.options.AtOnce, runners/loadsShare)
-	// Behind time, half as many more: runners that don't answer their orders
-	// hold turns without loading.
+	limit := max(s.options.AtOnce, runners/runnersPerLoad)
+	// Behind schedule, half as many more are allowed: runners that do not answer their
+	// orders occupy load slots without loading.
 	return min(needed, limit+limit/2)
 }
 
-func (s *Schedule) note(queue []late, runners, most int) {
-	s.account = Account{Lacking: len(queue), Runners: runners, Loading: len(s.busy) + len(s.named), AtOnce: most}
+func (s *Schedule) recordAccount(queue []candidate, runners, limit int) {
+	s.account = Account{Lacking: len(queue), Runners: runners, Loading: len(s.loading) + len(s.listed), AtOnce: limit}
 	for i := range queue {
 		if i == 0 || queue[i].since.Before(s.account.Since) {
 			s.account.Longest, s.account.Since = queue[i].Upstream.ID, queue[i].since
@@ -239,51 +243,51 @@
 	}
 }
 
-// Account returns what the latest Next found.
+// Account returns the state found by the latest call of Next.
 func (s *Schedule) Account() Account { return s.account }
 
-// Release ends a runner's turn. One that was not brought to its version is left
-// alone for a while.
-func (s *Schedule) Release(u roster.Upstream, done bool, now time.Time) {
-	id := lifeOf(&u)
-	delete(s.busy, id)
-	if done {
-		delete(s.avoided, id)
+// Release ends a runner's step. A runner that was not brought to its version is skipped
+// until its backoff expires.
+func (s *Schedule) Release(u roster.Upstream, loaded bool, now time.Time) {
+	id := keyOf(&u)
+	delete(s.loading, id)
+	if loaded {
+		delete(s.backoffs, id)
 		return
 	}
-	known := s.avoided[id]
-	known.ended = now
-	known.until = now.Add(min(unreachableFor<<min(known.inRow, 8), unreachableMost))
-	known.inRow++
-	s.avoided[id] = known
+	b := s.backoffs[id]
+	b.endedAt = now
+	b.until = now.Add(min(minBackoff<<min(b.failures, 8), maxBackoff))
+	b.failures++
+	s.backoffs[id] = b
 }
 
-// Loading lists the runners that take no requests for the sake of a load.
+// Loading returns the IDs of the runners that accept no requests because of a load.
 func (s *Schedule) Loading() []string {
 	var ids []string
-	for id := range s.busy {
+	for id := range s.loading {
 		ids = append(ids, id.id)
 	}
-	for id := range s.named {
+	for id := range s.listed {
 		ids = append(ids, id.id)
 	}
 	slices.Sort(ids)
 	return slices.Compact(ids)
 }
 
-// FirstCheck is how long after its order a runner is first to be asked whether it
-// is done. Each question costs the runner work.
+// FirstCheck returns how long after its order a runner is to be polled first for
+// completion. Each poll costs the runner work.
 func (s *Schedule) FirstCheck() time.Duration {
-	if !s.learnt {
-		return loadFirst / 2
+	if !s.measured {
+		return initialLoadTime / 2
 	}
-	return part(loadNearly, s.usual)
+	return fraction(firstCheckFraction, s.loadTime)
 }
 
-// RecordLoadTime learns the time of a load: the shortest seen, so that one that had to
-// wait for its runs does not delay the questions to all later ones.
+// RecordLoadTime records the duration of a load. The shortest one is used, so that a load
+// that had to wait for its runs does not delay the polls of all later ones.
 func (s *Schedule) RecordLoadTime(took time.Duration) {
-	if !s.learnt || took < s.usual {
-		s.usual, s.learnt = took, true
+	if !s.measured || took < s.loadTime {
+		s.loadTime, s.measured = took, true
 	}
 }
