--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fleet has so many entries in each of five data centres.
+// fleet returns that many entries in each of five data centres.
 func fleet(each int) []Entry {
 	var entries []Entry
 	for i := range 5 * each {
@@ -15,53 +15,54 @@
 	return entries
 }
 
-func hosts(entries []Entry, places []int) []string {
+func hosts(entries []Entry, indices []int) []string {
 	var names []string
-	for _, at := range places {
-		names = append(names, entries[at].Host)
+	for _, index := range indices {
+		names = append(names, entries[index].Host)
 	}
 	return names
 }
 
-// Sixty entries stand in each data centre, and eight serve all that comes there.
-// Callers of each are told eight of their own; told the first ones of a list of all,
-// they would all use one data centre's.
-func TestCallersAreToldTheEntriesOfTheirDataCentre(t *testing.T) {
+// Each data centre has sixty entries, of which eight can serve all requests. Callers of
+// each must get eight of their own data centre; given the first ones of a common list, they
+// would all use one data centre's.
+func TestCallersGetEntriesOfTheirDataCentre(t *testing.T) {
 	entries := fleet(60)
-	for zone := range 5 {
-		places := Choose(entries, fmt.Sprintf("z%d", zone), 64)
-		if len(places) != MinEntries {
-			t.Fatalf("%d entries are named", len(places))
+	for dataCentre := range 5 {
+		indices := Choose(entries, fmt.Sprintf("z%d", dataCentre), 64)
+		if len(indices) != MinEntries {
+			t.Fatalf("%d entries chosen, want MinEntries", len(indices))
 		}
-		for _, at := range places {
-			if entries[at].DataCentre != fmt.Sprintf("z%d", zone) {
-				t.Errorf("callers of z%d are told %s", zone, entries[at].Host)
+		for _, index := range indices {
+			if entries[index].DataCentre != fmt.Sprintf("z%d", dataCentre) {
+				t.Errorf("callers of z%d get %s of another data centre", dataCentre, entries[index].Host)
 			}
 		}
 	}
 }
 
-// The requests grow to what 20 entries take, then to more than the data centre's take
-// together. Each time as many entries are named as the requests need, and those that
-// were named before stay.
-func TestMoreRequestsNeedMoreEntries(t *testing.T) {
+// The requests grow to what 20 entries can serve, then to more than those of the data
+// centre together can. Each time the number of entries must match the requests, and the
+// entries chosen before must stay.
+func TestMoreRequestsGetMoreEntries(t *testing.T) {
 	entries := fleet(30)
 	before := hosts(entries, Choose(entries, "z2", 64))
 	for _, c := range []struct{ rate, want int }{{40, 20}, {90, 45}, {400, 64}} {
 		for i := range entries {
 			entries[i].Rate = c.rate
 		}
-		named := hosts(entries, Choose(entries, "z2", 64))
-		if len(named) != c.want || !slices.Equal(named[:len(before)], before) {
-			t.Errorf("at %d requests a second each %d entries are named, want %d", c.rate, len(named), c.want)
+		chosen := hosts(entries, Choose(entries, "z2", 64))
+		if len(chosen) != c.want || !slices.Equal(chosen[:len(before)], before) {
+			t.Errorf("at %d requests a second for each entry: %d entries chosen, want %d and all earlier ones", c.rate, len(chosen), c.want)
 		}
-		before = named
+		before = chosen
 	}
 }
 
-// One of the named entries stops. The next in the order takes its place, and the
-// others stay; all control hosts say the same, whatever the order of their lists.
-func TestALostEntryIsReplacedByTheNext(t *testing.T) {
+// One of the chosen entries stops. The next one in the order must replace it and the others
+// must stay, and all control hosts must choose the same entries whatever the order of their
+// lists.
+func TestLostEntryIsReplacedByNext(t *testing.T) {
 	entries := fleet(60)
 	before := hosts(entries, Choose(entries, "z1", 64))
 	lost := before[2]
@@ -69,28 +70,28 @@
 	left := slices.DeleteFunc(entries, func(e Entry) bool { return e.Host == lost })
 	after := hosts(left, Choose(left, "z1", 64))
 	if len(after) != MinEntries || !slices.Equal(after[:MinEntries-1], slices.Delete(before, 2, 3)) {
-		t.Errorf("named %v after %s of %v was lost", after, lost, before)
+		t.Errorf("chose %v after %s of %v was lost", after, lost, before)
 	}
 }
 
-// Where few entries stand in a data centre, or none tells what it takes, callers are
-// told all: one that is lost would be felt by too many.
-func TestFewEntriesAreAllNamed(t *testing.T) {
+// If a data centre has few entries, or none reports the rate that it can serve, callers
+// must get all entries: the loss of one would affect too many callers.
+func TestFewEntriesAreAllChosen(t *testing.T) {
 	few := fleet(3)
-	untold := fleet(20)
-	for i := range untold {
-		untold[i].Most = 0
+	unreported := fleet(20)
+	for i := range unreported {
+		unreported[i].Most = 0
 	}
 	if n := len(Choose(few, "z0", 64)); n != 15 {
-		t.Errorf("%d of 15 entries are named", n)
+		t.Errorf("%d of 15 entries chosen, want all", n)
 	}
-	if n := len(Choose(untold, "z0", 64)); n != 64 {
-		t.Errorf("%d of 100 entries are named, 64 fit", n)
+	if n := len(Choose(unreported, "z0", 64)); n != 64 {
+		t.Errorf("%d of 100 entries chosen, want the limit of 64", n)
 	}
 	if n := len(Choose(few, "elsewhere", 64)); n != 15 {
-		t.Errorf("%d of 15 entries are named to callers of another place", n)
+		t.Errorf("%d of 15 entries chosen for callers of another data centre, want all", n)
 	}
-	if places := Choose(nil, "z0", 64); len(places) != 0 {
-		t.Errorf("%v of no entries are named", places)
+	if indices := Choose(nil, "z0", 64); len(indices) != 0 {
+		t.Errorf("chose %v from no entries", indices)
 	}
 }
