--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -1,11 +1,12 @@
-// Package evacuation keeps the data centres whose upstreams are to get no new work.
+// Package evacuation tracks the data centres whose upstreams are to receive no new work.
 //
 // An operator evacuates a data centre before its upstreams lose power or links, and
-// withdraws that afterwards. Both orders are idempotent: one whose answer was lost is
-// sent again, to any control host. What runs there goes on to its end.
+// withdraws the evacuation afterwards. Both orders are idempotent: an order whose answer
+// was lost is sent again, to any control host. Requests in progress are completed.
 //
-// Evacuations are kept in the replicated log, and every entry is told them with
-// the revision. An order is in force once each entry that asks for news holds it.
+// Evacuations are stored in the replicated log, and every entry receives them together with
+// their revision. An order is in force when each entry that polls for updates has
+// acknowledged it.
 package evacuation
 
 import (
@@ -15,22 +16,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxName bounds a data centre's name in bytes, and MaxEvacuated the data centres that
-// are evacuated at a time: every entry is told all of them.
+// MaxName bounds the length of a data centre's name in bytes, and MaxEvacuated the number
+// of data centres that are evacuated at the same time: every entry receives all of them.
 const (
 	MaxName      = 128
 	MaxEvacuated = 256
 )
 
-// Order is an operator's order.
+// Order is an operator's order to evacuate a data centre or to withdraw that.
 type Order struct {
 	DataCentre string `cbor:"1,keyasint"`
-	// Withdrawn ends an evacuation.
+	// Withdrawn indicates that the evacuation is withdrawn.
 	Withdrawn bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Check reports what is wrong with an order. known are the data centres of the
-// deployment, none where it does not list them.
+// Check returns an error that says what is wrong with an order, or nil. known lists the
+// data centres of the deployment; it is empty if the deployment does not list them.
 func (o *Order) Check(known []string) error {
 	switch {
 	case o.DataCentre == "" || len(o.DataCentre) > MaxName:
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// View is what entries hold.
+// View is the state that entries hold.
 type View struct {
 	Revision    uint64   `cbor:"1,keyasint"`
 	DataCentres []string `cbor:"2,keyasint,omitempty"`
@@ -56,42 +57,42 @@
 	revision  uint64
 }
 
-// NewRegistry returns a ledger without evacuations.
+// NewRegistry returns a registry without evacuations.
 func NewRegistry() *Registry { return &Registry{evacuated: make(map[string]bool)} }
 
-// Apply carries an order out and reports whether it changed anything. One that would
-// take the evacuations beyond MaxEvacuated changes nothing, and Holds tells so.
-func (l *Registry) Apply(o Order) bool {
-	if l.Holds(o) || (!o.Withdrawn && len(l.evacuated) >= MaxEvacuated) {
+// Apply executes an order and reports whether it changed anything. An order that would
+// exceed MaxEvacuated changes nothing, and Holds then returns false for it.
+func (r *Registry) Apply(o Order) bool {
+	if r.Holds(o) || (!o.Withdrawn && len(r.evacuated) >= MaxEvacuated) {
 		return false
 	}
 	if o.Withdrawn {
-		delete(l.evacuated, o.DataCentre)
+		delete(r.evacuated, o.DataCentre)
 	} else {
-		l.evacuated[o.DataCentre] = true
+		r.evacuated[o.DataCentre] = true
 	}
-	l.revision++
+	r.revision++
 	return true
 }
 
-// Holds reports whether the ledger is as an order wants it.
-func (l *Registry) Holds(o Order) bool { return l.evacuated[o.DataCentre] != o.Withdrawn }
+// Holds reports whether the registry is in the state that an order requires.
+func (r *Registry) Holds(o Order) bool { return r.evacuated[o.DataCentre] != o.Withdrawn }
 
 // Evacuated reports whether a data centre is evacuated.
-func (l *Registry) Evacuated(dataCentre string) bool { return l.evacuated[dataCentre] }
+func (r *Registry) Evacuated(dataCentre string) bool { return r.evacuated[dataCentre] }
 
-// Revision grows with each change.
-func (l *Registry) Revision() uint64 { return l.revision }
+// Revision returns the revision, which increases with each change.
+func (r *Registry) Revision() uint64 { return r.revision }
 
-// View returns the state, which is also what a snapshot holds.
-func (l *Registry) View() View {
-	return View{Revision: l.revision, DataCentres: slices.Sorted(maps.Keys(l.evacuated))}
+// View returns the state, which is also the content of a snapshot.
+func (r *Registry) View() View {
+	return View{Revision: r.revision, DataCentres: slices.Sorted(maps.Keys(r.evacuated))}
 }
 
 // Restore replaces the state.
-func (l *Registry) Restore(v View) {
-	l.evacuated, l.revision = make(map[string]bool, len(v.DataCentres)), v.Revision
+func (r *Registry) Restore(v View) {
+	r.evacuated, r.revision = make(map[string]bool, len(v.DataCentres)), v.Revision
 	for _, name := range v.DataCentres {
-		l.evacuated[name] = true
+		r.evacuated[name] = true
 	}
 }
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -6,49 +6,48 @@
 	"testing"
 )
 
-// Guards against an order that is sent again, after its answer was lost, being taken
-// for another one.
+// An order that is sent again after its answer was lost must not count as another order.
 func TestOrdersAreIdempotent(t *testing.T) {
-	l := NewRegistry()
-	north, back := Order{DataCentre: "north"}, Order{DataCentre: "north", Withdrawn: true}
-	for i, step := range []struct {
+	r := NewRegistry()
+	north, withdrawal := Order{DataCentre: "north"}, Order{DataCentre: "north", Withdrawn: true}
+	for i, c := range []struct {
 		order   Order
 		changes bool
-	}{{back, false}, {north, true}, {north, false}, {back, true}, {back, false}} {
-		if got := l.Apply(step.order); got != step.changes || !l.Holds(step.order) {
-			t.Errorf("step %d: changes %v, holds %v", i, got, l.Holds(step.order))
+	}{{withdrawal, false}, {north, true}, {north, false}, {withdrawal, true}, {withdrawal, false}} {
+		if got := r.Apply(c.order); got != c.changes || !r.Holds(c.order) {
+			t.Errorf("step %d: changed %v, holds %v", i, got, r.Holds(c.order))
 		}
 	}
-	if l.Revision() != 2 {
-		t.Errorf("revision %d", l.Revision())
+	if r.Revision() != 2 {
+		t.Errorf("revision %d, want 2", r.Revision())
 	}
 }
 
 func TestRestoreKeepsEvacuations(t *testing.T) {
-	l, again := NewRegistry(), NewRegistry()
-	l.Apply(Order{DataCentre: "north"})
-	l.Apply(Order{DataCentre: "south"})
-	l.Apply(Order{DataCentre: "north", Withdrawn: true})
-	again.Restore(l.View())
-	view := again.View()
-	if !reflect.DeepEqual(view, l.View()) || view.Evacuated("north") || !view.Evacuated("south") {
-		t.Errorf("restored %+v", view)
+	r, restored := NewRegistry(), NewRegistry()
+	r.Apply(Order{DataCentre: "north"})
+	r.Apply(Order{DataCentre: "south"})
+	r.Apply(Order{DataCentre: "north", Withdrawn: true})
+	restored.Restore(r.View())
+	view := restored.View()
+	if !reflect.DeepEqual(view, r.View()) || view.Evacuated("north") || !view.Evacuated("south") {
+		t.Errorf("restored view %+v", view)
 	}
 }
 
-// Guards against a view that grows without bound.
+// The view that every entry receives must not grow without bound.
 func TestEvacuationsAreBounded(t *testing.T) {
-	l := NewRegistry()
+	r := NewRegistry()
 	for i := range MaxEvacuated {
-		l.Apply(Order{DataCentre: fmt.Sprint(i)})
+		r.Apply(Order{DataCentre: fmt.Sprint(i)})
 	}
 	more := Order{DataCentre: "more"}
-	if l.Apply(more) || l.Holds(more) {
-		t.Error("one more is held")
+	if r.Apply(more) || r.Holds(more) {
+		t.Error("an order beyond MaxEvacuated was applied")
 	}
 }
 
-func TestCheckNamesWhatIsWrong(t *testing.T) {
+func TestCheckRejectsInvalidOrders(t *testing.T) {
 	for name, c := range map[string]struct {
 		order Order
 		known []string
@@ -61,7 +60,7 @@
 		"long names": {Order{DataCentre: fmt.Sprintf("%0129d", 1)}, nil, true},
 	} {
 		if err := c.order.Check(c.known); (err != nil) != c.fails {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v", name, err)
 		}
 	}
 }
