--- a/warmup/allowance.go
+++ b/warmup/allowance.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Allowance is what one entry may send to cold upstreams. It is not safe for
-// concurrent use.
+// Allowance is the number of requests that one entry may send to cold upstreams. It is not
+// safe for concurrent use.
 type Allowance struct {
-	// from is when grants may be used: what this entry sent before its start counts.
-	from   time.Time
-	until  time.Time
-	grants map[string]int
-	// sent are the requests to each cold upstream in the last Window, oldest first.
+	// validFrom is the time from which grants may be used. It is one Window after the start of
+	// the entry, because requests that its previous incarnation sent count too.
+	validFrom  time.Time
+	validUntil time.Time
+	grants     map[string]int
+	// sent holds the times of the requests to each cold upstream in the last Window, oldest
+	// first.
 	sent map[string][]time.Time
 }
 
 // NewAllowance returns the allowance of an entry that starts now.
 func NewAllowance(now time.Time) *Allowance {
-	return &Allowance{from: now.Add(Window), grants: make(map[string]int), sent: make(map[string][]time.Time)}
+	return &Allowance{validFrom: now.Add(Window), grants: make(map[string]int), sent: make(map[string][]time.Time)}
 }
 
-// SetGrants replaces the grants by those that the leader confirmed at a time.
+// SetGrants replaces the grants with those that the leader confirmed at the given time.
 func (a *Allowance) SetGrants(grants []Grant, confirmed time.Time) {
-	a.until = confirmed.Add(Validity)
+	a.validUntil = confirmed.Add(Validity)
 	clear(a.grants)
 	for _, grant := range grants {
 		a.grants[grant.Upstream] = grant.Requests
@@ -29,19 +31,19 @@
 
 // Allows reports whether one more request may be sent to a cold upstream now.
 func (a *Allowance) Allows(upstream string, now time.Time) bool {
-	if now.Before(a.from) || !now.Before(a.until) {
+	if now.Before(a.validFrom) || !now.Before(a.validUntil) {
 		return false
 	}
 	return a.recent(upstream, now) < a.grants[upstream]
 }
 
-// Sent notes a request to a cold upstream.
+// Sent records a request to a cold upstream.
 func (a *Allowance) Sent(upstream string, now time.Time) {
 	a.recent(upstream, now)
 	a.sent[upstream] = append(a.sent[upstream], now)
 }
 
-// recent counts the requests of the last Window, and forgets those before.
+// recent returns the number of requests in the last Window and deletes older ones.
 func (a *Allowance) recent(upstream string, now time.Time) int {
 	list := a.sent[upstream]
 	for len(list) > 0 && now.Sub(list[0]) > Window {
--- a/warmup/granter.go
+++ b/warmup/granter.go
@@ -1,20 +1,22 @@
-// Package warmup decides who may send requests to a cold upstream, and how many.
+// Package warmup decides which entries may send requests to a cold upstream, and how many.
 //
-// An upstream that has just started bears few requests a second and crashes above that,
-// whoever sends them. Each entry alone can't hold a bound on the sum: with 79 entries
-// and 22 requests a second an entry's share is a quarter of a request. Nor can a word
-// that an upstream is warm again be waited for, since it turns cold at any moment.
+// An upstream that has just started sustains few requests a second and crashes above that
+// rate, whichever entries send them. Entries alone cannot enforce a bound on the sum: with
+// 79 entries and 22 requests a second, an entry's share is a quarter of a request. Waiting
+// for a message that an upstream is warm again is not possible either, because it may
+// become cold at any moment.
 //
-// The leader of the control group therefore grants each cold upstream's requests a
-// second to as many entries as it bears, chosen by rendezvous hashing: what it is asked
-// most comes to all entries alike, and those without a grant send it elsewhere. A grant runs out Validity after
-// the leader last confirmed it. What a former holder may still use counts until it has
-// run out and the second after it has passed, so that the grants of all holders never
-// add up to more than the upstream bears: not while entries join, end, are cut off or
-// stand still, and not after a change of leaders, where the new one waits for as long.
+// Therefore the leader of the control group grants the rate that each cold upstream
+// sustains to as many entries as that rate allows, chosen by rendezvous hashing: the most
+// frequent requests arrive at all entries alike, and entries without a grant send them to
+// another upstream. A grant expires Validity after the leader last confirmed it. The grant
+// of a former holder counts until it has expired and the Window after that has passed, so
+// that the grants of all holders never add up to more than the upstream sustains: neither
+// while entries join, stop, are partitioned or paused, nor after a change of leader, where
+// the new leader waits for the same time.
 //
-// The load pattern is a data centre whose upstreams come back together, empty and with
-// no request under way: to every entry each of them looks like the best choice.
+// Designed for a data centre whose upstreams restart together, empty and without any
+// request in progress, so that each of them looks like the best choice to every entry.
 package warmup
 
 import (
@@ -27,73 +29,74 @@
 )
 
 const (
-	// Validity is how long a grant may be used after the leader confirmed it. Entries
-	// with requests hear from the leader every 0.2 s, and of it 0.5 s late at most.
+	// Validity is how long a grant may be used after the leader confirmed it. Entries with
+	// requests receive updates from the leader every 0.2 s, delayed by at most 0.5 s.
 	Validity = time.Second
-	// Window is the time in which requests are counted.
+	// Window is the time over which requests are counted.
 	Window = time.Second
-	// settle is for how long after its end a grant counts.
-	settle = Validity + Window
-	// MaxGrants bounds the grants that are held at a time, some 100 KB on the wire. What
-	// is cold beyond it gets nothing until others are warm.
+	// retention is how long a revoked grant still counts.
+	retention = Validity + Window
+	// MaxGrants bounds the number of grants held at the same time, some 100 KB on the wire.
+	// Cold upstreams beyond it get no requests until others are warm.
 	MaxGrants = 4096
 )
 
-// Cold is an upstream that is cold.
+// Cold is a cold upstream.
 type Cold struct {
 	Upstream string
-	// PerSecond is how many requests a second it bears.
+	// PerSecond is the number of requests a second that the upstream sustains.
 	PerSecond float64
 }
 
-// Grant is what one entry may send to one cold upstream.
+// Grant permits one entry to send requests to one cold upstream.
 type Grant struct {
 	Upstream string `cbor:"1,keyasint"`
 	Host     string `cbor:"2,keyasint"`
-	// Requests are those in any Window.
+	// Requests is the maximum number of requests in any Window.
 	Requests int `cbor:"3,keyasint"`
 }
 
-// Granter grants requests, on the leader. It is not safe for concurrent use.
+// Granter grants requests on the leader. It is not safe for concurrent use.
 type Granter struct {
-	// from is when grants of the leader before have run out.
-	from     time.Time
-	holders  map[string][]holder
-	grants   []Grant
-	revision uint64
+	// grantsFrom is the time by which the grants of the previous leader have expired.
+	grantsFrom time.Time
+	holders    map[string][]holder
+	grants     []Grant
+	revision   uint64
 }
 
 // holder is an entry with a grant for an upstream.
 type holder struct {
 	host     string
 	requests int
-	// until is when the grant no longer counts, zero while it is held.
+	// until is the time from which a revoked grant no longer counts. It is zero while the
+	// grant is held.
 	until time.Time
 }
 
-// NewGranter returns the granter of a leader that was elected at since.
+// NewGranter returns the granter of a leader that was elected at the time since.
 func NewGranter(since time.Time) *Granter {
-	return &Granter{from: since.Add(settle), holders: make(map[string][]holder)}
+	return &Granter{grantsFrom: since.Add(retention), holders: make(map[string][]holder)}
 }
 
-// Update brings the grants up to date with the cold upstreams and the entries that
-// take requests.
+// Update updates the grants for the given cold upstreams and the entries that accept
+// requests.
 func (g *Granter) Update(cold []Cold, entries []string, now time.Time) {
-	if now.Before(g.from) {
+	if now.Before(g.grantsFrom) {
 		return
 	}
-	bears := make(map[string]float64, len(cold))
+	sustained := make(map[string]float64, len(cold))
 	for _, c := range cold {
-		bears[c.Upstream] = c.PerSecond
+		sustained[c.Upstream] = c.PerSecond
 	}
-	changed := g.retire(bears, entries, now)
-	room := MaxGrants - len(g.grants)
+	changed := g.revoke(sustained, entries, now)
+	remaining := MaxGrants - len(g.grants)
 	for _, c := range cold {
-		if room <= 0 {
+		if remaining <= 0 {
 			break
 		}
 		added := g.fill(c, entries)
-		room -= added
+		remaining -= added
 		changed = changed || added > 0
 	}
 	if changed {
@@ -101,16 +104,16 @@
 	}
 }
 
-// retire ends the grants of entries and upstreams that are left out, and reports
-// whether any did.
-func (g *Granter) retire(bears map[string]float64, entries []string, now time.Time) bool {
+// revoke revokes the grants of entries and upstreams that are no longer listed, and reports
+// whether it revoked any.
+func (g *Granter) revoke(sustained map[string]float64, entries []string, now time.Time) bool {
 	changed := false
 	for upstream, list := range g.holders {
 		list = slices.DeleteFunc(list, func(h holder) bool { return !h.until.IsZero() && !now.Before(h.until) })
 		for i := range list {
-			_, isCold := bears[upstream]
+			_, isCold := sustained[upstream]
 			if list[i].until.IsZero() && (!isCold || !slices.Contains(entries, list[i].host)) {
-				list[i].until = now.Add(settle)
+				list[i].until = now.Add(retention)
 				changed = true
 			}
 		}
@@ -122,8 +125,7 @@
 	return changed
 }
 
-// fill grants what is left of an upstream's requests and returns the number of new
-// grants.
+// fill grants the remaining requests of an upstream and returns the number of new grants.
 func (g *Granter) fill(c Cold, entries []string) int {
 	total := max(int(c.PerSecond), 1)
 	wanted := min(len(entries), total)
@@ -156,7 +158,7 @@
 	return added
 }
 
-// order sorts entries by a hash of upstream and host.
+// order returns the entries sorted by a hash of upstream and host.
 func order(upstream string, entries []string) []string {
 	type scored struct {
 		host  string
@@ -176,7 +178,7 @@
 	return hosts
 }
 
-// list sets out the grants that are held.
+// list rebuilds the list of grants that are held and increments the revision.
 func (g *Granter) list() {
 	g.grants = nil
 	for upstream, list := range g.holders {
@@ -192,11 +194,11 @@
 	g.revision++
 }
 
-// Grants lists all grants by upstream and host, with a revision that grows with each
-// change. They must not be changed.
+// Grants returns all grants, sorted by upstream and host, and a revision that increases
+// with each change. The caller must not modify the grants.
 func (g *Granter) Grants() ([]Grant, uint64) { return g.grants, g.revision }
 
-// GrantsFor lists the grants of one entry.
+// GrantsFor returns the grants of one entry.
 func GrantsFor(grants []Grant, host string) []Grant {
 	var own []Grant
 	for _, grant := range grants {
@@ -207,12 +209,14 @@
 	return own
 }
 
-// probeShare is the part of what an upstream bears that entries send together before
-// they know whether it is cold: in the second in which they learn it, grants add to it.
+// probeShare is the fraction of the rate that an upstream sustains which all entries
+// together may use for probes before they know whether it is cold. In the second in which
+// they learn that, requests under grants add to the probes.
 const probeShare = 0.5
 
-// Every is the time between two requests of one entry to an upstream that it lost and
-// that may come back cold, where it bears perSecond then.
+// Every returns the interval between two requests of one entry to an upstream that the
+// entry lost and that may restart cold, where perSecond is the rate that the upstream
+// sustains while cold. It is 0 if the upstream is never cold.
 func Every(perSecond float64, entries int) time.Duration {
 	if perSecond <= 0 {
 		return 0
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// modelEntry is an entry of the model: what it was told, and what it sends.
+// modelEntry is a simulated entry.
 type modelEntry struct {
 	host      string
 	allowance *Allowance
-	// runs is false after its end, reached while it hears from control, and frozen until
-	// when it stands still.
-	runs, reached bool
-	frozen        time.Time
+	// running is false while the entry is stopped, and connected is true while it receives
+	// updates from the control group. pausedUntil is the time until which it is paused.
+	running, connected bool
+	pausedUntil        time.Time
 }
 
-// model plays a leader, relays whose word is late, and entries that send as much as they
-// may to one cold upstream.
+// model simulates a leader, relays with delayed updates, and entries that send as many
+// requests as they may to one cold upstream.
 type model struct {
 	random  *rand.Rand
 	now     time.Time
@@ -28,7 +28,7 @@
 	entries []*modelEntry
 	sent    []time.Time
 	started int
-	// perSecond is what the upstream bears.
+	// perSecond is the rate that the upstream sustains.
 	perSecond float64
 	cold      bool
 }
@@ -36,26 +36,26 @@
 func (m *model) start() {
 	m.started++
 	m.entries = append(m.entries, &modelEntry{
-		host: fmt.Sprintf("e%d", m.started), allowance: NewAllowance(m.now), runs: true, reached: true,
+		host: fmt.Sprintf("e%d", m.started), allowance: NewAllowance(m.now), running: true, connected: true,
 	})
 }
 
 func (m *model) any() *modelEntry { return m.entries[m.random.IntN(len(m.entries))] }
 
-// disturb brings one fault or change of membership.
-func (m *model) disturb() {
+// injectFault injects one fault or change of membership.
+func (m *model) injectFault() {
 	switch e := m.any(); m.random.IntN(8) {
 	case 0:
 		m.start()
 	case 1:
-		e.runs = false
+		e.running = false
 	case 2:
-		// It starts again under its name, and knows nothing of what it sent.
-		e.runs, e.allowance = true, NewAllowance(m.now)
+		// The entry restarts under its name without knowledge of the requests that it sent.
+		e.running, e.allowance = true, NewAllowance(m.now)
 	case 3:
-		e.reached = !e.reached
+		e.connected = !e.connected
 	case 4:
-		e.frozen = m.now.Add(time.Duration(m.random.IntN(4000)) * time.Millisecond)
+		e.pausedUntil = m.now.Add(time.Duration(m.random.IntN(4000)) * time.Millisecond)
 	case 5:
 		m.granter, m.elected = NewGranter(m.now), m.now
 	case 6:
@@ -63,12 +63,13 @@
 	}
 }
 
-// step lets 20 ms pass: the leader looks, some entries are told, all send what they may.
+// step advances the time by 20 ms: the leader updates the grants, some entries receive
+// them, and all send what they may.
 func (m *model) step() {
 	m.now = m.now.Add(20 * time.Millisecond)
 	var listed []string
 	for _, e := range m.entries {
-		if e.runs && e.reached && !m.now.Before(e.frozen) {
+		if e.running && e.connected && !m.now.Before(e.pausedUntil) {
 			listed = append(listed, e.host)
 		}
 	}
@@ -79,12 +80,12 @@
 	m.granter.Update(cold, listed, m.now)
 	grants, revision := m.granter.Grants()
 	for _, e := range m.entries {
-		if !e.runs || m.now.Before(e.frozen) {
+		if !e.running || m.now.Before(e.pausedUntil) {
 			continue
 		}
-		if e.reached && revision > 0 && m.random.IntN(5) == 0 {
-			late := time.Duration(m.random.IntN(500)) * time.Millisecond
-			if confirmed := m.now.Add(-late); !confirmed.Before(m.elected) {
+		if e.connected && revision > 0 && m.random.IntN(5) == 0 {
+			delay := time.Duration(m.random.IntN(500)) * time.Millisecond
+			if confirmed := m.now.Add(-delay); !confirmed.Before(m.elected) {
 				e.allowance.SetGrants(GrantsFor(grants, e.host), confirmed)
 			}
 		}
@@ -95,21 +96,21 @@
 	}
 }
 
-// most is the largest number of requests in any Window.
-func (m *model) most() int {
-	most, from := 0, 0
+// maxRequests returns the largest number of requests in any Window.
+func (m *model) maxRequests() int {
+	maxRequests, from := 0, 0
 	for to, at := range m.sent {
 		for at.Sub(m.sent[from]) >= Window {
 			from++
 		}
-		most = max(most, to-from+1)
+		maxRequests = max(maxRequests, to-from+1)
 	}
-	return most
+	return maxRequests
 }
 
-// Guards against entries that send a cold upstream more than it bears, all together,
-// while some join, end, start again, are cut off or stand still, and leaders change.
-func TestGrantsNeverAddUpToMoreThanAnUpstreamBears(t *testing.T) {
+// Entries together must never send a cold upstream more than it sustains, while entries
+// join, stop, restart, are partitioned or paused, and leaders change.
+func TestGrantsNeverExceedSustainedRate(t *testing.T) {
 	for _, size := range []struct {
 		entries   int
 		perSecond float64
@@ -123,20 +124,20 @@
 			for step := range 600 {
 				m.step()
 				if step%10 == 0 && seed%4 != 0 {
-					m.disturb()
+					m.injectFault()
 				}
 			}
-			if most := m.most(); most > int(size.perSecond) {
-				t.Fatalf("%d entries, seed %d: %d requests in one second, %v borne", size.entries, seed, most, size.perSecond)
+			if maxRequests := m.maxRequests(); maxRequests > int(size.perSecond) {
+				t.Fatalf("%d entries, seed %d: %d requests in one second, %v sustained", size.entries, seed, maxRequests, size.perSecond)
 			}
-			if seed%4 == 0 && m.most() < int(size.perSecond)*3/4 {
-				t.Errorf("%d entries, undisturbed: %d requests a second of %v", size.entries, m.most(), size.perSecond)
+			if seed%4 == 0 && m.maxRequests() < int(size.perSecond)*3/4 {
+				t.Errorf("%d entries, without faults: at most %d requests a second of %v sustained", size.entries, m.maxRequests(), size.perSecond)
 			}
 		}
 	}
 }
 
-// Guards against a whole data centre of cold upstreams whose grants outgrow an answer.
+// The grants for a whole data centre of cold upstreams must not outgrow an answer.
 func TestGrantsAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGranter(now.Add(-time.Minute))
@@ -150,13 +151,13 @@
 	}
 	g.Update(cold, entries, now)
 	if grants, _ := g.Grants(); len(grants) > MaxGrants+22 || len(grants) < MaxGrants {
-		t.Errorf("%d grants", len(grants))
+		t.Errorf("%d grants, want about MaxGrants", len(grants))
 	}
 }
 
-// Guards against grants that wander: an entry that stays keeps its own, so that what it
-// may send is not lost for the seconds in which a former grant runs out.
-func TestAnEntryThatStaysKeepsItsGrant(t *testing.T) {
+// An entry that stays must keep its grant. Otherwise its requests would be lost for the
+// seconds in which the former holder's grant expires.
+func TestRemainingEntriesKeepGrants(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGranter(now.Add(-time.Minute))
 	cold := []Cold{{Upstream: "u", PerSecond: 22}}
@@ -166,22 +167,22 @@
 	}
 	g.Update(cold, entries, now)
 	before, _ := g.Grants()
-	lost := before[0].Host
-	g.Update(cold, append(slices.DeleteFunc(slices.Clone(entries), func(host string) bool { return host == lost }), "new"), now)
+	removed := before[0].Host
+	g.Update(cold, append(slices.DeleteFunc(slices.Clone(entries), func(host string) bool { return host == removed }), "new"), now)
 	after, _ := g.Grants()
 	if len(after) != len(before)-1 || !slices.Equal(after, before[1:]) {
-		t.Errorf("%v became %v", before, after)
+		t.Errorf("grants %v became %v", before, after)
 	}
 }
 
-func TestProbesOfAllEntriesStayWithinWhatAnUpstreamBears(t *testing.T) {
+func TestProbesStayWithinSustainedRate(t *testing.T) {
 	for _, entries := range []int{0, 1, 9, 79, 300} {
 		every := Every(22, entries)
 		if perSecond := float64(max(entries, 1)) / every.Seconds(); perSecond > 11.001 {
-			t.Errorf("%d entries: %.1f a second", entries, perSecond)
+			t.Errorf("%d entries: %.1f probes a second", entries, perSecond)
 		}
 	}
 	if Every(0, 9) != 0 {
-		t.Error("an upstream that is never cold waits")
+		t.Error("Every is not 0 for an upstream that is never cold")
 	}
 }
