--- a/cacheindex/retire.go
+++ b/cacheindex/outdated.go
@@ -2,9 +2,10 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Outdated returns the parts of a shelf to retire, those of former weights: of
-// each version as large a share as passed says has gone on to later weights. It
-// takes the same parts at each call, so that the share grows and does not move.
+// Outdated returns the parts of an inventory to retire, which are those of outdated
+// weights. passed returns the fraction of a version that has moved on to later weights; as
+// large a fraction of its parts is returned. Each call selects the same parts, so that the
+// selection grows and does not move.
 func Outdated(parts []Change, passed func(model string, version uint64) float64) []Change {
 	var outdated []Change
 	shares := make(map[string]float64)
@@ -23,5 +24,5 @@
 	return outdated
 }
 
-// unit maps a name to a number from 0 to below 1.
+// unit maps a name to a number of at least 0 and below 1.
 func unit(name string) float64 { return float64(xxhash.Sum64String(name)>>11) / (1 << 53) }
--- a/cacheindex/salt.go
+++ b/cacheindex/salt.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Salt names the memory that prompts may share: of one version of a model's
-// weights and, unless team is empty, of one team.
+// Salt returns the name of the memory that prompts may share: that of one version of a
+// model's weights and, unless team is empty, of one team.
 func Salt(model string, version uint64, team string) string {
 	if team == "" {
 		return fmt.Sprintf("%s.%d", model, version)
@@ -15,8 +15,7 @@
 	return fmt.Sprintf("%s.%d/%s", model, version, team)
 }
 
-// ParseSalt returns the model and version of a salt, and false for one that is
-// not of this form.
+// ParseSalt returns the model and version of a salt, and false for a salt of another form.
 func ParseSalt(salt string) (model string, version uint64, ok bool) {
 	shared, _, _ := strings.Cut(salt, "/")
 	at := strings.LastIndexByte(shared, '.')
--- a/cacheindex/listing_test.go
+++ b/cacheindex/snapshot_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// fullBook leads 34 sources of 500 parts each.
-func fullBook() *Index {
+// fullIndex returns a leader's index with 34 sources of 500 parts each.
+func fullIndex() *Index {
 	w := NewIndex(true)
 	w.StartTerm(1)
 	for s := range 34 {
@@ -20,17 +20,17 @@
 }
 
 // After a restart of all hosts callers get nothing from stores until their entry has
-// been told all shelves. Seventy entries ask one host, which makes a listing of each
-// shelf for each of them, while parts become whole and are retired all the time. The
-// listings of the first few are told to the others, with what came after them, and
-// each holds in the end what the host holds.
-func TestReadersThatLackAllShareTheListings(t *testing.T) {
-	w := fullBook()
+// received all inventories. Seventy entries query one host, while parts become complete and
+// are retired all the time. If the host built a snapshot of each inventory for each entry,
+// that would take too long: the snapshots of the first few must be sent to the others, with
+// the records that follow, and each entry must end with the state of the host.
+func TestReadersThatLackAllShareSnapshots(t *testing.T) {
+	w := fullIndex()
 	step := uint64(500)
-	made := make(map[*string]bool)
+	built := make(map[*string]bool)
 	for reader := range 70 {
 		r := NewIndex(false)
-		for asked := 0; ; asked++ {
+		for queries := 0; ; queries++ {
 			step++
 			for s := range 3 {
 				address := fmt.Sprintf("10.1.0.%d:8080", (reader+s*11)%34)
@@ -42,34 +42,34 @@
 			u := w.Answer(&q)
 			for i := range u.Batches {
 				if u.Batches[i].Cleared && len(u.Batches[i].Parts) > 0 {
-					made[&u.Batches[i].Parts[0]] = true
+					built[&u.Batches[i].Parts[0]] = true
 				}
 			}
 			if r.Apply(&u) {
 				break
 			}
-			if asked > 30 {
-				t.Fatalf("reader %d has asked %d times", reader, asked)
+			if queries > 30 {
+				t.Fatalf("reader %d is not complete after %d queries", reader, queries)
 			}
 		}
 		for _, address := range w.Addresses() {
 			held, want := r.Inventory(address), w.Inventory(address)
 			if held.Len() != want.Len() || held.Tokens() != want.Tokens() || held.retired != want.retired {
-				t.Fatalf("reader %d holds %d parts, %d retired, of %s; the host %d and %d", reader, held.Len(), held.retired, address, want.Len(), want.retired)
+				t.Fatalf("reader %d has %d parts, %d retired, of %s; the host has %d and %d", reader, held.Len(), held.retired, address, want.Len(), want.retired)
 			}
 		}
 	}
-	if most := 34 * 10; len(made) > most {
-		t.Errorf("%d listings were made for 70 readers of 34 shelves", len(made))
+	if limit := 34 * 10; len(built) > limit {
+		t.Errorf("%d snapshots were built for 70 readers of 34 inventories, want at most 340", len(built))
 	}
-	t.Logf("%d listings were made", len(made))
+	t.Logf("%d snapshots were built", len(built))
 }
 
-// BenchmarkListing is the first page of the shelves for a reader that lacks all, while
-// parts become whole: 0.54 ms and 981 KB while listings were made for each reader,
-// 0.012 ms and 14 KB with shared ones.
-func BenchmarkListing(b *testing.B) {
-	w := fullBook()
+// BenchmarkFirstPage measures the first page of the inventories for a reader that lacks all
+// of them, while parts become complete. It took 0.54 ms and 981 KB with snapshots built for
+// each reader, and 0.012 ms and 14 KB with shared ones.
+func BenchmarkFirstPage(b *testing.B) {
+	w := fullIndex()
 	step := uint64(500)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -80,11 +80,11 @@
 	}
 }
 
-// Three thousand parts of former weights are retired when another host comes to lead,
-// and every entry asks by what it holds. Those parts are told at each question; counted
-// as a page, they would end it before the sources that come after them, each time, and
-// callers would get nothing from stores until the parts are freed.
-func TestRetiredPartsDoNotEndAPage(t *testing.T) {
+// Three thousand parts of outdated weights are retired when another host becomes the
+// leader, and every entry queries by progress. Retired parts are sent in answer to each
+// query. If they counted for the page, they would end it each time before the sources that
+// follow, and callers would get nothing from stores until the parts are freed.
+func TestRetiredPartsDoNotEndPage(t *testing.T) {
 	w := NewIndex(true)
 	w.StartTerm(1)
 	for _, address := range []string{"a", "b"} {
@@ -94,25 +94,25 @@
 		}
 	}
 	r := NewIndex(false)
-	ask := func(most int) {
+	sync := func(limit int) {
 		t.Helper()
-		for range most {
+		for range limit {
 			q := r.Ask()
 			if u := w.Answer(&q); r.Apply(&u) {
 				return
 			}
 		}
-		t.Fatalf("not told all in %d questions", most)
+		t.Fatalf("not complete after %d queries", limit)
 	}
-	ask(4)
+	sync(4)
 	for p := range 3000 {
 		w.Write(Record{Address: "a", Change: Change{Key: Key{Salt: "m.1", Part: fmt.Sprint(p)}, Tokens: -10}, Next: 3000})
 	}
 	w.StartTerm(2)
 	w.Write(Record{Address: "b", Change: Change{Key: Key{Salt: "m.2", Part: "later"}, Tokens: 10}, Next: 3001})
-	r.at = Position{}
-	ask(2)
+	r.position = Position{}
+	sync(2)
 	if r.Inventory("a").retired != 3000 || r.ReadableTokens("b", Key{Salt: "m.2", Part: "later"}) != 10 {
-		t.Errorf("holds %d retired parts, and %d tokens of the later one", r.Inventory("a").retired, r.ReadableTokens("b", Key{Salt: "m.2", Part: "later"}))
+		t.Errorf("has %d retired parts and %d tokens of the later one, want 3000 and 10", r.Inventory("a").retired, r.ReadableTokens("b", Key{Salt: "m.2", Part: "later"}))
 	}
 }
