--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestRouteIsTheLongestPrefixOfTheHost(t *testing.T) {
+func TestRouteHasLongestPrefixOfHost(t *testing.T) {
 	x := NewIndex(document(1, "a"))
 	cases := []struct{ host, path, want string }{
 		{"desk.example", "/plans/7", "plans"},
@@ -47,74 +47,74 @@
 	}
 }
 
-func TestTeamsAreFoundByKey(t *testing.T) {
+func TestTeamByKey(t *testing.T) {
 	x := NewIndex(document(1, "a"))
 	if team := x.Team("k2"); team == nil || team.Name != "growers" {
-		t.Errorf("k2 is %v", team)
+		t.Errorf("team of k2 is %v, want growers", team)
 	}
 	if team := x.Team("k9"); team != nil {
-		t.Errorf("an unknown key is %v's", team.Name)
+		t.Errorf("an unknown key has the team %v", team.Name)
 	}
 }
 
-// Two operators send documents at once, over two control hosts, and send them
-// again after lost answers. Whatever the order, the highest number is in force
-// and one number never has two contents.
+// Two operators send documents at the same time over two control hosts, and send them again
+// after lost answers. In any order, the document with the highest version must be in force,
+// and one version must never have two contents.
 func TestCompare(t *testing.T) {
 	cases := []struct {
-		name          string
-		held, offered *Document
-		want          Verdict
+		name             string
+		current, offered *Document
+		want             Verdict
 	}{
-		{"the first", nil, document(3, "a"), Accepted},
-		{"a higher one", document(3, "a"), document(5, "b"), Accepted},
-		{"sent again", document(3, "a"), document(3, "a"), Repeated},
-		{"the other operator's of the same number", document(3, "a"), document(3, "b"), Conflicting},
-		{"an older one that comes late", document(5, "b"), document(3, "a"), Overtaken},
+		{"the first document", nil, document(3, "a"), Accepted},
+		{"a higher version", document(3, "a"), document(5, "b"), Accepted},
+		{"the same document again", document(3, "a"), document(3, "a"), Repeated},
+		{"another document with the same version", document(3, "a"), document(3, "b"), Conflicting},
+		{"an older document that arrives late", document(5, "b"), document(3, "a"), Overtaken},
 	}
 	for _, c := range cases {
-		if got := Compare(c.held, c.offered); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+		if got := Compare(c.current, c.offered); got != c.want {
+			t.Errorf("%s: verdict %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-func TestValidateNamesFieldAndReason(t *testing.T) {
+func TestValidateReportsFieldAndReason(t *testing.T) {
 	if err := document(1, "a").Validate(); err != nil {
-		t.Fatalf("a valid document: %v", err)
+		t.Fatalf("error for a valid document: %v", err)
 	}
 	cases := []struct {
 		name, field string
-		spoil       func(*Document)
+		modify      func(*Document)
 	}{
 		{"no version", "version", func(d *Document) { d.Version = 0 }},
 		{"unknown service", "routes[0].service", func(d *Document) { d.Routes[0].Targets[0].Service = "none" }},
 		{"no service", "routes[0].service", func(d *Document) { d.Routes[0].Targets = nil }},
-		{"same place", "routes[1]", func(d *Document) { d.Routes[1].Prefix = "/plans/" }},
-		{"same place in capitals", "routes[1]", func(d *Document) {
+		{"same host and prefix", "routes[1]", func(d *Document) { d.Routes[1].Prefix = "/plans/" }},
+		{"same host in capitals and same prefix", "routes[1]", func(d *Document) {
 			d.Routes[1].Prefix, d.Routes[1].Host = "/plans/", "DESK.example"
 		}},
 		{"weights of zero", "routes[2].weight", func(d *Document) { d.Routes[2].Targets = []Target{{"app", 0}, {"llm", 0}} }},
-		{"a weight below zero", "routes[2].weight", func(d *Document) { d.Routes[2].Targets[0].Weight = -1 }},
+		{"a negative weight", "routes[2].weight", func(d *Document) { d.Routes[2].Targets[0].Weight = -1 }},
 		{"no timeout", "routes[0].timeout", func(d *Document) { d.Routes[0].Timeout = 0 }},
-		{"open prefix", "routes[0].prefix", func(d *Document) { d.Routes[0].Prefix = "/plans" }},
+		{"prefix without a final slash", "routes[0].prefix", func(d *Document) { d.Routes[0].Prefix = "/plans" }},
 		{"no kind", "routes[0].kind", func(d *Document) { d.Routes[0].Kind = 0 }},
 		{"shared key", "teams[1].keys", func(d *Document) { d.Teams[1].Keys = []string{"k1"} }},
-		{"service twice", "services[1].name", func(d *Document) { d.Services[1].Name = "llm" }},
+		{"duplicate service", "services[1].name", func(d *Document) { d.Services[1].Name = "llm" }},
 	}
 	for _, c := range cases {
 		d := document(1, "a")
-		c.spoil(d)
-		var problem *InvalidError
-		if err := d.Validate(); !errors.As(err, &problem) || problem.Field != c.field {
-			t.Errorf("%s: %v, want field %s", c.name, err, c.field)
-		} else if strings.TrimSpace(problem.Reason) == "" {
-			t.Errorf("%s: no reason", c.name)
+		c.modify(d)
+		var invalidError *InvalidError
+		if err := d.Validate(); !errors.As(err, &invalidError) || invalidError.Field != c.field {
+			t.Errorf("%s: error %v, want field %s", c.name, err, c.field)
+		} else if strings.TrimSpace(invalidError.Reason) == "" {
+			t.Errorf("%s: the error has no reason", c.name)
 		}
 	}
 }
 
-func TestOnlySafeAndResumableRoutesRepeat(t *testing.T) {
+func TestOnlySafeAndResumableRoutesAreRepeatable(t *testing.T) {
 	cases := []struct {
 		route Route
 		want  bool
@@ -127,7 +127,7 @@
 	}
 	for _, c := range cases {
 		if got := c.route.Repeatable(); got != c.want {
-			t.Errorf("%v resumable=%t: %t", c.route.Kind, c.route.Resumable, got)
+			t.Errorf("kind %v, resumable=%t: repeatable is %t", c.route.Kind, c.route.Resumable, got)
 		}
 	}
 }
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -1,10 +1,10 @@
-// Package catalog is the routed configuration: which place (host and path
-// prefix) goes to which service, who may use it, and within which bounds.
+// Package catalog defines the routing configuration: which host and path prefix is routed
+// to which service, who may use it, and within which limits.
 //
-// A Document is numbered by its operator. The highest number wins, whatever
-// the order of arrival. The same number with the same content is a repeat; the
-// same number with other content is refused, because two readers of one number
-// would otherwise see two configurations.
+// A Document has a version that its operator assigns. The highest version wins, in whatever
+// order documents arrive. The same version with the same content is a repetition; the same
+// version with other content is refused, because otherwise two readers of one version would
+// see two configurations.
 package catalog
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// Version is the operator's number of a document.
+// Version is the version that the operator assigned to a document.
 type Version uint64
 
-// Kind tells what may be repeated.
+// Kind is the kind of a route's requests; it determines whether they may be repeated.
 type Kind uint8
 
 const (
@@ -24,8 +24,8 @@
 	Safe Kind = iota + 1
 	// Unsafe requests run at most once.
 	Unsafe
-	// Stream requests are answered by events. They run at most once unless
-	// their route allows an answer to be resumed.
+	// Stream requests are answered by events. They run at most once unless their route
+	// allows an answer to be resumed.
 	Stream
 )
 
@@ -49,23 +49,23 @@
 	Weight int `cbor:"2,keyasint"`
 }
 
-// Route is one place that callers address.
+// Route maps a host and path prefix to services.
 type Route struct {
 	Name   string `cbor:"1,keyasint"`
 	Host   string `cbor:"2,keyasint"`
 	Prefix string `cbor:"3,keyasint"`
 	Kind   Kind   `cbor:"4,keyasint"`
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the maximum time that a request may wait.
 	Timeout time.Duration `cbor:"5,keyasint"`
 	// Target is the time within which an answer must begin.
 	Target time.Duration `cbor:"6,keyasint"`
-	// Priority is the rank of the route's requests, 0 first.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int `cbor:"7,keyasint"`
-	// Attempts is the most upstreams that one request may be sent to.
+	// Attempts is the maximum number of upstreams to which one request may be sent.
 	Attempts int `cbor:"8,keyasint"`
 	// Public routes need no key.
 	Public bool `cbor:"9,keyasint"`
-	// Resumable streams may go on at another upstream.
+	// Resumable streams may be continued at another upstream.
 	Resumable bool     `cbor:"10,keyasint"`
 	Targets   []Target `cbor:"11,keyasint"`
 }
@@ -80,9 +80,9 @@
 	Slots int `cbor:"1,keyasint"`
 	// MemoryTokens is the KV memory of one runner in tokens.
 	MemoryTokens int `cbor:"2,keyasint"`
-	// TokenBytes is the KV memory of one token.
+	// TokenBytes is the KV memory of one token in bytes.
 	TokenBytes int `cbor:"3,keyasint"`
-	// LinkMbps is a runner's link in Mbit/s.
+	// LinkMbps is the rate of a runner's link in Mbit/s.
 	LinkMbps float64  `cbor:"4,keyasint"`
 	Models   []string `cbor:"5,keyasint"`
 }
@@ -91,25 +91,26 @@
 type Store struct {
 	Address    string `cbor:"1,keyasint"`
 	DataCentre string `cbor:"2,keyasint"`
-	// CapacityTokens is the room in tokens.
+	// CapacityTokens is the capacity in tokens.
 	CapacityTokens int     `cbor:"3,keyasint"`
 	LinkMbps       float64 `cbor:"4,keyasint"`
-	// FirstByte is what each transfer waits before it begins.
+	// FirstByte is the latency of the first byte of each transfer.
 	FirstByte time.Duration `cbor:"5,keyasint"`
-	// Managed stores drop nothing by themselves.
+	// Managed stores evict nothing by themselves.
 	Managed bool `cbor:"6,keyasint"`
 }
 
 // Service is a group of interchangeable upstreams, or one store.
 type Service struct {
 	Name string `cbor:"1,keyasint"`
-	// MaxConnections is what one upstream accepts from all callers together.
+	// MaxConnections is the number of connections that one upstream accepts from all
+	// callers together.
 	MaxConnections int     `cbor:"2,keyasint"`
 	Engine         *Engine `cbor:"3,keyasint,omitempty"`
 	Store          *Store  `cbor:"4,keyasint,omitempty"`
-	// ColdStart is for how long an upstream is cold after its start, and ColdPerS how
-	// many requests a second it bears meanwhile, from all callers together; 0 where
-	// upstreams are never cold.
+	// ColdStart is how long an upstream is cold after its start, and ColdPerS the number of
+	// requests a second that it sustains in that time, from all callers together. ColdPerS
+	// is 0 if upstreams are never cold.
 	ColdStart time.Duration `cbor:"5,keyasint,omitempty"`
 	ColdPerS  float64       `cbor:"6,keyasint,omitempty"`
 }
@@ -118,7 +119,7 @@
 type Team struct {
 	Name string   `cbor:"1,keyasint"`
 	Keys []string `cbor:"2,keyasint"`
-	// Priority takes precedence over a route's; nil leaves the route's.
+	// Priority overrides a route's priority; nil leaves that of the route.
 	Priority *int `cbor:"3,keyasint,omitempty"`
 	// Isolated teams share no kept prompt with any other team.
 	Isolated bool `cbor:"4,keyasint,omitempty"`
@@ -132,29 +133,30 @@
 	IdleTimeout   time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Document is a whole configuration.
+// Document is a complete configuration.
 type Document struct {
 	Version  Version   `cbor:"1,keyasint"`
 	Routes   []Route   `cbor:"2,keyasint"`
 	Services []Service `cbor:"3,keyasint"`
 	Teams    []Team    `cbor:"4,keyasint,omitempty"`
-	// Keyed tells that the document lists teams at all, even none: a route
-	// that is not public then needs a key.
+	// Keyed indicates that the document has a list of teams, even an empty one. Routes that
+	// are not public then need a key.
 	Keyed  bool   `cbor:"5,keyasint,omitempty"`
 	Limits Limits `cbor:"6,keyasint"`
-	// Source is the document as the operator wrote it, for reading back.
+	// Source is the document as the operator wrote it, to be returned on request.
 	Source []byte `cbor:"7,keyasint"`
-	// encoded is the message where many readers are told the document.
+	// encoded is the encoded document if it is sent to many readers, or nil.
 	encoded []byte
 }
 
-// ForEntries returns the document as entries are told it: without its source, for they read
-// nothing back to the operator, and encoded once for all of them. It must not be changed.
+// ForEntries returns the document in the form in which entries receive it: without its
+// source, because entries never return it to the operator, and encoded once for all of
+// them. The result must not be modified.
 func (d *Document) ForEntries() *Document {
-	told := *d
-	told.Source, told.encoded = nil, nil
-	told.encoded = wire.MustMarshal((*plainDocument)(&told))
-	return &told
+	stripped := *d
+	stripped.Source, stripped.encoded = nil, nil
+	stripped.encoded = wire.MustMarshal((*plainDocument)(&stripped))
+	return &stripped
 }
 
 // plainDocument is a Document that is encoded field by field.
--- a/catalog/index.go
+++ b/catalog/index.go
@@ -5,32 +5,32 @@
 	"strings"
 )
 
-// Index finds routes and teams of one document. It is immutable and safe for
+// Index finds routes, teams and services of one document. It is immutable and safe for
 // concurrent use.
 type Index struct {
 	document *Document
-	// places holds the routes of each host by prefix.
-	places   map[string]map[string]*Route
+	// routes holds the routes of each host by prefix.
+	routes   map[string]map[string]*Route
 	teams    map[string]*Team
 	services map[string]*Service
 	stores   []*Service
 }
 
-// NewIndex builds the index of a valid document, which must not change after.
+// NewIndex returns the index of a valid document, which must not be modified afterwards.
 func NewIndex(d *Document) *Index {
 	x := &Index{
 		document: d,
-		places:   make(map[string]map[string]*Route),
+		routes:   make(map[string]map[string]*Route),
 		teams:    make(map[string]*Team),
 		services: make(map[string]*Service, len(d.Services)),
 	}
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		host := strings.ToLower(r.Host)
-		if x.places[host] == nil {
-			x.places[host] = make(map[string]*Route)
+		if x.routes[host] == nil {
+			x.routes[host] = make(map[string]*Route)
 		}
-		x.places[host][r.Prefix] = r
+		x.routes[host][r.Prefix] = r
 	}
 	for i := range d.Teams {
 		for _, key := range d.Teams[i].Keys {
@@ -53,10 +53,10 @@
 // Version returns the document's version.
 func (x *Index) Version() Version { return x.document.Version }
 
-// Route returns the route of a host with the longest prefix that begins path,
-// nil when there is none. path has no query.
+// Route returns the route of a host with the longest prefix of path, or nil if there is
+// none. path has no query.
 func (x *Index) Route(host, path string) *Route {
-	prefixes := x.places[strings.ToLower(host)]
+	prefixes := x.routes[strings.ToLower(host)]
 	if prefixes == nil {
 		return nil
 	}
@@ -71,37 +71,37 @@
 	return nil
 }
 
-// Team returns the team that holds a key, nil when none does.
+// Team returns the team that holds a key, or nil if none does.
 func (x *Index) Team(key string) *Team { return x.teams[key] }
 
-// Service returns a service by name, nil when there is none.
+// Service returns the service with a name, or nil if there is none.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Stores lists the services that are stores, in the document's order.
+// Stores returns the services that are stores, in the document's order.
 func (x *Index) Stores() []*Service { return x.stores }
 
-// Verdict tells what becomes of a document beside the one held.
+// Verdict is the result of comparing an offered document with the current one.
 type Verdict uint8
 
 const (
-	// Accepted documents replace the one held.
+	// Accepted documents replace the current one.
 	Accepted Verdict = iota + 1
-	// Repeated documents are the one held.
+	// Repeated documents are equal to the current one.
 	Repeated
-	// Overtaken documents are older than the one held and change nothing.
+	// Overtaken documents are older than the current one and change nothing.
 	Overtaken
-	// Conflicting documents bear the number of the one held and other content.
+	// Conflicting documents have the version of the current one and other content.
 	Conflicting
 )
 
-// Compare judges a document against the one held, nil for none.
-func Compare(held, offered *Document) Verdict {
+// Compare compares an offered document with the current one, which is nil if there is none.
+func Compare(current, offered *Document) Verdict {
 	switch {
-	case held == nil || offered.Version > held.Version:
+	case current == nil || offered.Version > current.Version:
 		return Accepted
-	case offered.Version < held.Version:
+	case offered.Version < current.Version:
 		return Overtaken
-	case bytes.Equal(held.Source, offered.Source):
+	case bytes.Equal(current.Source, offered.Source):
 		return Repeated
 	}
 	return Conflicting
--- a/catalog/validate.go
+++ b/catalog/validate.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// InvalidError reports why a document can't be accepted.
+// InvalidError reports why a document is rejected.
 type InvalidError struct {
 	// Field is the path of the field, for example routes[3].timeout.
 	Field string
-	// Reason tells what is wrong and what would be accepted.
+	// Reason describes what is wrong and what would be accepted.
 	Reason string
 }
 
@@ -22,8 +22,7 @@
 	return &InvalidError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate reports the first reason why a document can't be accepted, an
-// *InvalidError.
+// Validate returns the first reason for rejecting the document, an *InvalidError, or nil.
 func (d *Document) Validate() error {
 	if d.Version == 0 {
 		return invalid("version", "is missing or 0; versions start at 1")
@@ -53,18 +52,18 @@
 	return names, nil
 }
 
-type place struct{ host, prefix string }
+type routeKey struct{ host, prefix string }
 
 func (d *Document) checkRoutes(services map[string]bool) error {
-	places := make(map[place]int, len(d.Routes))
+	seen := make(map[routeKey]int, len(d.Routes))
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		field := fmt.Sprintf("routes[%d]", i)
-		at := place{strings.ToLower(r.Host), r.Prefix}
-		if other, taken := places[at]; taken {
+		key := routeKey{strings.ToLower(r.Host), r.Prefix}
+		if other, exists := seen[key]; exists {
 			return invalid(field, "has the host and prefix of routes[%d]", other)
 		}
-		places[at] = i
+		seen[key] = i
 		if err := r.check(field, services); err != nil {
 			return err
 		}
@@ -110,7 +109,7 @@
 			return invalid(field+".name", "is empty")
 		}
 		for _, key := range team.Keys {
-			if owner, taken := owners[key]; taken && owner != team.Name {
+			if owner, exists := owners[key]; exists && owner != team.Name {
 				return invalid(field+".keys", "a key is shared with team %q", owner)
 			}
 			owners[key] = team.Name
