--- a/cacheindex/index.go
+++ b/cacheindex/index.go
@@ -335,15 +335,15 @@
 
 // answerByProgress returns what a reader lacks beyond its progress: at least one inventory,
 // and no further one once a page is full.
-func (x *Index) answerByProgress(held []Progress) Update {
+func (x *Index) answerByProgress(progress []Progress) Update {
 	var batches []Batch
 	count, stale := 0, false
 	add := func(records []Record) {
 		batches = append(batches, toBatches(records)...)
 		count += len(records)
 	}
-	known := make(map[string]Progress, len(held))
-	for _, h := range held {
+	known := make(map[string]Progress, len(progress))
+	for _, h := range progress {
 		known[h.Address] = h
 		if x.inventories[h.Address] == nil {
 			add([]Record{{Address: h.Address, Cleared: true}})
--- a/placement/keepat.go
+++ b/placement/keepat.go
@@ -83,6 +83,8 @@
 
 func (s *Store) fast() bool { return s.FirstByte <= maxFastFirstByte }
 
+// fits reports whether a part leaves the store filled to at most the given fraction of its
+// capacity.
 func (s *Store) fits(share float64, part Part) bool {
 	return float64(s.Used+part.Tokens) <= share*float64(s.Capacity)
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -32,7 +32,8 @@
 	// CrossFactor is the ratio of the transfer time between data centres to that within
 	// one.
 	CrossFactor float64
-	// FullMs is the cost, in milliseconds, of a runner whose entire memory would be filled.
+	// FullMs is the cost, in milliseconds, per unit of memory fill beyond three quarters,
+	// where 1 is a runner's whole memory.
 	FullMs float64
 	// SlotMs is the cost, in milliseconds, of each request beyond the runner's slots.
 	SlotMs float64
@@ -310,7 +311,7 @@
 		if !store.Open {
 			continue
 		}
-		ms := milliseconds(store.FirstByte) + transferMs(rates, p, part, store, r)
+		ms := milliseconds(store.FirstByte) + linkMs(rates, p, part, store, r)
 		ms += store.Risk * rates.RecomputeMsPerToken * float64(p.Parts[part].Tokens)
 		if best < 0 || ms < bestMs {
 			best, bestMs = index, ms
@@ -330,7 +331,9 @@
 	return bits/(store.LinkMbps*1000) + milliseconds(store.FirstByte)
 }
 
-func transferMs(rates *Rates, p *Prompt, part int, store *Store, r *Runner) float64 {
+// linkMs returns the time in milliseconds that a part takes on the link from a store to a
+// runner, behind the transfers that are already queued.
+func linkMs(rates *Rates, p *Prompt, part int, store *Store, r *Runner) float64 {
 	if store.LinkMbps <= 0 {
 		return 0
 	}
--- a/rollout/minimum_versions.go
+++ b/rollout/minimum_versions.go
@@ -54,7 +54,7 @@
 			if runners == nil {
 				runners = fleet()
 			}
-			have, heard, total := census(runners, model, target.version)
+			have, heard, total := countRunners(runners, model, target.version)
 			if 2*have > total || now.Sub(led) >= fraction(minLeadFraction, bound) && 2*heard > total {
 				m.oldest[model] = target.version
 			}
@@ -67,9 +67,9 @@
 	return minimum
 }
 
-// census counts the serving runners of a model: those that have the version or a newer one,
+// countRunners counts the serving runners of a model: those that have the version or a newer one,
 // those that the leader hears from, and all.
-func census(runners []Runner, model string, version uint64) (have, heard, total int) {
+func countRunners(runners []Runner, model string, version uint64) (have, heard, total int) {
 	for i := range runners {
 		has := runners[i].VersionOf(model)
 		if has == 0 || runners[i].State != roster.Serving {
