--- a/placement/keepat.go
+++ b/placement/keepat.go
@@ -81,6 +81,7 @@
 	return float64(part.Tokens) * (r.RecomputeMsPerToken + 1/r.PrefillPerMs)
 }
 
+// fast reports whether the store is fast enough for small parts.
 func (s *Store) fast() bool { return s.FirstByte <= maxFastFirstByte }
 
 // fits reports whether a part leaves the store filled to at most the given fraction of its
--- a/warmup/granter.go
+++ b/warmup/granter.go
@@ -1,7 +1,7 @@
 // Package warmup decides which entries may send requests to a cold upstream, and how many.
 //
 // An upstream that has just started sustains few requests a second and crashes above that
-// rate, whichever entries send them. Entries alone cannot enforce a bound on the sum: with
+// rate, whichever entries send them. An entry alone cannot enforce a bound on the sum: with
 // 79 entries and 22 requests a second, an entry's share is a quarter of a request. Waiting
 // for a message that an upstream is warm again is not possible either, because it may
 // become cold at any moment.
