--- a/order/gate.go
+++ b/order/gate.go
@@ -6,39 +6,41 @@
 	"github.com/lovagereach/lovagereach/lease"
 )
 
-// Times that bound how long an order of a replaced leader can still arrive.
+// Bounds on how long after a change of leader an order of the previous leader can still
+// arrive.
 const (
-	// LeaderLease is how long after it last proved its leadership a leader may send
-	// an order.
+	// LeaderLease is how long a leader may send orders after it last confirmed its
+	// leadership.
 	LeaderLease = 2 * time.Second
-	// MaxFlight is the longest that an order is under way between the leader's
-	// last byte and the engine's reading it. The sender gives up after half of
-	// it; the rest covers what the network still delivers from its buffers.
+	// MaxFlight is the maximum time between the leader's sending the last byte of an
+	// order and the engine's reading it. The sender gives up after half of it; the
+	// other half covers data that the network still delivers from its buffers.
 	MaxFlight = 6 * time.Second
-	// SendTimeout is when the sender gives up an order without an answer.
+	// SendTimeout is how long the sender waits for the answer to an order.
 	SendTimeout = MaxFlight / 2
 )
 
-// Gate tells when a new leader may give orders.
+// Gate determines when a new leader may send orders.
 type Gate struct {
-	opened time.Time
-	first  bool
+	start time.Time
+	first bool
 }
 
-// NewGate returns the gate of an epoch that was committed at opened. first
-// marks the first epoch of a group, before which nobody gave orders.
-func NewGate(opened time.Time, first bool) Gate { return Gate{opened: opened, first: first} }
+// NewGate returns the gate of an epoch that was committed at start. first is
+// true for the first epoch of a control group, which no earlier leader precedes.
+func NewGate(start time.Time, first bool) Gate { return Gate{start: start, first: first} }
 
-// OpenAt returns when an engine may get its first order of a kind.
+// OpenAt returns the time from which an engine may be sent orders of the kind.
 //
-// An engine that ignores fencing tokens would carry out a late order of the old
-// leader after ours and undo it, so the new leader waits until none can arrive
-// any more. One that checks them refuses such an order once it has seen ours;
-// but until then the old leader's order may still start a load that nobody
-// counts, so loads wait for every engine.
+// An engine that ignores fencing tokens would execute a delayed order of the previous
+// leader after one of the new leader and so undo it. The new leader therefore waits
+// until no such order can arrive any more. An engine that checks tokens refuses the
+// delayed order once it has received one with the new token; until then the delayed
+// order may still start a load that the new leader doesn't count, so load orders wait
+// for every engine.
 func (g Gate) OpenAt(kind Kind, checksFence bool) time.Time {
 	if g.first || checksFence && kind != LoadVersion {
-		return g.opened
+		return g.start
 	}
-	return g.opened.Add(lease.GranterTerm(LeaderLease) + MaxFlight)
+	return g.start.Add(lease.GranterTerm(LeaderLease) + MaxFlight)
 }
--- a/order/model.go
+++ b/order/model.go
@@ -9,34 +9,35 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// modelPlan decides the orders of one model.
+// modelPlan decides the orders of one model in one planning pass.
 type modelPlan struct {
 	planner *Planner
 	now     time.Time
 	wanted  *Wanted
 	engines []*Engine
 	plan    *Plan
-	// loading is how many engines load or may be loading.
+	// loading is the number of engines that load or may be loading.
 	loading int
-	// slots are those of the engines that serve, need what must stay.
+	// slots is the number of slots of the serving engines; need is the number of them
+	// that must remain.
 	slots int
 	need  int
 }
 
 func (m *modelPlan) decide() {
-	if len(m.engines) == 0 || len(m.wanted.Versions) == 0 || m.settled() {
+	if len(m.engines) == 0 || len(m.wanted.Versions) == 0 || m.upToDate() {
 		return
 	}
 	m.measure()
-	m.notePassedOver()
-	for _, engine := range m.byWork() {
+	m.countPassedOver()
+	for _, engine := range m.byPriority() {
 		m.decideEngine(engine)
 	}
 }
 
-// settled tells from reports alone that the model needs nothing, so that
-// engines are read back only while there is something to do.
-func (m *modelPlan) settled() bool {
+// upToDate reports whether, by the announcements alone, the model needs no orders. States
+// are read back from engines only while this is false.
+func (m *modelPlan) upToDate() bool {
 	if len(m.wanted.Roles) > 0 {
 		return false
 	}
@@ -48,8 +49,8 @@
 	return true
 }
 
-// matches tells whether exactly the wanted versions and at least the wanted
-// adapters are in loaded.
+// matches reports whether loaded has exactly the wanted versions, each with at least the
+// wanted adapters.
 func (m *modelPlan) matches(loaded []Version) bool {
 	count := 0
 	for i := range loaded {
@@ -70,6 +71,7 @@
 	return true
 }
 
+// missingAdapter returns the first adapter of want that have lacks, empty if none.
 func missingAdapter(have, want *Version) ident.Adapter {
 	for _, adapter := range want.Adapters {
 		if !slices.Contains(have.Adapters, adapter) {
@@ -79,14 +81,14 @@
 	return ""
 }
 
-// measure counts loads, slots and demand. An engine whose state is not known
-// counts as loading: an earlier leader may have ordered it to.
+// measure counts loading engines, serving slots and demand. An engine without a usable
+// state counts as loading, since an earlier leader may have ordered a load.
 func (m *modelPlan) measure() {
 	demand := 0
 	for _, engine := range m.engines {
-		demand += engine.work()
+		demand += engine.requests()
 		switch {
-		case !m.known(engine):
+		case !m.stateUsable(engine):
 			m.loading++
 			m.plan.Read = append(m.plan.Read, engine.ID)
 		case m.isLoading(engine):
@@ -98,44 +100,44 @@
 	m.need = int(math.Ceil(float64(demand) * m.planner.opts.Headroom))
 }
 
-// known tells whether an engine's state can be decided upon.
-func (m *modelPlan) known(engine *Engine) bool {
+// stateUsable reports whether an engine's state is recent enough to decide on.
+func (m *modelPlan) stateUsable(engine *Engine) bool {
 	if engine.State == nil || m.now.Sub(engine.State.ReadAt) > m.planner.opts.StateAge {
 		return false
 	}
-	// A state read while an old leader's orders could still arrive may miss a
-	// load that one of them has started since; more engines than allowed
-	// would load. A state read afterwards shows it.
+	// A state read while orders of a previous leader could still arrive may lack a load
+	// that such an order has started since, so that more engines than allowed would
+	// load. A state read after that time includes the load.
 	open := m.planner.gate.OpenAt(LoadVersion, engine.ChecksFence)
 	if engine.State.ReadAt.Before(open) && !m.now.Before(open) {
 		return false
 	}
-	// A state read before the last order doesn't show its effect.
+	// A state read before the last order doesn't include its effect.
 	last, pending := m.planner.issued[engine.ID]
 	return !pending || !engine.State.ReadAt.Before(last.at)
 }
 
-// isLoading tells whether an engine loads by its own word, or was told to and
-// doesn't show it yet.
+// isLoading reports whether an engine's state shows a load, or a load order to it is
+// still pending.
 func (m *modelPlan) isLoading(engine *Engine) bool {
 	if len(engine.State.Loading) > 0 {
 		return true
 	}
 	last, pending := m.planner.issued[engine.ID]
-	return pending && last.order.Kind == LoadVersion && !m.settledBy(last, engine.State)
+	return pending && last.order.Kind == LoadVersion && !m.resolved(last, engine.State)
 }
 
-// notePassedOver counts, once another version is preferred, the engines that had no
-// turn for the one before.
-func (m *modelPlan) notePassedOver() {
+// countPassedOver counts, when the preferred version has changed, the engines that did
+// not load the previous one.
+func (m *modelPlan) countPassedOver() {
 	p, preferred := m.planner, m.wanted.Versions[0].Version
-	former, known := p.preferred[m.wanted.Model]
+	previous, known := p.preferred[m.wanted.Model]
 	p.preferred[m.wanted.Model] = preferred
-	if !known || former == preferred {
+	if !known || previous == preferred {
 		return
 	}
 	for _, engine := range m.engines {
-		if engine.State != nil && find(engine.State.Loaded, m.wanted.Model, former) == nil && !m.isLoading(engine) {
+		if engine.State != nil && find(engine.State.Loaded, m.wanted.Model, previous) == nil && !m.isLoading(engine) {
 			p.passedOver[engineModel{engine.ID, m.wanted.Model}]++
 		}
 	}
@@ -145,21 +147,22 @@
 	return m.planner.passedOver[engineModel{e.ID, m.wanted.Model}]
 }
 
-// byWork puts the engines first whose loss costs least: those that serve
-// nothing yet, then those with the least work. Between the two come those that
-// had no turn for former versions: versions that follow one another shortly would
-// else never reach the engines with the most work.
-func (m *modelPlan) byWork() []*Engine {
+// byPriority sorts the engines by the cost of taking them out of service: first those
+// that serve nothing, then those with the fewest requests. Among the serving engines,
+// those that were passed over most often come first: otherwise preferred versions that
+// follow each other at short intervals would never reach the engines with the most
+// requests.
+func (m *modelPlan) byPriority() []*Engine {
 	list := slices.Clone(m.engines)
 	slices.SortStableFunc(list, func(a, b *Engine) int {
-		return cmp.Or(cmp.Compare(loadedCount(a), loadedCount(b)),
-			cmp.Compare(m.passedOver(b), m.passedOver(a)), cmp.Compare(a.work(), b.work()))
+		return cmp.Or(cmp.Compare(servingRank(a), servingRank(b)),
+			cmp.Compare(m.passedOver(b), m.passedOver(a)), cmp.Compare(a.requests(), b.requests()))
 	})
 	return list
 }
 
-// loadedCount is 0 for an engine that serves nothing and 1 for others.
-func loadedCount(e *Engine) int {
+// servingRank returns 0 for an engine known to serve nothing and 1 for all others.
+func servingRank(e *Engine) int {
 	if e.State != nil && len(e.State.Loaded) == 0 {
 		return 0
 	}
@@ -167,12 +170,12 @@
 }
 
 func (m *modelPlan) decideEngine(engine *Engine) {
-	if !m.known(engine) {
+	if !m.stateUsable(engine) {
 		m.plan.hold(HoldState)
 		return
 	}
-	m.note(engine)
-	if m.awaits(engine) {
+	m.recordPreferred(engine)
+	if m.orderPending(engine) {
 		return
 	}
 	next, needed := m.nextOrder(engine)
@@ -186,20 +189,21 @@
 	m.issue(engine, next)
 }
 
-// note remembers since when the engine has the preferred version.
-func (m *modelPlan) note(engine *Engine) {
+// recordPreferred records since when the engine has had the preferred version loaded.
+func (m *modelPlan) recordPreferred(engine *Engine) {
 	preferred := m.wanted.Versions[0].Version
 	if find(engine.State.Loaded, m.wanted.Model, preferred) == nil {
 		delete(m.planner.preferredSince, engine.ID)
 		return
 	}
 	if m.planner.preferredSince[engine.ID].version != preferred {
-		m.planner.preferredSince[engine.ID] = sighting{version: preferred, at: m.now}
+		m.planner.preferredSince[engine.ID] = observedVersion{version: preferred, at: m.now}
 	}
 }
 
-// awaits tells whether the last order to the engine has yet to take effect.
-func (m *modelPlan) awaits(engine *Engine) bool {
+// orderPending reports whether the engine loads or its last order has not taken effect
+// yet. It drops the record of a resolved order.
+func (m *modelPlan) orderPending(engine *Engine) bool {
 	if len(engine.State.Loading) > 0 {
 		return true
 	}
@@ -207,21 +211,21 @@
 	if !pending {
 		return false
 	}
-	if m.settledBy(last, engine.State) {
+	if m.resolved(last, engine.State) {
 		delete(m.planner.issued, engine.ID)
 		return false
 	}
 	return true
 }
 
-// settledBy tells whether a state shows an order's effect, or was read so long
-// after the order that it can't arrive any more.
-func (m *modelPlan) settledBy(last issuedOrder, state *State) bool {
-	return effective(last.order, state) || state.ReadAt.Sub(last.at) >= m.planner.opts.RetryAfter
+// resolved reports whether a state shows an order's effect, or was read so long after the
+// order that it can't arrive any more.
+func (m *modelPlan) resolved(last issuedOrder, state *State) bool {
+	return tookEffect(last.order, state) || state.ReadAt.Sub(last.at) >= m.planner.opts.RetryAfter
 }
 
-// effective tells whether a state shows what an order asked for.
-func effective(order Order, state *State) bool {
+// tookEffect reports whether a state shows the change that an order requests.
+func tookEffect(order Order, state *State) bool {
 	have := find(state.Loaded, order.Model, order.Version)
 	switch order.Kind {
 	case LoadVersion:
@@ -235,7 +239,8 @@
 	}
 }
 
-// nextOrder returns the first thing the engine lacks.
+// nextOrder returns the order for the first difference between the engine's state and the
+// target, and false if there is none.
 func (m *modelPlan) nextOrder(engine *Engine) (Order, bool) {
 	base := Order{
 		Upstream:    engine.ID,
@@ -265,6 +270,8 @@
 	return m.unload(engine, base)
 }
 
+// unload returns an order for an unwanted version, and false if none is loaded or the
+// preferred version was loaded less than UnloadDelay ago.
 func (m *modelPlan) unload(engine *Engine, base Order) (Order, bool) {
 	since := m.planner.preferredSince[engine.ID]
 	if m.now.Sub(since.at) < m.planner.opts.UnloadDelay {
@@ -280,7 +287,7 @@
 	return Order{}, false
 }
 
-// holdReason tells what stands against an order now, empty for nothing.
+// holdReason returns why an order must not be sent now, empty if it may be.
 func (m *modelPlan) holdReason(engine *Engine, next Order) HoldReason {
 	if m.now.Before(m.planner.gate.OpenAt(next.Kind, engine.ChecksFence)) {
 		return HoldGate
@@ -291,18 +298,19 @@
 	if m.loading >= m.wanted.MaxLoading {
 		return HoldLoading
 	}
-	if m.takesOut(engine, next) && m.slots-engine.slots() < m.need {
+	if m.stopsServing(engine, next) && m.slots-engine.slots() < m.need {
 		return HoldCapacity
 	}
 	return ""
 }
 
-// takesOut tells whether the engine serves now and would not while it carries
-// the order out.
-func (m *modelPlan) takesOut(engine *Engine, next Order) bool {
+// stopsServing reports whether the engine serves now and would stop while it executes the
+// order.
+func (m *modelPlan) stopsServing(engine *Engine, next Order) bool {
 	return len(engine.State.Loaded) > 0 && (next.Kind == LoadVersion || next.Kind == SetRole)
 }
 
+// issue adds the order to the plan and updates the counts for the orders after it.
 func (m *modelPlan) issue(engine *Engine, next Order) {
 	if next.Kind != UnloadVersion {
 		m.loading++
@@ -310,7 +318,7 @@
 	if next.Kind == LoadVersion {
 		delete(m.planner.passedOver, engineModel{engine.ID, m.wanted.Model})
 	}
-	if m.takesOut(engine, next) {
+	if m.stopsServing(engine, next) {
 		m.slots -= engine.slots()
 	}
 	m.planner.number++
--- a/order/planner.go
+++ b/order/planner.go
@@ -15,22 +15,22 @@
 	DefaultRetryAfter  = 15 * time.Second
 	DefaultUnloadDelay = time.Minute
 	DefaultHeadroom    = 1.25
-	// MaxEngines bounds the engines that one planner follows.
+	// MaxEngines is the maximum number of engines that one planner handles.
 	MaxEngines = 1 << 14
 )
 
-// Options configure a Planner. Zero values mean the defaults.
+// Options configure a Planner. Zero values select the defaults.
 type Options struct {
-	// StateAge is how old a state read back may be to decide upon.
+	// StateAge is the maximum age of a state on which a decision is based.
 	StateAge time.Duration
-	// RetryAfter is when an order without visible effect is given again. It
-	// is longer than MaxFlight.
+	// RetryAfter is how long after an order without visible effect it is sent again.
+	// It has to be longer than MaxFlight.
 	RetryAfter time.Duration
-	// UnloadDelay is how long the preferred version must have been loaded
-	// before an unwanted one is unloaded, so that requests which started on
-	// the old one can end there.
+	// UnloadDelay is how long the preferred version must have been loaded before an
+	// unwanted one is unloaded, so that requests that started on the old version can
+	// complete there.
 	UnloadDelay time.Duration
-	// Headroom multiplies the present demand in the check of capacity.
+	// Headroom is the factor applied to the current demand in the capacity check.
 	Headroom float64
 }
 
@@ -42,20 +42,20 @@
 	return o
 }
 
-// Planner decides orders in one epoch. It is not safe for concurrent use.
+// Planner decides the orders of one epoch. It is not safe for concurrent use.
 type Planner struct {
 	opts  Options
 	fence lease.Token
 	gate  Gate
-	// number is that of the last order.
+	// number is the number of the last order.
 	number uint64
 	// issued is the last order to each engine.
 	issued map[ident.Upstream]issuedOrder
-	// preferredSince is when each engine was first seen with its model's
-	// preferred version.
-	preferredSince map[ident.Upstream]sighting
-	// preferred is each model's preferred version at the last plan, and passedOver
-	// how many of them an engine saw replaced before it had a turn.
+	// preferredSince is when each engine was first observed with its model's preferred
+	// version.
+	preferredSince map[ident.Upstream]observedVersion
+	// preferred is each model's preferred version in the last plan; passedOver counts
+	// per engine and model the preferred versions that were replaced before it loaded them.
 	preferred  map[ident.Model]ident.Version
 	passedOver map[engineModel]int
 }
@@ -70,7 +70,8 @@
 	at    time.Time
 }
 
-type sighting struct {
+// observedVersion is a version and the time at which it was first observed.
+type observedVersion struct {
 	version ident.Version
 	at      time.Time
 }
@@ -82,16 +83,16 @@
 		fence:          fence,
 		gate:           gate,
 		issued:         make(map[ident.Upstream]issuedOrder),
-		preferredSince: make(map[ident.Upstream]sighting),
+		preferredSince: make(map[ident.Upstream]observedVersion),
 		preferred:      make(map[ident.Model]ident.Version),
 		passedOver:     make(map[engineModel]int),
 	}
 }
 
-// HoldReason says why a model's orders wait.
+// HoldReason is the reason why an order is held back.
 type HoldReason string
 
-// The reasons for holding orders back.
+// The hold reasons.
 const (
 	HoldLoading  HoldReason = "as many engines load as allowed"
 	HoldCapacity HoldReason = "the engines left would not carry the present demand"
@@ -99,13 +100,13 @@
 	HoldState    HoldReason = "the engine's state is being read"
 )
 
-// Plan is what to do now.
+// Plan is the result of one planning pass.
 type Plan struct {
 	Orders []Order
-	// Read lists engines whose state must be read before their model can be
-	// decided upon.
+	// Read lists engines whose state must be read before orders for them can be
+	// decided.
 	Read []ident.Upstream
-	// Held counts the orders held back, by reason.
+	// Held is the number of orders held back, by reason.
 	Held map[HoldReason]int
 }
 
@@ -116,12 +117,12 @@
 	p.Held[reason]++
 }
 
-// Plan decides. The engines may be in any order; those above MaxEngines are
-// left alone.
+// Plan decides which orders to send now. The engines may be in any order; those beyond
+// MaxEngines are ignored.
 func (p *Planner) Plan(now time.Time, wanted []Wanted, engines []Engine) Plan {
 	engines = slices.Clone(engines[:min(len(engines), MaxEngines)])
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
-	p.forget(engines)
+	p.prune(engines)
 	var plan Plan
 	for i := range wanted {
 		model := &modelPlan{planner: p, now: now, wanted: &wanted[i], plan: &plan}
@@ -135,8 +136,8 @@
 	return plan
 }
 
-// forget drops what is known of engines that are gone.
-func (p *Planner) forget(engines []Engine) {
+// prune drops the records of engines and incarnations that are not listed any more.
+func (p *Planner) prune(engines []Engine) {
 	known := make(map[ident.Upstream]ident.Incarnation, len(engines))
 	for i := range engines {
 		known[engines[i].ID] = engines[i].Incarnation
--- a/order/roles.go
+++ b/order/roles.go
@@ -1,8 +1,8 @@
 package order
 
-// roleFor returns the role the engine should have, empty when any will do.
-// Engines that have a wanted role keep it as long as the role has not enough;
-// so the fewest change.
+// roleFor returns the role the engine should have, empty if the model has no roles.
+// An engine keeps its role unless the role has more engines than wanted, so that as
+// few engines as possible change.
 func (m *modelPlan) roleFor(engine *Engine) string {
 	if len(m.wanted.Roles) == 0 {
 		return ""
@@ -25,7 +25,8 @@
 	return own
 }
 
-// currentRole is the role an engine has or was just ordered to take.
+// currentRole returns the role of the engine's pending SetRole order, or else the role
+// in its last state.
 func (m *modelPlan) currentRole(engine *Engine) string {
 	if last, pending := m.planner.issued[engine.ID]; pending && last.order.Kind == SetRole {
 		return last.order.Role
@@ -36,6 +37,7 @@
 	return engine.State.Role
 }
 
+// roleCount returns how many of the model's engines should have the role.
 func (m *modelPlan) roleCount(role RoleCount) int {
 	return int(role.Fraction*float64(len(m.engines)) + 0.5)
 }
