--- a/roster/cold.go
+++ b/roster/cold.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// coldness is how long an upstream stays cold, and with how many doubts. Each word of a
-// cold upstream counts: it may have turned cold again since the one before.
+// coldness returns ColdMs and Doubts after the announcement a. Each newer announcement of
+// a cold upstream counts, since the upstream may have turned cold again after the one
+// before.
 func coldness(held *Upstream, a *Upstream) (coldMs uint64, doubts uint8) {
 	switch {
 	case held.ID == "":
@@ -19,16 +20,16 @@
 	return a.ColdMs, 0
 }
 
-// warmWords is how many announcements must call an upstream warm that is presumed to be
-// cold: the first may have been on its way when the upstream turned cold.
-const warmWords = 2
+// warmAnnouncements is how many warm announcements are needed from an upstream that is
+// presumed cold: the first may have been in flight when the upstream turned cold.
+const warmAnnouncements = 2
 
-// PresumeCold has the upstreams of a data centre count as cold for a time, in
-// milliseconds by service, until their own words say otherwise. It reports whether that
-// changed anything.
+// PresumeCold marks the upstreams of a data centre as cold until their own announcements
+// show otherwise. coldMs returns a service's cold time in milliseconds, 0 for none.
+// PresumeCold reports whether it changed anything.
 func (r *Roster) PresumeCold(dataCentre string, coldMs func(service string) uint64) bool {
 	changed := false
-	// In order, for all hosts give a change the same revision.
+	// Sorted, so that all hosts assign the same revision to each change.
 	for _, id := range slices.Sorted(maps.Keys(r.upstreams)) {
 		held := r.upstreams[id]
 		ms := coldMs(held.Service)
@@ -36,17 +37,17 @@
 			continue
 		}
 		presumed := *held
-		presumed.ColdMs, presumed.Doubts = max(held.ColdMs, ms), warmWords
+		presumed.ColdMs, presumed.Doubts = max(held.ColdMs, ms), warmAnnouncements
 		r.upstreams[id] = &presumed
 		r.live = nil
 		changed = true
-		r.noteChange(id)
-		r.noteCold(&presumed)
+		r.recordChange(id)
+		r.updateCold(&presumed)
 	}
 	return changed
 }
 
-// Cold lists the upstreams that serve and are cold, by name.
+// Cold returns the upstreams that serve and are cold, sorted by name.
 func (r *Roster) Cold() []Upstream {
 	list := make([]Upstream, 0, len(r.cold))
 	for _, id := range slices.Sorted(maps.Keys(r.cold)) {
@@ -55,8 +56,8 @@
 	return list
 }
 
-// noteCold keeps the list of cold upstreams.
-func (r *Roster) noteCold(u *Upstream) {
+// updateCold updates the set of cold upstreams.
+func (r *Roster) updateCold(u *Upstream) {
 	if u.State == Serving && u.ColdMs > 0 {
 		r.cold[u.ID] = true
 		return
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,20 +1,21 @@
-// Package roster keeps what upstreams have announced of themselves: who serves,
-// who is leaving and who is gone.
+// Package roster holds what upstreams have announced about themselves: which of them
+// serve, which are leaving and which are gone.
 //
-// Announcements may be late and out of order, also after their sender's death
-// and after its address was given to another upstream. Each announcement has a
-// number that grows with every one of its sender; an older one changes nothing.
-// Leaving is for good: no announcement of the same life undoes it, for the
-// answer to the first one promised that it gets no new work.
+// Announcements may be delayed and out of order, even after their sender's crash and
+// after its address was given to another upstream. Each announcement has a sequence
+// number that grows with every announcement of its sender; one with a lower number
+// changes nothing unless it advances the state. Leaving is final: no announcement of the
+// same incarnation undoes it, because the answer to the first one promised that the
+// upstream gets no new work.
 //
-// An upstream may start again under its name. Its birth tells its lives apart: a
-// later life replaces all that is known of the former one, also that it left,
-// and a word of a former life changes nothing. A farewell that names no birth
-// ends the life that is known.
+// An upstream may restart under its name. The start time distinguishes its incarnations:
+// a newer incarnation replaces everything known of the previous one, including that it
+// left, and an announcement of a previous incarnation changes nothing. A departure
+// announcement without a start time applies to the known incarnation.
 //
-// A birth is a time of day, which may step back between two lives. An earlier birth
-// is therefore taken for the present life once Successions finds that no late words
-// could sound like it.
+// A start time is a wall-clock time, which may step back between two incarnations. An
+// incarnation with an earlier start time is therefore accepted as the current one once
+// Successions has excluded that its announcements are stale ones.
 package roster
 
 import (
@@ -23,7 +24,7 @@
 	"strings"
 )
 
-// State is what an upstream says of itself.
+// State is the state that an upstream announces.
 type State uint8
 
 const (
@@ -31,7 +32,7 @@
 	Serving State = iota + 1
 	// Leaving upstreams finish what they have and take no new work.
 	Leaving
-	// Gone upstreams have said farewell or were given up.
+	// Gone upstreams have announced their departure or were declared lost.
 	Gone
 )
 
@@ -48,13 +49,13 @@
 	return "unknown"
 }
 
-// Loaded is a model with the version of its weights.
+// Loaded is a loaded model with the version of its weights.
 type Loaded struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// Upstream is one life of an upstream.
+// Upstream is the record of one incarnation of an upstream, or an announcement of it.
 type Upstream struct {
 	ID         string `cbor:"1,keyasint"`
 	Service    string `cbor:"2,keyasint"`
@@ -62,25 +63,28 @@
 	DataCentre string `cbor:"4,keyasint"`
 	State      State  `cbor:"5,keyasint"`
 	Slots      int    `cbor:"6,keyasint"`
-	// Sequence is the number of the latest announcement taken in.
+	// Sequence is the number of the latest announcement applied.
 	Sequence uint64   `cbor:"7,keyasint"`
 	Loaded   []Loaded `cbor:"8,keyasint,omitempty"`
-	// StartedMs is the Unix millisecond of the start of this life, 0 if not told.
+	// StartedMs is the start time of this incarnation in Unix milliseconds, 0 if not
+	// announced.
 	StartedMs uint64 `cbor:"9,keyasint,omitempty"`
-	// ColdMs is how many milliseconds the upstream stays cold from the announcement
-	// on, 0 for a warm one.
+	// ColdMs is how many milliseconds after the announcement the upstream is still
+	// cold, 0 if it is warm.
 	ColdMs uint64 `cbor:"10,keyasint,omitempty"`
-	// Doubts is how many more announcements must call the upstream warm before it
-	// counts as warm.
+	// Doubts is how many more warm announcements are needed before the upstream counts
+	// as warm.
 	Doubts uint8 `cbor:"11,keyasint,omitempty"`
-	// Follows is, in a word of a life that follows a later-born one, the birth of that
-	// one, as judged by whoever takes the word in.
+	// Follows is set in an announcement of an incarnation that supersedes one with a
+	// later start time: it is the start time of the superseded incarnation. The leader
+	// that accepts the announcement sets it.
 	Follows uint64 `cbor:"12,keyasint,omitempty"`
-	// Former is the birth of a later-born life that this one followed, 0 for none.
-	Former uint64 `cbor:"13,keyasint,omitempty"`
+	// Superseded is the later start time of the incarnation that this one superseded,
+	// 0 for none.
+	Superseded uint64 `cbor:"13,keyasint,omitempty"`
 }
 
-// VersionOf returns the loaded version of a model, 0 when it is not loaded.
+// VersionOf returns the loaded version of a model, 0 if it is not loaded.
 func (u *Upstream) VersionOf(model string) uint64 {
 	for _, loaded := range u.Loaded {
 		if loaded.Model == model {
@@ -90,32 +94,33 @@
 	return 0
 }
 
-// MaxGone bounds the departed upstreams that are remembered. Each is a name and
-// a few numbers; late announcements trail by seconds, and 4,096 departures are
-// three days at 1,300 restarts a day.
+// MaxGone is the maximum number of departed upstreams that are kept, each as a name and
+// a few numbers. Stale announcements arrive within seconds; 4,096 departures cover three
+// days at 1,300 restarts per day.
 const MaxGone = 4096
 
-// Roster holds all upstreams. It is not safe for concurrent use.
+// Roster holds the records of all upstreams. It is not safe for concurrent use.
 type Roster struct {
 	upstreams map[string]*Upstream
 	// gone lists departed upstreams, oldest first.
 	gone []string
-	// revision grows with each change that matters to those who send work.
+	// revision grows with each change that is relevant to senders of requests.
 	revision uint64
-	// births tells that an upstream has told its birth.
-	births bool
-	// changed is the revision of each upstream's latest change, and order lists the
-	// changes by revision. All that came after revision floor are known.
-	changed map[string]uint64
-	order   []change
-	floor   uint64
-	// live is the list of the upstreams that are not gone, nil after a change.
+	// startTimes is true if an upstream has announced its start time.
+	startTimes bool
+	// lastChange is the revision of each upstream's latest change, and changes lists the
+	// changes by revision. oldest is the compaction point: all changes after it are
+	// available.
+	lastChange map[string]uint64
+	changes    []change
+	oldest     uint64
+	// live caches the list of the upstreams that are not gone; it is nil after a change.
 	live []Upstream
-	// cold names the upstreams that serve and are cold.
+	// cold is the set of upstreams that serve and are cold.
 	cold map[string]bool
 }
 
-// change is one upstream's change. It is outdated once the upstream has changed again.
+// change is a change of one upstream. It is obsolete once the upstream has changed again.
 type change struct {
 	revision uint64
 	id       string
@@ -123,13 +128,13 @@
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{upstreams: make(map[string]*Upstream), changed: make(map[string]uint64), cold: make(map[string]bool)}
+	return &Roster{upstreams: make(map[string]*Upstream), lastChange: make(map[string]uint64), cold: make(map[string]bool)}
 }
 
-// Revision grows with every change.
+// Revision returns the revision of the latest change.
 func (r *Roster) Revision() uint64 { return r.revision }
 
-// Changes reports whether Announce would change anything but the sequence.
+// Changes reports whether Announce would change anything other than the sequence.
 func (r *Roster) Changes(a Upstream) bool {
 	held := r.upstreams[a.ID]
 	if held == nil {
@@ -142,28 +147,30 @@
 	return !same(held, &merged)
 }
 
-// Outdated reports whether a is a word of a former life of its upstream.
+// Outdated reports whether a is an announcement of a previous incarnation of its upstream.
 func (r *Roster) Outdated(a Upstream) bool {
 	held := r.upstreams[a.ID]
 	return held != nil && precedes(a, held) && !replaces(held, a)
 }
 
-// Precedes reports whether a is of a life before the known one, as far as births tell.
+// Precedes reports whether, by start times alone, a is of an incarnation before the known
+// one.
 func (r *Roster) Precedes(a Upstream) bool {
 	held := r.upstreams[a.ID]
 	return held != nil && precedes(a, held)
 }
 
+// precedes reports whether a has an earlier start time than held, or that of the
+// incarnation which held superseded.
 func precedes(a Upstream, held *Upstream) bool {
-	return a.StartedMs != 0 && (a.StartedMs < held.StartedMs || a.StartedMs == held.Former)
+	return a.StartedMs != 0 && (a.StartedMs < held.StartedMs || a.StartedMs == held.Superseded)
 }
 
-// ReportsStartTimes reports whether upstreams tell their births here. A word without
-// one is then no upstream's own, but for a farewell.
-func (r *Roster) ReportsStartTimes() bool { return r.births }
+// ReportsStartTimes reports whether an upstream has announced its start time. If so, an
+// announcement without one does not come from an upstream itself, unless it is a departure.
+func (r *Roster) ReportsStartTimes() bool { return r.startTimes }
 
-// Announce takes in what an upstream says and reports whether that changed
-// anything.
+// Announce applies an announcement and reports whether it changed anything.
 func (r *Roster) Announce(a Upstream) bool {
 	if !r.Changes(a) {
 		return false
@@ -176,41 +183,41 @@
 	merged := merge(held, a)
 	r.upstreams[a.ID] = &merged
 	r.live = nil
-	r.noteCold(&merged)
-	r.noteChange(a.ID)
-	r.births = r.births || merged.StartedMs != 0
+	r.updateCold(&merged)
+	r.recordChange(a.ID)
+	r.startTimes = r.startTimes || merged.StartedMs != 0
 	switch isGone := merged.State == Gone; {
 	case isGone && !wasGone:
-		r.bury(a.ID)
+		r.recordGone(a.ID)
 	case wasGone && !isGone:
 		r.gone = slices.DeleteFunc(r.gone, func(id string) bool { return id == a.ID })
 	}
 	return true
 }
 
-// replaces reports whether nothing of held remains beside a: a is of a later life,
-// or names another service. An upstream never changes its service, so that one of
-// the two is not its own word; whoever takes in a has judged which. A record
-// without a birth goes on under the first that is told.
+// replaces reports whether a replaces held completely: it is of a newer incarnation, or
+// names another service. An upstream never changes its service, so one of the two was
+// announced by another writer; the caller of Announce has decided which. A record without
+// a start time adopts the first one announced.
 func replaces(held *Upstream, a Upstream) bool {
-	if held.StartedMs != 0 && (a.StartedMs > held.StartedMs && a.StartedMs != held.Former || a.Follows == held.StartedMs) {
+	if held.StartedMs != 0 && (a.StartedMs > held.StartedMs && a.StartedMs != held.Superseded || a.Follows == held.StartedMs) {
 		return true
 	}
 	return held.State != Gone && a.State != Gone && held.Service != "" && a.Service != "" && held.Service != a.Service
 }
 
-// merge returns held with what a adds. Within one life states only move on; a
-// later life owes nothing to the former.
+// merge returns held with the announcement a applied. Within one incarnation the state
+// only advances; a newer incarnation keeps nothing of the previous one.
 func merge(held *Upstream, a Upstream) Upstream {
-	former := max(held.Former, a.Follows)
+	superseded := max(held.Superseded, a.Follows)
 	if replaces(held, a) {
 		held = &Upstream{}
 	}
 	merged := a
 	merged.StartedMs = max(held.StartedMs, a.StartedMs)
-	merged.Follows, merged.Former = 0, 0
-	if former > merged.StartedMs {
-		merged.Former = former
+	merged.Follows, merged.Superseded = 0, 0
+	if superseded > merged.StartedMs {
+		merged.Superseded = superseded
 	}
 	merged.State = max(held.State, a.State)
 	merged.Sequence = max(held.Sequence, a.Sequence)
@@ -223,10 +230,10 @@
 	return merged
 }
 
-// newest merges what is loaded. Versions only grow within one life, so that a
-// late announcement does not take back a load that has been seen already.
-func newest(held, told []Loaded) []Loaded {
-	merged := slices.Clone(told)
+// newest merges two lists of loaded versions. Within one incarnation versions only grow, so
+// that a stale announcement does not revert a load that was already announced.
+func newest(held, announced []Loaded) []Loaded {
+	merged := slices.Clone(announced)
 	for _, old := range held {
 		i := slices.IndexFunc(merged, func(l Loaded) bool { return l.Model == old.Model })
 		switch {
@@ -240,18 +247,21 @@
 	return merged
 }
 
+// same reports whether two records are equal for readers. The sequence counts only for a
+// cold upstream, whose cold time restarts with each announcement.
 func same(a, b *Upstream) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre &&
 		a.State == b.State && a.Slots == b.Slots && a.StartedMs == b.StartedMs && slices.Equal(a.Loaded, b.Loaded) &&
 		a.ColdMs == b.ColdMs && a.Doubts == b.Doubts && (b.ColdMs == 0 || a.Sequence == b.Sequence)
 }
 
-func (r *Roster) bury(id string) {
+// recordGone records a departure and drops the oldest ones beyond MaxGone.
+func (r *Roster) recordGone(id string) {
 	r.gone = append(r.gone, id)
 	for len(r.gone) > MaxGone {
-		// Who has not heard of its end must be told all.
-		r.floor = max(r.floor, r.changed[r.gone[0]])
-		delete(r.changed, r.gone[0])
+		// A reader that has not received this departure must be sent the complete roster.
+		r.oldest = max(r.oldest, r.lastChange[r.gone[0]])
+		delete(r.lastChange, r.gone[0])
 		delete(r.upstreams, r.gone[0])
 		r.live = nil
 		r.gone = r.gone[1:]
@@ -267,9 +277,9 @@
 	return *held, true
 }
 
-// Live lists the upstreams that are not gone, by name. The list is the caller's own.
-// It is asked for many times between two changes, and putting three thousand in order
-// takes milliseconds.
+// Live returns the upstreams that are not gone, sorted by name. The caller owns the list.
+// The sorted list is cached, since it is requested many times between two changes and
+// sorting 3,000 upstreams takes milliseconds.
 func (r *Roster) Live() []Upstream {
 	if r.live == nil {
 		r.live = make([]Upstream, 0, len(r.upstreams))
@@ -282,7 +292,7 @@
 	return slices.Clone(r.live)
 }
 
-// LiveIDs names the upstreams that are not gone, in no order.
+// LiveIDs returns the names of the upstreams that are not gone, unsorted.
 func (r *Roster) LiveIDs() []string {
 	ids := make([]string, 0, len(r.upstreams)-len(r.gone))
 	for id, u := range r.upstreams {
@@ -293,37 +303,38 @@
 	return ids
 }
 
-// Saved is a roster's whole state.
+// Saved is a roster's complete state.
 type Saved struct {
 	Upstreams []Upstream `cbor:"1,keyasint"`
 	Gone      []string   `cbor:"2,keyasint"`
 	Revision  uint64     `cbor:"3,keyasint"`
 	// Changed is the revision of each upstream's latest change, in the order of
-	// Upstreams, and Floor the revision after which all changes are known.
+	// Upstreams. Oldest is the compaction point: all changes after that revision are
+	// available.
 	Changed []uint64 `cbor:"4,keyasint,omitempty"`
-	Floor   uint64   `cbor:"5,keyasint,omitempty"`
+	Oldest  uint64   `cbor:"5,keyasint,omitempty"`
 }
 
-// Save returns the state.
+// Save returns the complete state.
 func (r *Roster) Save() Saved {
-	s := Saved{Gone: slices.Clone(r.gone), Revision: r.revision, Floor: r.floor}
+	s := Saved{Gone: slices.Clone(r.gone), Revision: r.revision, Oldest: r.oldest}
 	for _, id := range slices.Sorted(maps.Keys(r.upstreams)) {
 		s.Upstreams = append(s.Upstreams, *r.upstreams[id])
-		s.Changed = append(s.Changed, r.changed[id])
+		s.Changed = append(s.Changed, r.lastChange[id])
 	}
 	return s
 }
 
-// Restore replaces the state.
+// Restore replaces the state by a saved one.
 func (r *Roster) Restore(s Saved) {
 	r.upstreams = make(map[string]*Upstream, len(s.Upstreams))
 	r.live = nil
-	r.births, r.cold = false, make(map[string]bool)
+	r.startTimes, r.cold = false, make(map[string]bool)
 	for i := range s.Upstreams {
 		u := s.Upstreams[i]
 		r.upstreams[u.ID] = &u
-		r.noteCold(&u)
-		r.births = r.births || u.StartedMs != 0
+		r.updateCold(&u)
+		r.startTimes = r.startTimes || u.StartedMs != 0
 	}
 	r.gone = slices.Clone(s.Gone)
 	r.revision = s.Revision
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -7,49 +7,49 @@
 	"testing"
 )
 
-func beat(id string, sequence uint64, state State) Upstream {
+func announcement(id string, sequence uint64, state State) Upstream {
 	return Upstream{ID: id, Service: "llm", Address: "10.0.0.1:80", DataCentre: "north", State: state, Slots: 4, Sequence: sequence}
 }
 
-// A caller's request would reach a runner that was promised no more work. The
-// runner says that it leaves and is answered; then its announcement from before,
-// held up on the way, arrives.
-func TestLeavingIsForGood(t *testing.T) {
+// Guards against requests to a runner that was promised no new work: the runner announces
+// that it leaves and is answered, then an earlier announcement arrives late.
+func TestLeavingIsFinal(t *testing.T) {
 	r := New()
-	r.Announce(beat("a", 1, Serving))
-	r.Announce(beat("a", 5, Leaving))
-	for _, late := range []Upstream{beat("a", 4, Serving), beat("a", 6, Serving)} {
+	r.Announce(announcement("a", 1, Serving))
+	r.Announce(announcement("a", 5, Leaving))
+	for _, late := range []Upstream{announcement("a", 4, Serving), announcement("a", 6, Serving)} {
 		r.Announce(late)
 		if u, _ := r.Get("a"); u.State != Leaving {
 			t.Fatalf("after announcement %d the runner is %v", late.Sequence, u.State)
 		}
 	}
 	r.Announce(Upstream{ID: "a", State: Gone})
-	r.Announce(beat("a", 9, Serving))
+	r.Announce(announcement("a", 9, Serving))
 	if u, _ := r.Get("a"); u.State != Gone || len(r.Live()) != 0 {
-		t.Fatalf("after its farewell the runner is %v, live %v", u.State, r.Live())
+		t.Fatalf("after its departure the runner is %v, live %v", u.State, r.Live())
 	}
 }
 
-func TestFarewellOfAnUnknownUpstreamIsKept(t *testing.T) {
+// A departure that overtakes the upstream's first announcement keeps it gone.
+func TestDepartureOfUnknownUpstreamIsKept(t *testing.T) {
 	r := New()
 	r.Announce(Upstream{ID: "a", State: Gone})
-	r.Announce(beat("a", 1, Serving))
+	r.Announce(announcement("a", 1, Serving))
 	if len(r.Live()) != 0 {
-		t.Fatal("an announcement that came after the farewell brought the upstream in")
+		t.Fatal("an announcement after the departure added the upstream")
 	}
 }
 
-// Announcements come every second from each upstream; only changes may cost a
-// place in the replicated log.
+// Each upstream announces itself every second; only changes may take an entry in the
+// replicated log.
 func TestRepeatedAnnouncementsChangeNothing(t *testing.T) {
 	r := New()
-	if !r.Announce(beat("a", 1, Serving)) {
-		t.Fatal("the first changed nothing")
+	if !r.Announce(announcement("a", 1, Serving)) {
+		t.Fatal("the first announcement changed nothing")
 	}
 	before := r.Revision()
 	for sequence := uint64(2); sequence < 10; sequence++ {
-		if r.Changes(beat("a", sequence, Serving)) || r.Announce(beat("a", sequence, Serving)) {
+		if r.Changes(announcement("a", sequence, Serving)) || r.Announce(announcement("a", sequence, Serving)) {
 			t.Fatalf("announcement %d changed something", sequence)
 		}
 	}
@@ -58,17 +58,17 @@
 	}
 }
 
-// A runner has loaded new weights, as its report told; an announcement that it
-// sent before must not make requests ask for the old ones.
+// A runner has reported new weights; an announcement that it sent before must not make
+// requests ask for the old version.
 func TestLoadedVersionsOnlyGrow(t *testing.T) {
 	r := New()
-	old := beat("a", 1, Serving)
+	old := announcement("a", 1, Serving)
 	old.Loaded = []Loaded{{"m", 1}}
 	r.Announce(old)
-	loaded := beat("a", 1, Serving)
-	loaded.Loaded = []Loaded{{"m", 2}}
-	r.Announce(loaded)
-	late := beat("a", 2, Serving)
+	newer := announcement("a", 1, Serving)
+	newer.Loaded = []Loaded{{"m", 2}}
+	r.Announce(newer)
+	late := announcement("a", 2, Serving)
 	late.Loaded = []Loaded{{"m", 1}}
 	r.Announce(late)
 	if u, _ := r.Get("a"); u.VersionOf("m") != 2 {
@@ -88,25 +88,24 @@
 
 func TestRestoreGivesTheSameState(t *testing.T) {
 	r := New()
-	r.Announce(beat("b", 1, Serving))
-	r.Announce(beat("a", 3, Leaving))
+	r.Announce(announcement("b", 1, Serving))
+	r.Announce(announcement("a", 3, Leaving))
 	r.Announce(Upstream{ID: "c", State: Gone})
 	other := New()
 	other.Restore(r.Save())
 	if !reflect.DeepEqual(r.Live(), other.Live()) || r.Revision() != other.Revision() {
 		t.Fatalf("restored %v at %d, want %v at %d", other.Live(), other.Revision(), r.Live(), r.Revision())
 	}
-	other.Announce(beat("c", 9, Serving))
+	other.Announce(announcement("c", 9, Serving))
 	if len(other.Live()) != 2 {
-		t.Fatal("a restored roster forgot who is gone")
+		t.Fatal("a restored roster lost a departed upstream")
 	}
 }
 
-// An entry that holds an older revision is told what changed since, and nothing else.
-// Told too little, it would send requests to upstreams that have left for as long as it
-// runs. A thousand random changes, with readers that lag, skip and come new, and a host
-// that goes on from a snapshot between.
-func TestChangesSinceARevisionLeadToTheRoster(t *testing.T) {
+// An entry with an older revision is sent the changes since and nothing else. If a change
+// were missing, it would send requests to departed upstreams for as long as it runs. 1,000
+// random changes, with readers that lag, skip or are new, and restores from snapshots.
+func TestPagesSinceRevisionReproduceRoster(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 2))
 	r := New()
 	type reader struct {
@@ -115,7 +114,7 @@
 		held     map[string]Upstream
 	}
 	readers := make([]reader, 4)
-	whole, parts := 0, 0
+	complete, incremental := 0, 0
 	for step := range 1000 {
 		r.Announce(Upstream{
 			ID: fmt.Sprint("u", random.IntN(30)), Service: "s", Address: fmt.Sprint("a", random.IntN(9)),
@@ -129,10 +128,10 @@
 		reader := &readers[random.IntN(len(readers))]
 		if reader.held == nil || random.IntN(3) > 0 {
 			if reader.held == nil || !reader.listing && !r.Covers(reader.revision) {
-				whole++
+				complete++
 				reader.held, reader.revision, reader.listing = make(map[string]Upstream), 0, true
 			} else {
-				parts++
+				incremental++
 			}
 			changed, upTo := r.Page(reader.revision, 7)
 			if len(changed) > 7 {
@@ -159,7 +158,7 @@
 			}
 		}
 	}
-	if parts < 10*whole {
-		t.Errorf("told all %d times, changes %d times", whole, parts)
+	if incremental < 10*complete {
+		t.Errorf("%d complete listings, %d incremental ones", complete, incremental)
 	}
 }
--- a/roster/succession.go
+++ b/roster/succession.go
@@ -6,107 +6,112 @@
 )
 
 const (
-	// LateWithin is for how long after its sender's end a word may still arrive.
-	LateWithin = 10 * time.Second
-	// successionWords is the least number of words, each with a higher count, by which
-	// an earlier-born life shows that it is the present one.
-	successionWords = 4
-	// maxSuccessors bounds the lives under observation.
-	maxSuccessors = 4096
+	// MaxAnnouncementDelay is how long after its sender's end an announcement may still
+	// arrive.
+	MaxAnnouncementDelay = 10 * time.Second
+	// minAnnouncements is the minimum number of announcements, with growing sequence
+	// numbers, by which an incarnation with an earlier start time proves to be current.
+	minAnnouncements = 4
+	// maxObserved is the maximum number of incarnations under observation.
+	maxObserved = 4096
 )
 
-// Successions finds earlier-born lives that follow later-born ones, as after the clock
-// of an upstream's host has stepped back between two starts.
+// Successions detects incarnations that follow one with a later start time, as happens
+// when the clock of an upstream's host has stepped back between two starts.
 //
-// Late words can't pass for those of a present life. All of a life that ended before
-// the known one was first heard arrive within LateWithin of that. An earlier-born life
-// is present once it has gone on announcing itself with a growing count for longer
-// than that, without a pause, while nothing was heard of the known one. Whoever forges
-// such words gains nothing: a forged later birth is taken in at once, and a known life
-// that runs is heard meanwhile.
+// Stale announcements can't be mistaken for those of a running incarnation. If an
+// incarnation ended before the known one first announced itself, all its announcements
+// arrive within MaxAnnouncementDelay of that. An incarnation with an earlier start time is
+// therefore current once it has announced itself with growing sequence numbers for longer
+// than that, without a gap, while nothing was received from the known one. Forging such
+// announcements gains nothing: a forged later start time would be accepted immediately,
+// and a known incarnation that runs is received in the meantime.
 //
-// It belongs to whoever judges words before they are committed, and is not part of the
-// replicated state. It is not safe for concurrent use.
+// The leader, which checks announcements before they are committed, uses it; it is not part
+// of the replicated state. It is not safe for concurrent use.
 type Successions struct {
-	// successors are the lives under observation by name, one of each upstream.
+	// successors are the incarnations under observation by name, one per upstream.
 	successors map[string]*successor
 }
 
-// successor is an earlier-born life that announces itself.
+// successor is an incarnation with an earlier start time that announces itself.
 type successor struct {
-	born, sequence uint64
-	// state is the latest that it has come to.
+	startedMs, sequence uint64
+	// state is the most advanced state it has announced.
 	state State
-	// over is the birth of the known life.
-	over uint64
-	// words came from since on, the latest at last.
-	words       int
-	since, last time.Time
-	// found is when the life was found to be the present one.
-	found time.Time
+	// knownStartedMs is the start time of the known incarnation.
+	knownStartedMs uint64
+	// announcements is how many were counted since first; last is when the latest was
+	// received.
+	announcements int
+	first, last   time.Time
+	// confirmedAt is when the incarnation was last found to be the current one.
+	confirmedAt time.Time
 }
 
-// Receive takes in a word of an earlier-born life than the one held, which was last heard
-// at heard, and reports whether its life is the present one. Words more than pause apart
-// don't belong together.
-func (s *Successions) Receive(a, held Upstream, heard, now time.Time, pause time.Duration) bool {
+// Receive processes an announcement of an incarnation with an earlier start time than the
+// one held, which was last received at lastContact, and reports whether the announced
+// incarnation is the current one. Announcements more than maxGap apart are not combined.
+func (s *Successions) Receive(a, held Upstream, lastContact, now time.Time, maxGap time.Duration) bool {
 	c := s.successors[a.ID]
 	switch {
 	case a.Service != held.Service && a.State != Gone:
 		return false
 	case a.State == Gone:
-		if c != nil && c.born == a.StartedMs {
+		if c != nil && c.startedMs == a.StartedMs {
 			c.state, c.last = Gone, now
 		}
 		return false
-	case c != nil && c.over == held.StartedMs && c.born != a.StartedMs && now.Sub(c.last) <= pause:
-		// One life at a time: late words of another one must not hold it up.
+	case c != nil && c.knownStartedMs == held.StartedMs && c.startedMs != a.StartedMs && now.Sub(c.last) <= maxGap:
+		// One incarnation is observed at a time: stale announcements of another one must
+		// not delay it.
 		return false
-	case c == nil || c.over != held.StartedMs || c.born != a.StartedMs || now.Sub(c.last) > pause:
-		if c = s.begin(a.ID, now, pause); c == nil {
+	case c == nil || c.knownStartedMs != held.StartedMs || c.startedMs != a.StartedMs || now.Sub(c.last) > maxGap:
+		if c = s.begin(a.ID, now, maxGap); c == nil {
 			return false
 		}
-		*c = successor{born: a.StartedMs, over: held.StartedMs, since: now}
+		*c = successor{startedMs: a.StartedMs, knownStartedMs: held.StartedMs, first: now}
 	case a.State < c.state:
-		// Leaving is for good, as long as words go on.
+		// Leaving is final as long as the announcements continue.
 		c.last = now
 		return false
 	case a.Sequence <= c.sequence:
 		return false
-	case heard.After(c.since) && heard.After(c.found):
-		*c = successor{born: a.StartedMs, over: held.StartedMs, since: now}
+	case lastContact.After(c.first) && lastContact.After(c.confirmedAt):
+		*c = successor{startedMs: a.StartedMs, knownStartedMs: held.StartedMs, first: now}
 	}
 	c.sequence, c.state, c.last = a.Sequence, a.State, now
-	c.words++
-	if c.words < successionWords || now.Sub(c.since) <= LateWithin {
+	c.announcements++
+	if c.announcements < minAnnouncements || now.Sub(c.first) <= MaxAnnouncementDelay {
 		return false
 	}
-	c.found = now
+	c.confirmedAt = now
 	return true
 }
 
-// Observes reports whether the life of a word has announced itself more than once, without
-// a pause up to now: it may be the present one.
-func (s *Successions) Observes(a Upstream, now time.Time, pause time.Duration) bool {
+// Observes reports whether the incarnation of an announcement has announced itself more than
+// once, without a gap up to now, so that it may be the current one.
+func (s *Successions) Observes(a Upstream, now time.Time, maxGap time.Duration) bool {
 	c := s.successors[a.ID]
-	return c != nil && c.born == a.StartedMs && c.words > 1 && now.Sub(c.last) <= pause
+	return c != nil && c.startedMs == a.StartedMs && c.announcements > 1 && now.Sub(c.last) <= maxGap
 }
 
-// Drop ends the observation of an upstream that has said that it leaves or is gone.
+// Drop ends the observation of an upstream that has announced that it leaves or is gone.
 func (s *Successions) Drop(id string) { delete(s.successors, id) }
 
-// begin returns room for the observation of an upstream, nil if there is none.
-func (s *Successions) begin(id string, now time.Time, pause time.Duration) *successor {
+// begin returns the observation of an upstream, a new one if there is none yet, or nil if
+// maxObserved is reached.
+func (s *Successions) begin(id string, now time.Time, maxGap time.Duration) *successor {
 	if s.successors == nil {
 		s.successors = make(map[string]*successor)
 	}
 	if c := s.successors[id]; c != nil {
 		return c
 	}
-	if len(s.successors) >= maxSuccessors {
-		maps.DeleteFunc(s.successors, func(_ string, c *successor) bool { return now.Sub(c.last) > pause })
+	if len(s.successors) >= maxObserved {
+		maps.DeleteFunc(s.successors, func(_ string, c *successor) bool { return now.Sub(c.last) > maxGap })
 	}
-	if len(s.successors) >= maxSuccessors {
+	if len(s.successors) >= maxObserved {
 		return nil
 	}
 	c := &successor{}
