--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -42,9 +42,8 @@
 	return table
 }
 
-// A daemon dies or joins while callers keep coming. Only the cells that it owns
-// may move, else every membership change would rebuild the directories of the
-// whole deployment and the returning prompts would be computed again.
+// Guards against membership changes that move cells of other members: each would rebuild the
+// directories of the whole deployment, and kept prompts would be recomputed.
 func TestMembershipChangeMovesFewCells(t *testing.T) {
 	centres := []ident.DataCentre{"dc-1", "dc-2", "dc-3", "dc-4", "dc-5", "dc-6", "dc-7"}
 	all := members(670, centres...)
@@ -64,39 +63,39 @@
 		}
 	}
 	if moved != 0 {
-		t.Errorf("%d owners changed that were not the lost one", moved)
+		t.Errorf("%d owners other than the lost member changed", moved)
 	}
 	if owned == 0 || owned > 30 {
 		t.Errorf("the lost member owned %d of 1200 cells, want about 5", owned)
 	}
 }
 
-// A prompt's home dies and comes back. Prompts of other homes stay, and those
-// of the dead one spread over all remaining owners rather than onto one.
+// A prompt's home fails: prompts of other homes must not move, and those of the failed one
+// must spread over all remaining owners rather than move to one.
 func TestHomeMovesOnlyFromLostOwner(t *testing.T) {
 	ms := members(9, "hall-north", "hall-dock", "hall-office")
 	c := ident.Cell{Model: "appraiser-llm", DataCentre: "hall-north"}
 	before := newTable(t, 9, ms)
 	after := newTable(t, 9, ms[1:])
 	random := rand.New(rand.NewPCG(1, 2))
-	inherited := map[ident.Host]int{}
+	received := map[ident.Host]int{}
 	for range 9000 {
 		key := random.Uint64()
 		was, _ := before.Home(c, key)
 		is, _ := after.Home(c, key)
 		switch {
 		case was == ms[0].Host:
-			inherited[is]++
+			received[is]++
 		case was != is:
 			t.Fatalf("prompt %x moved from %s to %s, neither of which was lost", key, was, is)
 		}
 	}
-	if len(inherited) != 8 {
-		t.Errorf("the lost home's prompts went to %d owners, want 8", len(inherited))
+	if len(received) != 8 {
+		t.Errorf("the lost home's prompts moved to %d owners, want 8", len(received))
 	}
-	for host, n := range inherited {
+	for host, n := range received {
 		if n > 250 {
-			t.Errorf("%s inherited %d of about 1000 prompts", host, n)
+			t.Errorf("%s received %d of about 1000 prompts", host, n)
 		}
 	}
 }
@@ -124,7 +123,7 @@
 		})
 	}
 	if err := newTable(t, 1, nil).SetMembers([]Member{{"a", "x"}, {"a", "y"}}); err == nil {
-		t.Error("a host listed twice was taken")
+		t.Error("a host listed twice was accepted")
 	}
 }
 
@@ -134,7 +133,7 @@
 		name := ident.Upstream(fmt.Sprintf("runner-%d", i))
 		was, is := ShardOf(name, 11), ShardOf(name, 12)
 		if was != is && is != 11 {
-			t.Fatalf("%s moved between old shards %d and %d", name, was, is)
+			t.Fatalf("%s moved between existing shards %d and %d", name, was, is)
 		}
 		if was != is {
 			moved++
@@ -145,8 +144,8 @@
 	}
 }
 
-// An owner's summaries overtake each other on two paths, or stop because it
-// died. The newest stands, and a silent cell is no longer chosen.
+// An owner's summaries arrive out of order on two paths, or stop because it crashed. The
+// newest one must be kept, and a cell without a valid summary must not be picked.
 func TestDirectory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -156,17 +155,17 @@
 	d.Put(now, Summary{Cell: near, QueueWait: time.Second, FreeSlots: 1, Sequence: 2, From: "a"})
 	d.Put(now, Summary{Cell: far, FreeSlots: 8, Sequence: 1, From: "b"})
 	if d.Put(now, Summary{Cell: near, Sequence: 1, From: "a"}) {
-		t.Error("an overtaken summary replaced a newer one")
+		t.Error("an older summary replaced a newer one")
 	}
 	if c, ok := d.Pick(now, "m", random); !ok || c != far {
 		t.Errorf("picked %v, %v; want the idle cell", c, ok)
 	}
 	later := now.Add(SummaryLifetime + time.Millisecond)
 	if c, ok := d.Pick(later, "m", random); ok {
-		t.Errorf("picked %v, of which nothing was heard", c)
+		t.Errorf("picked %v, whose summary has expired", c)
 	}
-	d.Expire(now.Add(forgetAfter + time.Second))
+	d.Expire(now.Add(expireAfter + time.Second))
 	if len(d.byCell) != 0 || len(d.byModel) != 0 {
-		t.Error("silent cells were kept")
+		t.Error("expired cells were kept")
 	}
 }
--- a/cell/rendezvous.go
+++ b/cell/rendezvous.go
@@ -6,8 +6,8 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// keyOf hashes a cell. The separators keep ("ab","c") and ("a","bc") apart.
-func keyOf(c ident.Cell) uint64 {
+// hashCell hashes a cell. The separators make ("ab","c") and ("a","bc") distinct.
+func hashCell(c ident.Cell) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(c.Model))
@@ -16,9 +16,9 @@
 	return d.Sum64()
 }
 
-// score is the rendezvous weight of a member for a key. The finaliser of
-// splitmix64 spreads the exclusive-or, which alone would order the members
-// alike for related keys.
+// score returns the rendezvous weight of a member for a key: the exclusive-or of both,
+// mixed by the finaliser of splitmix64. The exclusive-or alone would rank the members
+// similarly for related keys.
 func score(member, key uint64) uint64 {
 	x := member ^ key
 	x ^= x >> 30
@@ -28,20 +28,21 @@
 	return x ^ x>>31
 }
 
-// ShardOf places an upstream in one of the shards of its model and data
-// centre. Raising the count by one moves about 1/shards of the upstreams and
-// none between old shards.
+// ShardOf returns an upstream's shard among those of its model and data centre. Adding a
+// shard moves about 1/shards of the upstreams into it and none between existing shards.
 func ShardOf(upstream ident.Upstream, shards int) uint16 {
-	return uint16(highest(xxhash.Sum64String(string(upstream)), shards))
+	return uint16(highestScoring(xxhash.Sum64String(string(upstream)), shards))
 }
 
-// PromptShard places a prompt, named by the hash of its first block, in one of
-// the shards of its model and data centre, with the same few moves as ShardOf.
+// PromptShard returns the shard, among those of its model and data centre, of a prompt
+// identified by the hash of its first block. Adding a shard moves as few prompts as ShardOf
+// moves upstreams.
 func PromptShard(firstBlock uint64, shards int) uint16 {
-	return uint16(highest(firstBlock, shards))
+	return uint16(highestScoring(firstBlock, shards))
 }
 
-func highest(key uint64, n int) int {
+// highestScoring returns the number below n with the highest score for the key.
+func highestScoring(key uint64, n int) int {
 	best, bestScore := 0, uint64(0)
 	for i := range n {
 		if s := score(score(uint64(i), 0x9e3779b97f4a7c15), key); s > bestScore {
--- a/cell/summary.go
+++ b/cell/summary.go
@@ -7,101 +7,103 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// MaxSummaries bounds the cells a Directory follows.
+// MaxSummaries is the maximum number of cells in a Directory.
 const MaxSummaries = 4096
 
-// SummaryLifetime is how long a summary is believed. Owners send one a second;
-// three may be lost before the cell is taken for unreachable.
+// SummaryLifetime is how long a summary is valid. Owners send one per second; three may be
+// lost before the cell counts as unreachable.
 const SummaryLifetime = 4 * time.Second
 
-// Summary is what daemons that do not own a cell know of it.
+// Summary describes a cell to entries that do not own it.
 type Summary struct {
 	Cell      ident.Cell `cbor:"1,keyasint"`
 	Upstreams int        `cbor:"2,keyasint"`
-	// FreeSlots is how many more requests the cell's upstreams can run at once.
+	// FreeSlots is how many more requests the cell's upstreams can run concurrently.
 	FreeSlots int `cbor:"3,keyasint"`
-	// QueueWait is the predicted wait of a new request.
+	// QueueWait is the predicted queueing time of a new request.
 	QueueWait time.Duration `cbor:"4,keyasint"`
-	// PrefillRate is the mean prompt tokens a second of one upstream.
+	// PrefillRate is the mean prefill rate of an upstream in tokens per second.
 	PrefillRate float64 `cbor:"5,keyasint"`
-	// LinkBusy is the mean share of the store links in use, 0 to 1.
+	// LinkBusy is the mean utilization of the store links, 0 to 1.
 	LinkBusy float64 `cbor:"6,keyasint"`
-	// Sequence grows with each summary of one owner's life.
+	// Sequence grows with each summary of one incarnation of an owner.
 	Sequence uint64 `cbor:"7,keyasint"`
 	// From is the owner that sent the summary.
 	From ident.Host `cbor:"8,keyasint"`
 }
 
-// Directory holds the summaries of the cells that a daemon does not own. It is
-// not safe for concurrent use.
+// Directory holds the summaries of the cells that an entry does not own. It is not safe for
+// concurrent use.
 type Directory struct {
-	byCell  map[ident.Cell]*entry
+	byCell  map[ident.Cell]*record
 	byModel map[ident.Model][]ident.Cell
 }
 
-type entry struct {
-	summary Summary
-	at      time.Time
-	// sent is work directed at the cell since the summary, so that many
-	// requests between two summaries don't all go to the same cell.
+// record is a cell's latest summary and the time at which it was received.
+type record struct {
+	summary    Summary
+	receivedAt time.Time
+	// sent is the number of requests sent to the cell since the summary. It is counted so
+	// that not all requests between two summaries go to the same cell.
 	sent int
 }
 
 // NewDirectory returns an empty Directory.
 func NewDirectory() *Directory {
 	return &Directory{
-		byCell:  make(map[ident.Cell]*entry),
+		byCell:  make(map[ident.Cell]*record),
 		byModel: make(map[ident.Model][]ident.Cell),
 	}
 }
 
-// Put takes a summary in. It reports false when the summary is older than the
-// one held from the same owner or when the Directory is full.
+// Put stores a summary. It returns false if the summary is not newer than the stored one
+// from the same owner, or if the Directory is full.
 func (d *Directory) Put(now time.Time, s Summary) bool {
-	e := d.byCell[s.Cell]
-	if e == nil {
+	r := d.byCell[s.Cell]
+	if r == nil {
 		if len(d.byCell) >= MaxSummaries {
 			return false
 		}
-		e = &entry{}
-		d.byCell[s.Cell] = e
+		r = &record{}
+		d.byCell[s.Cell] = r
 		d.byModel[s.Cell.Model] = append(d.byModel[s.Cell.Model], s.Cell)
-	} else if e.summary.From == s.From && s.Sequence <= e.summary.Sequence {
+	} else if r.summary.From == s.From && s.Sequence <= r.summary.Sequence {
 		return false
 	}
-	*e = entry{summary: s, at: now}
+	*r = record{summary: s, receivedAt: now}
 	return true
 }
 
-// Get returns the summary of a cell unless it is older than SummaryLifetime.
+// Get returns the summary of a cell, and false if there is none or it is older than
+// SummaryLifetime.
 func (d *Directory) Get(now time.Time, c ident.Cell) (Summary, bool) {
-	e := d.byCell[c]
-	if e == nil || now.Sub(e.at) > SummaryLifetime {
+	r := d.byCell[c]
+	if r == nil || now.Sub(r.receivedAt) > SummaryLifetime {
 		return Summary{}, false
 	}
-	return e.summary, true
+	return r.summary, true
 }
 
-// probes is how many cells Pick compares. Two random choices already keep the
-// fullest cell within a small constant of the mean; four allow for stale ones.
-const probes = 4
+// sampledCells is how many cells Pick compares. Two random choices already keep the fullest
+// cell within a small constant of the mean; four allow for cells with expired summaries.
+const sampledCells = 4
 
-// Pick returns a cell of the model with a short wait among a few drawn at
-// random, and counts the request as sent there. It looks at no more than
-// a fixed number of cells, whatever their count.
+// Pick returns the cell of the model with the shortest wait among sampledCells random ones,
+// and counts the request as sent there. It returns false if the sample has no valid summary.
+// Its cost does not depend on the number of cells.
 func (d *Directory) Pick(now time.Time, model ident.Model, random *rand.Rand) (ident.Cell, bool) {
 	cells := d.byModel[model]
 	if len(cells) == 0 {
 		return ident.Cell{}, false
 	}
-	var best *entry
-	for range probes {
-		e := d.byCell[cells[random.IntN(len(cells))]]
-		if now.Sub(e.at) > SummaryLifetime {
+	var best *record
+	for range sampledCells {
+		r := d.byCell[cells[random.IntN(len(cells))]]
+		if now.Sub(r.receivedAt) > SummaryLifetime {
 			continue
 		}
-		if best == nil || e.better(best) {
-			best = e
+		if best == nil || r.betterThan(best) {
+			best = r
 		}
 	}
 	if best == nil {
@@ -111,20 +113,21 @@
 	return best.summary.Cell, true
 }
 
-// better prefers the shorter wait, then the cell with more room left.
-func (e *entry) better(other *entry) bool {
-	if e.summary.QueueWait != other.summary.QueueWait {
-		return e.summary.QueueWait < other.summary.QueueWait
+// betterThan reports whether the cell has a shorter wait than other or, if equal, more free
+// slots.
+func (r *record) betterThan(other *record) bool {
+	if r.summary.QueueWait != other.summary.QueueWait {
+		return r.summary.QueueWait < other.summary.QueueWait
 	}
-	return e.summary.FreeSlots-e.sent > other.summary.FreeSlots-other.sent
+	return r.summary.FreeSlots-r.sent > other.summary.FreeSlots-other.sent
 }
 
-// Expire forgets cells without a summary for many lifetimes.
+// Expire removes cells without a summary for expireAfter.
 func (d *Directory) Expire(now time.Time) {
 	for model, cells := range d.byModel {
 		kept := cells[:0]
 		for _, c := range cells {
-			if now.Sub(d.byCell[c].at) > forgetAfter {
+			if now.Sub(d.byCell[c].receivedAt) > expireAfter {
 				delete(d.byCell, c)
 				continue
 			}
@@ -138,6 +141,6 @@
 	}
 }
 
-// forgetAfter outlasts a region parted for an hour, after which the cell is
-// most likely to be back.
-const forgetAfter = 2 * time.Hour
+// expireAfter is how long a cell is kept without a summary. It exceeds a partition of a
+// region for an hour, after which the cell most likely becomes reachable again.
+const expireAfter = 2 * time.Hour
--- a/cell/table.go
+++ b/cell/table.go
@@ -1,12 +1,11 @@
-// Package cell divides upstreams and kept prompts among entry daemons.
+// Package cell divides upstreams and kept prompts among entries.
 //
-// A cell is one model in one data centre, sharded further so that it holds
-// about a hundred upstreams. Every cell is owned by a few entry daemons, chosen
-// by rendezvous hashing over the members, so that a membership change moves
-// only the cells of the member that came or went and any daemon computes the
-// same owners from the same members. Within a cell the first block of a prompt
-// chooses the home daemon, which holds that prompt's part of the directory.
-// Daemons that own no part of a cell keep one Summary of it.
+// A cell is a shard of one model in one data centre, with about 100 upstreams. Each cell is
+// owned by a few entries, chosen by rendezvous hashing over the members: a membership change
+// moves only the cells of the member that joined or left, and every entry computes the same
+// owners from the same members. Within a cell, the first block of a prompt selects its home,
+// the entry that holds the prompt's part of the directory. Entries that don't own a cell
+// keep one Summary of it.
 package cell
 
 import (
@@ -22,20 +21,20 @@
 
 // Defaults of Options.
 const (
-	// DefaultOwners is how many daemons own a cell: two may be lost at once.
+	// DefaultOwners is how many entries own a cell, so that two may fail at the same time.
 	DefaultOwners = 3
-	// UpstreamsPerCell is the size above which a cell is sharded.
+	// UpstreamsPerCell is the number of upstreams above which a cell is sharded.
 	UpstreamsPerCell = 100
-	// MaxMembers bounds the members of a Table.
+	// MaxMembers is the maximum number of members of a Table.
 	MaxMembers = 4096
-	// maxCached bounds the cells whose owners a Table remembers.
+	// maxCached is the maximum number of cells whose owners a Table caches.
 	maxCached = 4096
 )
 
-// ErrTooManyMembers reports more members than MaxMembers.
+// ErrTooManyMembers is returned for more members than MaxMembers.
 var ErrTooManyMembers = errors.New("cell: too many members")
 
-// Member is an entry daemon that may own cells.
+// Member is an entry that may own cells.
 type Member struct {
 	Host       ident.Host
 	DataCentre ident.DataCentre
@@ -43,19 +42,20 @@
 
 // Options configure a Table.
 type Options struct {
-	// Owners is how many daemons own each cell. Zero means DefaultOwners. A
-	// deployment with no more members than Owners has every cell owned by all.
+	// Owners is how many entries own each cell; zero selects DefaultOwners. With Owners
+	// members or fewer, all of them own every cell.
 	Owners int
 }
 
-// Table computes owners and home daemons from the present members. It is not
-// safe for concurrent use.
+// Table computes owners and homes from the current members. It is not safe for concurrent
+// use.
 type Table struct {
 	owners  int
 	members []member
 	cached  map[ident.Cell][]ident.Host
 }
 
+// member is a Member with the hash of its host.
 type member struct {
 	Member
 	hash uint64
@@ -70,7 +70,8 @@
 	return &Table{owners: owners, cached: make(map[ident.Cell][]ident.Host)}
 }
 
-// SetMembers replaces the members. Hosts must be distinct.
+// SetMembers replaces the members. It returns an error if there are more than MaxMembers or
+// a host is listed twice.
 func (t *Table) SetMembers(members []Member) error {
 	if len(members) > MaxMembers {
 		return fmt.Errorf("%w: %d", ErrTooManyMembers, len(members))
@@ -89,9 +90,9 @@
 	return nil
 }
 
-// Owners returns the hosts that own a cell, most preferred first. Members in
-// the cell's own data centre come before others: when the data centre is lost,
-// the cell's upstreams are lost with it. The result must not be changed.
+// Owners returns the hosts that own a cell, most preferred first. Members in the cell's own
+// data centre come before others, because the cell's upstreams fail together with their data
+// centre. The caller must not modify the result.
 func (t *Table) Owners(c ident.Cell) []ident.Host {
 	if hosts, ok := t.cached[c]; ok {
 		return hosts
@@ -104,13 +105,14 @@
 	return hosts
 }
 
+// choose computes the owners of a cell.
 func (t *Table) choose(c ident.Cell) []ident.Host {
 	type ranked struct {
 		host   ident.Host
 		remote bool
 		score  uint64
 	}
-	key := keyOf(c)
+	key := hashCell(c)
 	all := make([]ranked, 0, len(t.members))
 	for _, m := range t.members {
 		all = append(all, ranked{m.Host, m.DataCentre != c.DataCentre, score(m.hash, key)})
@@ -131,13 +133,13 @@
 	return hosts
 }
 
-// Owns tells whether host is one of the owners of a cell.
+// Owns reports whether host is one of the owners of a cell.
 func (t *Table) Owns(host ident.Host, c ident.Cell) bool {
 	return slices.Contains(t.Owners(c), host)
 }
 
-// Home returns the owner that holds the directory part of a prompt, named by
-// the hash of its first block. It reports false when the cell has no owner.
+// Home returns the owner that holds the directory part of a prompt, which is identified by
+// the hash of its first block. It returns false if the cell has no owner.
 func (t *Table) Home(c ident.Cell, firstBlock uint64) (ident.Host, bool) {
 	var best ident.Host
 	var bestScore uint64
