--- a/relay/child.go
+++ b/relay/child.go
@@ -20,28 +20,28 @@
 	accepted bool
 }
 
-// NewChild returns a child that is attached to nobody. The claim's State tells
-// whether the process starts out alive.
+// NewChild returns a child without a parent. self.State is the state in which the process
+// starts.
 func NewChild(self member.Member) *Child {
 	return &Child{self: self, configs: config.NewFeed(), members: member.NewFeed()}
 }
 
-// Assign sets the incarnation in the child's claim. It comes before the first
+// Assign sets the incarnation in the child's claim. It must be called before the first
 // renewal.
 func (c *Child) Assign(incarnation ident.Incarnation) {
 	c.self.Stamp.Incarnation = incarnation
 }
 
-// Attach begins a session with another parent, or again with the same one after
-// it refused the last. The lease held stays valid until it runs out: whoever
-// granted it waits for it.
+// Attach starts a session with another parent, or a new one with the same parent after it
+// refused the last session. The lease held stays valid until it expires, because the parent
+// that granted it waits for its expiry.
 func (c *Child) Attach() {
 	c.self.Stamp.Session++
 	c.accepted = false
 }
 
-// Drain tells the parent from the next renewal on that callers should be sent
-// here no more.
+// Drain makes renewals, from the next one on, report that no more callers should be directed
+// to this process.
 func (c *Child) Drain() {
 	if c.self.State == member.StateAlive {
 		c.self.State = member.StateDraining
@@ -49,15 +49,15 @@
 	}
 }
 
-// Leave gives the lease up and makes the next renewal the last.
+// Leave releases the lease and makes the next renewal the last one.
 func (c *Child) Leave() {
 	c.self.State = member.StateDown
 	c.accepted = false
 	c.holder.Release()
 }
 
-// Renewal returns the message to send now. inForce is the latest revision that
-// is in force below; an entry, which has nothing below, passes Revision.
+// Renewal returns the renewal to send now. inForce is the latest revision in force at all
+// descendants; an entry, which has none, passes Revision.
 func (c *Child) Renewal(now time.Time, inForce config.Revision) Renewal {
 	renewal := Renewal{
 		Number:  c.holder.Request(now),
@@ -75,32 +75,33 @@
 	return renewal
 }
 
-// Effect tells what a message from the parent changed.
+// Effect describes what a message from the parent changed.
 type Effect struct {
-	// Granted: the answer was awaited and brought a lease.
+	// Granted is set if the answer was expected and granted a lease.
 	Granted bool
-	// Moved: the configuration moved forward.
+	// ConfigChanged is set if the configuration advanced.
 	ConfigChanged bool
-	// MembersMoved: the membership moved forward.
+	// MembersChanged is set if the membership advanced.
 	MembersChanged bool
-	// Reattach: the parent does not take this session; Attach and try again,
-	// elsewhere if it is full.
+	// Reattach is set if the parent refuses this session: the child has to Attach and
+	// retry, with another parent if this one is full.
 	Reattach bool
-	// Behind: a push started after what is held; renew now to catch up.
+	// Behind is set if an update starts after the version held: the child has to renew
+	// now to receive what is missing.
 	Behind bool
-	// Err is set when an update could not be applied. It was left out.
+	// Err is set if an update was invalid. The update was not applied.
 	Err error
 }
 
-// Renewed takes the answer to a renewal.
+// Renewed applies the answer to a renewal.
 func (c *Child) Renewed(answer Renewed) Effect {
 	var effect Effect
 	if answer.Members != nil {
 		err := c.members.Apply(*answer.Members)
 		effect.MembersChanged = err == nil
-		// A stale update is from a parent that lags; the next one is not.
+		// A stale update comes from a parent that lags; a later one won't be stale.
 		if !errors.Is(err, member.ErrStale) {
-			effect.note(err, member.ErrGap)
+			effect.recordError(err, member.ErrGap)
 		}
 	}
 	switch answer.Verdict {
@@ -117,16 +118,17 @@
 	return effect
 }
 
-// Pushed takes a configuration from the parent.
+// Pushed applies a configuration update from the parent.
 func (c *Child) Pushed(update config.Update) Effect {
 	var effect Effect
-	moved, err := c.configs.Apply(update)
-	effect.ConfigChanged = moved
-	effect.note(err, config.ErrGap)
+	changed, err := c.configs.Apply(update)
+	effect.ConfigChanged = changed
+	effect.recordError(err, config.ErrGap)
 	return effect
 }
 
-func (e *Effect) note(err, gap error) {
+// recordError sets Behind if err is gap, and Err for any other error.
+func (e *Effect) recordError(err, gap error) {
 	switch {
 	case err == nil:
 	case errors.Is(err, gap):
@@ -136,7 +138,8 @@
 	}
 }
 
-// Ack returns the word that a revision is in force here and below.
+// Ack returns the acknowledgement that a revision is in force at this process and all its
+// descendants.
 func (c *Child) Ack(inForce config.Revision) Ack {
 	return Ack{
 		Host:        c.self.Host,
@@ -145,16 +148,16 @@
 	}
 }
 
-// Serving reports whether new requests may be served now. A process that
-// drains still serves: callers that were told its address may come.
+// Serving reports whether new requests may be served now. A draining process still serves,
+// since callers that already have its address may send requests.
 func (c *Child) Serving(now time.Time) bool {
 	return c.self.State != member.StateDown && c.holder.Valid(now)
 }
 
-// Expiry returns when the lease ends unless it is renewed.
+// Expiry returns when the lease expires unless it is renewed.
 func (c *Child) Expiry() time.Time { return c.holder.Expiry() }
 
-// Revision returns the revision held.
+// Revision returns the configuration revision held.
 func (c *Child) Revision() config.Revision { return c.configs.Current().Revision() }
 
 // Config returns the configuration held.
--- a/relay/link.go
+++ b/relay/link.go
@@ -12,33 +12,32 @@
 )
 
 const (
-	// maxUnanswered is how many renewals in a row may stay without an answer
-	// before the child turns to another parent. Two leave it half a lease to
-	// find one.
+	// maxUnanswered is how many consecutive renewals may remain unanswered before the
+	// child switches to another parent. After two, half a lease remains to find one.
 	maxUnanswered = 2
-	// maxSwitchDelay bounds the wait between parents when none grants a lease.
+	// maxSwitchDelay is the maximum delay between parents while none grants a lease.
 	maxSwitchDelay = 4 * time.Second
 )
 
-// Link decides when a child renews and with which parent. It is not safe for
-// concurrent use.
+// Link determines when a child renews and with which parent. It is not safe for concurrent
+// use.
 type Link struct {
 	parents    []string
-	at         int
+	current    int
 	next       time.Time
 	unanswered int
-	// switches counts the parents tried since the last lease.
+	// switches is the number of switches to another parent since the last lease.
 	switches int
 }
 
-// NewLink returns a link over the addresses of the parents that settings name.
-// Each host tries them in an order of its own, so that the children of a lost
-// parent spread over all others. phase delays the first renewal.
+// NewLink returns a link to the parents with the configured addresses. Each host tries them in
+// its own order, so that the children of a lost parent spread over all others. phase is the
+// delay of the first renewal.
 func NewLink(host ident.Host, parents []string, now time.Time, phase time.Duration) *Link {
 	return &Link{parents: Order(host, parents), next: now.Add(phase)}
 }
 
-// Order sorts parents by a hash of host and address (rendezvous hashing).
+// Order returns the parents sorted by a hash of host and address (rendezvous hashing).
 func Order(host ident.Host, parents []string) []string {
 	sorted := slices.Clone(parents)
 	score := func(address string) uint64 {
@@ -50,23 +49,23 @@
 	return sorted
 }
 
-// Parent returns the address to send to, empty when there is none.
+// Parent returns the current parent's address, empty if none is configured.
 func (l *Link) Parent() string {
 	if len(l.parents) == 0 {
 		return ""
 	}
-	return l.parents[l.at]
+	return l.parents[l.current]
 }
 
 // Next returns when the next renewal is due.
 func (l *Link) Next() time.Time { return l.next }
 
-// Send is called when Next has come and a renewal is about to be sent. It
-// returns the parent to send to, and whether the child must Attach before,
-// because the last parent did not answer.
+// Send must be called before a renewal is sent, once the time Next is reached. It returns the
+// parent to send to. attach is true if the last parent did not answer: the child must then
+// Attach before it renews.
 func (l *Link) Send(now time.Time) (parent string, attach bool) {
 	if l.unanswered >= maxUnanswered {
-		l.change(now)
+		l.switchParent(now)
 		attach = true
 	}
 	l.unanswered++
@@ -74,8 +73,8 @@
 	return l.Parent(), attach
 }
 
-// Answered takes in what an answer to a renewal led to. It reports whether the
-// child must Attach before the next renewal.
+// Answered processes the answer to a renewal and its effect. It reports whether the child must
+// Attach before the next renewal.
 func (l *Link) Answered(now time.Time, answer Renewed, effect Effect) (attach bool) {
 	l.unanswered = 0
 	if answer.Refused == "" {
@@ -83,9 +82,9 @@
 	}
 	switch {
 	case answer.Verdict == member.VerdictFull, answer.Refused == RefusedNoLease:
-		// A full parent has no place; one without a lease lives but has lost
-		// its own parent, and another may not have.
-		l.change(now)
+		// A full parent accepts no more children. A parent without a lease runs but has
+		// lost its own parent; another one may have a lease.
+		l.switchParent(now)
 		return true
 	case effect.Reattach:
 		l.next = now
@@ -96,29 +95,30 @@
 	return false
 }
 
-// Moved is called when a push moved the child forward. A child without a lease
-// was probably refused for being behind and renews at once.
+// Moved must be called when a push advanced the child's configuration. A child without a
+// lease was probably refused for an old revision and renews immediately.
 func (l *Link) Moved(now time.Time, serving bool) {
 	if !serving {
 		l.next = now
 	}
 }
 
-// Behind asks for a renewal at once: a push showed that something is missing.
+// Behind schedules an immediate renewal, because a push showed that an update is missing.
 func (l *Link) Behind(now time.Time) { l.next = now }
 
-// change turns to the next parent. The first change costs no time; after it
-// the wait doubles, so that processes cut off from every parent don't send to
-// all of them all the time.
-func (l *Link) change(now time.Time) {
+// switchParent switches to the next parent. The first switch has no delay; the delay of
+// later ones doubles, so that processes without a connection to any parent don't send to all
+// of them continuously.
+func (l *Link) switchParent(now time.Time) {
 	l.unanswered = 0
 	if len(l.parents) > 0 {
-		l.at = (l.at + 1) % len(l.parents)
+		l.current = (l.current + 1) % len(l.parents)
 	}
 	l.next = now.Add(switchDelay(l.switches))
 	l.switches++
 }
 
+// switchDelay returns the delay before the next renewal after a number of earlier switches.
 func switchDelay(switches int) time.Duration {
 	if switches == 0 {
 		return 0
--- a/relay/options.go
+++ b/relay/options.go
@@ -7,18 +7,18 @@
 	"github.com/lovagereach/lovagereach/member"
 )
 
-// Defaults of ParentOptions. A lease is short, because a change waits for the
-// lease of a process that died. The root is more patient than a relay: a relay
-// may hold back a change while it waits for a child that is stuck, and must not
-// lose its own lease, and with it all its children, before that child does.
+// Defaults of ParentOptions. The lease term is short because a change waits for the lease of
+// a crashed process. The root's grace is longer than a relay's: a relay may delay its
+// acknowledgement while it waits for a stuck child, and must not lose its own lease, and with
+// it all its children, before that child loses its lease.
 const (
 	DefaultTerm          = 2 * time.Second
 	DefaultRelayAckGrace = time.Second
 	DefaultRootAckGrace  = 3500 * time.Millisecond
-	// MinTerm is the shortest lease worth granting.
+	// MinTerm is the shortest lease that is granted.
 	MinTerm = 200 * time.Millisecond
-	// RenewEvery is how often a child renews. Three renewals may be lost
-	// before a lease of DefaultTerm runs out.
+	// RenewEvery is the interval between a child's renewals. Three renewals may be lost
+	// before a lease of DefaultTerm expires.
 	RenewEvery = DefaultTerm / 4
 )
 
--- a/relay/parent.go
+++ b/relay/parent.go
@@ -9,33 +9,31 @@
 	"github.com/lovagereach/lovagereach/member"
 )
 
-// Configs is where a parent takes configuration from: the replicated state at
-// the leader, a feed at a relay.
+// Configs is a parent's source of configuration: the replicated state at the leader, a feed
+// at a relay.
 type Configs interface {
 	Current() *config.Snapshot
 	Since(held config.Revision) config.Update
 }
 
-// Members is where a parent takes membership from: the directory at the
-// leader, a feed at a relay.
+// Members is a parent's source of membership: the directory at the leader, a feed at a relay.
 type Members interface {
 	Version() member.Version
 	Since(have member.Version) (member.Update, bool)
 }
 
-// Parent grants leases to the processes below. It is not safe for concurrent
-// use.
+// Parent grants leases to its children. It is not safe for concurrent use.
 type Parent struct {
 	granter  *lease.Granter
 	registry *member.Registry
 	configs  Configs
 	members  Members
-	// sent is the revision each child has been sent or has said to hold, so
-	// that a push carries only what is missing.
+	// sent is the revision that each child was last sent or reported as held, so that a
+	// push contains only what is missing.
 	sent map[ident.Host]config.Revision
 }
 
-// NewParent returns a parent that grants from now on.
+// NewParent returns a parent that grants leases from now on.
 func NewParent(opts ParentOptions, now time.Time, configs Configs, members Members) (*Parent, error) {
 	registry, err := member.NewRegistry(opts.Registry)
 	if err != nil {
@@ -51,27 +49,26 @@
 	return parent, nil
 }
 
-// Committed tells the parent that a revision was committed or, at a relay, has
-// arrived.
+// Committed records that a revision was committed or, at a relay, received.
 func (p *Parent) Committed(now time.Time, revision config.Revision) {
 	p.granter.Committed(now, lease.Revision(revision))
 }
 
-// Term returns the length of a lease that nothing limits.
+// Term returns the length of a lease without a limit.
 func (p *Parent) Term() time.Duration { return p.granter.Term() }
 
-// EarlierLeasesEnd returns when the leases of earlier parents have ended.
+// EarlierLeasesEnd returns when the leases granted by earlier parents have expired.
 func (p *Parent) EarlierLeasesEnd() time.Time { return p.granter.EarlierLeasesEnd() }
 
-// Release ends a lease at its holder's wish.
+// Release ends a lease at its holder's request.
 func (p *Parent) Release(id lease.HolderID) { p.granter.Release(id) }
 
-// Renew answers a child. limit is the longest lease that may be granted now: at
-// a relay what is left of its own. The leader calls Renew only after it has
-// proved, since the renewal arrived, that it still leads. The caller passes
-// r.Below on before it sends the answer, which confirms the batch.
+// Renew answers a child's renewal. limit is the longest lease that may be granted now; at a
+// relay it is the rest of its own lease. The leader must have confirmed its leadership after
+// the renewal arrived. The answer confirms the batch, so the caller must forward
+// r.Descendants before it sends the answer.
 func (p *Parent) Renew(now time.Time, r Renewal, limit time.Duration) Renewed {
-	answer := Renewed{Number: r.Number, Verdict: p.beat(now, r)}
+	answer := Renewed{Number: r.Number, Verdict: p.heartbeat(now, r)}
 	if answer.Verdict != member.VerdictAccepted {
 		answer.Refused = RefusedNotMember
 		return answer
@@ -82,13 +79,15 @@
 	return answer
 }
 
-func (p *Parent) beat(now time.Time, r Renewal) member.Verdict {
+// heartbeat passes the heartbeat to the registry and returns its verdict.
+func (p *Parent) heartbeat(now time.Time, r Renewal) member.Verdict {
 	if r.Claim != nil {
 		return p.registry.Heartbeat(now, *r.Claim)
 	}
 	return p.registry.ShortHeartbeat(now, r.Host, r.Stamp, r.State)
 }
 
+// grant sets the answer's lease term, or the reason for which no lease is granted.
 func (p *Parent) grant(now time.Time, r Renewal, limit time.Duration, answer *Renewed) {
 	id := lease.HolderID{Host: r.Host, Incarnation: r.Stamp.Incarnation}
 	if r.State == member.StateDown {
@@ -108,8 +107,8 @@
 	}
 }
 
-// catchUp adds the membership that the child lacks by its own account, and
-// notes which configuration it has, so that Push makes a lost push good.
+// catchUp adds the membership that, by its renewal, the child lacks. It also records the
+// child's configuration revision, so that Push repeats a lost push.
 func (p *Parent) catchUp(r Renewal, answer *Renewed) {
 	if update, behind := p.members.Since(r.Members); behind {
 		answer.Members = &update
@@ -117,25 +116,26 @@
 	p.sent[r.Host] = r.Held
 }
 
-// Ack takes a child's word that a revision is in force at and below it.
+// Ack processes a child's acknowledgement that a revision is in force at it and all its
+// descendants.
 func (p *Parent) Ack(ack Ack) {
 	id := lease.HolderID{Host: ack.Host, Incarnation: ack.Incarnation}
 	p.granter.Ack(id, lease.Revision(ack.InForce))
 }
 
-// InForce returns the latest revision in force at every process below that may
-// serve.
+// InForce returns the latest revision in force at every descendant that may serve.
 func (p *Parent) InForce(now time.Time) config.Revision {
 	return config.Revision(p.granter.InForce(now))
 }
 
-// NextExpiry returns when InForce may move without a message, zero if it can't.
+// NextExpiry returns when InForce may advance without a message, by the expiry of leases; zero
+// if it can't.
 func (p *Parent) NextExpiry(now time.Time) time.Time { return p.granter.NextExpiry(now) }
 
-// Tick marks silent children down.
+// Tick marks children down whose heartbeats have timed out.
 func (p *Parent) Tick(now time.Time) { p.registry.Tick(now) }
 
-// Changes returns what changed among the direct children since the last call.
+// Changes returns the claims of direct children that changed since the last call.
 func (p *Parent) Changes() []member.Member {
 	changes := p.registry.Changes()
 	for _, m := range changes {
@@ -146,16 +146,15 @@
 	return changes
 }
 
-// Children returns every child known, those down included.
+// Children returns every known child, including those that are down.
 func (p *Parent) Children() []member.Member { return p.registry.All() }
 
-// Holders lists the leases that may be in use.
+// Holders returns the leases that may be in use.
 func (p *Parent) Holders(now time.Time) []lease.HolderStatus { return p.granter.Holders(now) }
 
-// Push returns the configuration that a child has not been sent yet; it is
-// empty if the child has all. A push that gets lost is made good after the next
-// renewal. Membership is never pushed: when many processes start at once, each
-// would cause a message to all others.
+// Push returns the configuration that a child has not been sent yet, empty if there is none.
+// A lost push is repeated after the next renewal. Membership is never pushed: when many
+// processes start at the same time, each would cause a message to all others.
 func (p *Parent) Push(child ident.Host) config.Update {
 	held, known := p.sent[child]
 	if !known {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -9,54 +9,54 @@
 	"github.com/lovagereach/lovagereach/member"
 )
 
-// maxBelow bounds the claims one renewal carries; the rest follows with the
-// next.
-const maxBelow = 256
+// maxBatch is the maximum number of claims in one renewal; the others follow in later ones.
+const maxBatch = 256
 
-// Relay stands between a parent and children. It is not safe for concurrent
+// Relay is a Child of its parent and a Parent of its children. It is not safe for concurrent
 // use.
 type Relay struct {
-	up   *Child
-	down *Parent
-	// unsent holds claims about children that no batch carries yet, the
-	// latest for each host. batch is under way until its number is confirmed.
+	child  *Child
+	parent *Parent
+	// unsent are the claims of children that are in no batch yet, the latest per host.
+	// batch is sent with each renewal until the parent confirms batchID.
 	unsent  map[ident.Host]member.Member
 	batch   []member.Member
 	batchID uint64
-	// reported is the last revision acknowledged upwards.
+	// reported is the last revision acknowledged to the parent.
 	reported config.Revision
 }
 
-// NewRelay returns a relay that is attached to nobody and grants nothing yet.
+// NewRelay returns a relay that has no parent and grants no leases yet.
 func NewRelay(self member.Member, opts ParentOptions, now time.Time) (*Relay, error) {
 	opts.Lease.NoEarlierLeases = true
-	up := NewChild(self)
-	down, err := NewParent(opts, now, up.configs, up.members)
+	child := NewChild(self)
+	parent, err := NewParent(opts, now, child.configs, child.members)
 	if err != nil {
 		return nil, err
 	}
-	return &Relay{up: up, down: down, unsent: make(map[ident.Host]member.Member)}, nil
+	return &Relay{child: child, parent: parent, unsent: make(map[ident.Host]member.Member)}, nil
 }
 
-// Child returns the link to the parent, for its state. Messages go through Relay.
-func (r *Relay) Child() *Child { return r.up }
+// Child returns the side towards the parent, for reading its state. Messages are passed to the
+// methods of Relay instead.
+func (r *Relay) Child() *Child { return r.child }
 
-// Parent returns the side towards the children, for its state.
-func (r *Relay) Parent() *Parent { return r.down }
+// Parent returns the side towards the children, for reading its state.
+func (r *Relay) Parent() *Parent { return r.parent }
 
-// Attach begins a session with another parent. The new parent knows nothing of
-// the children, so all of them are reported again.
+// Attach starts a session with another parent. The new parent has no claims of the children,
+// so all of them are reported again.
 func (r *Relay) Attach() {
-	r.up.Attach()
+	r.child.Attach()
 	r.batch = nil
-	for _, m := range r.down.Children() {
+	for _, m := range r.parent.Children() {
 		r.unsent[m.Host] = m
 	}
 }
 
-// Renewal returns the message for the parent.
+// Renewal returns the next renewal to send to the parent.
 func (r *Relay) Renewal(now time.Time) Renewal {
-	renewal := r.up.Renewal(now, r.InForce(now))
+	renewal := r.child.Renewal(now, r.InForce(now))
 	r.fillBatch()
 	if len(r.batch) > 0 {
 		renewal.Batch = r.batchID
@@ -65,18 +65,18 @@
 	return renewal
 }
 
-// fillBatch starts a batch when none is under way.
+// fillBatch starts a batch if none is unconfirmed.
 func (r *Relay) fillBatch() {
-	for _, m := range r.down.Changes() {
+	for _, m := range r.parent.Changes() {
 		r.unsent[m.Host] = m
 	}
 	if len(r.batch) > 0 || len(r.unsent) == 0 {
 		return
 	}
 	r.batchID++
-	r.batch = make([]member.Member, 0, min(len(r.unsent), maxBelow))
+	r.batch = make([]member.Member, 0, min(len(r.unsent), maxBatch))
 	for host, m := range r.unsent {
-		if len(r.batch) == maxBelow {
+		if len(r.batch) == maxBatch {
 			break
 		}
 		r.batch = append(r.batch, m)
@@ -85,52 +85,53 @@
 	member.SortByHost(r.batch)
 }
 
-// InForce returns the latest revision in force at every child that may serve.
+// InForce returns the latest revision that the relay holds and that is in force at every
+// child that may serve.
 func (r *Relay) InForce(now time.Time) config.Revision {
-	return min(r.down.InForce(now), r.up.Revision())
+	return min(r.parent.InForce(now), r.child.Revision())
 }
 
-// Renewed takes the parent's answer.
+// Renewed applies the parent's answer to a renewal.
 func (r *Relay) Renewed(answer Renewed) Effect {
 	if answer.Batch == r.batchID {
 		r.batch = nil
 	}
-	return r.up.Renewed(answer)
+	return r.child.Renewed(answer)
 }
 
-// Pushed takes a configuration from the parent.
+// Pushed applies a configuration update from the parent.
 func (r *Relay) Pushed(now time.Time, update config.Update) Effect {
-	effect := r.up.Pushed(update)
+	effect := r.child.Pushed(update)
 	if effect.ConfigChanged {
-		r.down.Committed(now, r.up.Revision())
+		r.parent.Committed(now, r.child.Revision())
 	}
 	return effect
 }
 
-// ChildRenewal answers a child. The lease it grants ends before the relay's
-// own: if the relay is cut off, its children stop serving no later than the
-// parent counts on. HolderTerm covers the drift between the two clocks.
+// ChildRenewal answers a child's renewal. The lease it grants ends before the relay's own, so
+// that the children of a disconnected relay stop serving no later than its parent assumes.
+// HolderTerm accounts for the drift between the two clocks.
 func (r *Relay) ChildRenewal(now time.Time, renewal Renewal) Renewed {
-	left := r.up.Expiry().Sub(now)
-	return r.down.Renew(now, renewal, lease.HolderTerm(left))
+	left := r.child.Expiry().Sub(now)
+	return r.parent.Renew(now, renewal, lease.HolderTerm(left))
 }
 
-// ChildAck takes a child's acknowledgement.
-func (r *Relay) ChildAck(ack Ack) { r.down.Ack(ack) }
+// ChildAck processes a child's acknowledgement.
+func (r *Relay) ChildAck(ack Ack) { r.parent.Ack(ack) }
 
-// Ack returns the word for the parent that more is in force below than was
-// told before, and false when there is nothing new.
+// Ack returns an acknowledgement for the parent if a later revision is in force than the one
+// last acknowledged, and false otherwise.
 func (r *Relay) Ack(now time.Time) (Ack, bool) {
 	inForce := r.InForce(now)
 	if inForce <= r.reported {
 		return Ack{}, false
 	}
 	r.reported = inForce
-	return r.up.Ack(inForce), true
+	return r.child.Ack(inForce), true
 }
 
-// Push returns the configuration that a child has not been sent.
-func (r *Relay) Push(child ident.Host) config.Update { return r.down.Push(child) }
+// Push returns the configuration that a child has not been sent yet.
+func (r *Relay) Push(child ident.Host) config.Update { return r.parent.Push(child) }
 
-// Tick marks silent children down.
-func (r *Relay) Tick(now time.Time) { r.down.Tick(now) }
+// Tick marks children down whose heartbeats have timed out.
+func (r *Relay) Tick(now time.Time) { r.parent.Tick(now) }
