--- a/internal/decision/budget.go
+++ b/internal/decision/budget.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// Class is what a line is worth when not all can be kept.
+// Class is the class of a line, which determines its share of the budget.
 type Class uint8
 
 const (
-	// StateChange lines tell a change of what the process believes.
+	// StateChange lines report a change in the process's local view.
 	StateChange Class = iota
-	// Failure lines tell of a request without a whole answer, and of refusals.
+	// Failure lines report a request that was refused, was answered with a server error or
+	// has no complete answer.
 	Failure
-	// Retry lines tell that a request was sent once more.
+	// Retry lines report that a request is sent again.
 	Retry
-	// Late lines tell of a whole answer that began after its target.
+	// Late lines report a complete answer that began after its target.
 	Late
-	// Success lines tell of the rest.
+	// Success lines report all other answers.
 	Success
-	classes
+	classCount
 )
 
-// perSecond are the lines of each class in a second, chosen so that a process
-// writes 120 at most (about 36 KB/s) and that a sample of every class stands
-// in the log at any load.
-var perSecond = [classes]float64{StateChange: 40, Failure: 40, Retry: 15, Late: 15, Success: 10}
+// linesPerSecond is the rate limit of each class. A process writes 120 lines per second at
+// most (about 36 KB/s), and the log has a sample of every class at any load.
+var linesPerSecond = [classCount]float64{StateChange: 40, Failure: 40, Retry: 15, Late: 15, Success: 10}
 
-// burst is how many seconds' worth of lines may be written at once.
-const burst = 3
+// burstSeconds is the burst size: how many seconds of each rate may be written at once.
+const burstSeconds = 3
 
-// budget is a token bucket for each class.
+// budget has a token bucket for each class.
 type budget struct {
-	mu      sync.Mutex
-	tokens  [classes]float64
-	at      time.Time
-	skipped [classes]uint64
+	mu         sync.Mutex
+	tokens     [classCount]float64
+	refilledAt time.Time
+	skipped    [classCount]uint64
 }
 
 func newBudget(now time.Time) *budget {
-	b := &budget{at: now}
+	b := &budget{refilledAt: now}
 	for class := range b.tokens {
-		b.tokens[class] = burst * perSecond[class]
+		b.tokens[class] = burstSeconds * linesPerSecond[class]
 	}
 	return b
 }
 
-// take reports whether a line may be written, and how many of its class were
-// left out since the last one that was.
-func (b *budget) take(class Class, now time.Time) (ok bool, skipped uint64) {
+// allow reports whether a line may be written, and how many lines of its class were skipped
+// since the last one written.
+func (b *budget) allow(class Class, now time.Time) (ok bool, skipped uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
+	if passed := now.Sub(b.refilledAt).Seconds(); passed > 0 {
 		for c := range b.tokens {
-			b.tokens[c] = min(b.tokens[c]+passed*perSecond[c], burst*perSecond[c])
+			b.tokens[c] = min(b.tokens[c]+passed*linesPerSecond[c], burstSeconds*linesPerSecond[c])
 		}
-		b.at = now
+		b.refilledAt = now
 	}
 	if b.tokens[class] < 1 {
 		b.skipped[class]++
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -1,11 +1,9 @@
-// Package decision is the log of what the system decided and why: one line for
-// each decision that touches a request, and for each change of what a process
-// believes.
+// Package decision logs what the system decided and why: one line for each decision that
+// affects a request, and one for each state change in the local view of a process.
 //
-// Each kind of line is a type, so that its fields are known at compile time.
-// Lines pass a budget by class, so that at ten times the load the volume stays
-// flat: failures and changes of belief have the largest part, of successes a
-// sample is kept. Nothing here blocks: Writer takes lines into a bounded buffer
-// and a goroutine of its own writes them; what finds no room is counted, and
-// the count stands in the log.
+// Each kind of line is a type, so that its fields are known at compile time. Lines are
+// limited by a budget per class, so that the volume stays constant at ten times the load:
+// failures and state changes have the largest budgets, and successes are sampled. Logging
+// never blocks: Writer appends lines to a bounded buffer, which a separate goroutine writes
+// out. Lines that exceed the buffer are counted, and the count is logged.
 package decision
--- a/internal/decision/log.go
+++ b/internal/decision/log.go
@@ -6,31 +6,31 @@
 	"github.com/charmbracelet/log"
 )
 
-// Event is one kind of line.
+// Event is the content of one line.
 type Event interface {
-	// Class tells how much the line is worth.
+	// Class returns the class whose budget the line uses.
 	Class() Class
-	// Message is the line's fixed text.
+	// Message returns the line's fixed text.
 	Message() string
-	// Fields are its keys and values in turn.
+	// Fields returns the line's alternating keys and values.
 	Fields() []any
 }
 
-// Log writes events within the budget. It is safe for concurrent use.
+// Log writes events within a budget. It is safe for concurrent use.
 type Log struct {
 	logger *log.Logger
 	budget *budget
 }
 
-// New returns a log over a logger whose output is a Writer.
+// New returns a Log that writes to logger, whose output should be a Writer.
 func New(logger *log.Logger) *Log {
 	return &Log{logger: logger, budget: newBudget(time.Now())}
 }
 
-// Emit writes an event, or counts it when its class has used up its part. The
-// next line of the class tells how many were left out.
+// Emit writes an event, or counts it as skipped if the budget of its class is used up. The
+// next line of the class reports the count.
 func (l *Log) Emit(e Event) {
-	ok, skipped := l.budget.take(e.Class(), time.Now())
+	ok, skipped := l.budget.allow(e.Class(), time.Now())
 	if !ok {
 		return
 	}
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -5,58 +5,63 @@
 	"time"
 )
 
-// Choice is what the choice of an upstream went by.
+// Choice describes the inputs to the choice of an upstream.
 type Choice struct {
 	Upstream   string
 	Candidates int
-	// Requests and Tokens were under way at the upstream, by this entry's and
-	// the others' word; Unread are this entry's prompts not yet begun.
+	// Requests and Tokens are the requests and tokens in progress at the upstream, and
+	// PendingPrefill is its pending prefill in tokens, each by this entry's own count and
+	// the other entries' reports.
 	Requests, Tokens, PendingPrefill int
-	// PrefillTokens are the tokens expected to be read, CostMs the weighed prediction.
+	// PrefillTokens is the number of tokens expected to be prefilled; CostMs is the
+	// weighted predicted cost.
 	PrefillTokens int
 	CostMs        float64
-	// Home tells that the upstream is the first by hash, Fetched how many parts
-	// were to be fetched, Saved how many to be kept.
+	// Home is true if the upstream is the prompt's first choice by hash. Fetched and Saved
+	// are the numbers of parts to fetch and to keep.
 	Home           bool
 	Fetched, Saved int
-	// Sources are the hosts to fetch from, in the order of the parts; Pace is the
-	// slowest one's time as a multiple of what its link says, and Queue the
-	// tokens that waited there.
+	// Sources are the hosts to fetch from, in the order of the parts. Slowdown is the
+	// largest ratio of actual to predicted transfer time among them, and Queue the largest
+	// number of tokens queued at one of them.
 	Sources  string
 	Slowdown float64
 	Queue    int
-	// HealthPenalty is what former failures added.
+	// HealthPenalty is the cost added for earlier failures.
 	HealthPenalty time.Duration
 	Version       uint64
 }
 
-// View is how fresh the inputs were.
+// View describes how recent the inputs were.
 type View struct {
 	Config uint64
 	Term   uint64
-	// Age is the time since the control hosts were asked last with success.
+	// Age is the time since the last successful request to the control hosts.
 	Age time.Duration
 }
 
-// RequestEnded is the end of a request.
+// RequestEnded is logged at the end of a request.
 type RequestEnded struct {
 	Request string
 	Route   string
 	Team    string
 	Outcome string
-	// Cause is why there is no whole answer, nil when there is one.
+	// Cause is why the answer is not complete, nil if it is.
 	Cause error
-	// Target is when the answer had to begin; First is when it began, zero when
-	// it never did; Total is when the request ended.
+	// Target is the time limit for the beginning of the answer, First the time to its
+	// beginning, zero if it never began, and Total the time to the end of the request.
 	Target, First, Total time.Duration
-	// Waited is how long the request waited for an upstream with room.
-	Waited        time.Duration
-	Status        int
+	// Waited is how long the request waited for an upstream with capacity.
+	Waited time.Duration
+	Status int
+	// Sends counts the attempts that reached an upstream, Unsent those that did not.
 	Sends, Unsent int
-	Begun         bool
-	LastEvent     string
-	Choice        Choice
-	View          View
+	// Begun is true if the caller has the status and headers; LastEvent is the last event
+	// forwarded.
+	Begun     bool
+	LastEvent string
+	Choice    Choice
+	View      View
 }
 
 // Class implements Event.
@@ -85,7 +90,7 @@
 	return e.View.append(e.Choice.append(fields))
 }
 
-// RequestRetried tells that a request is sent once more.
+// RequestRetried is logged when a request is sent again.
 type RequestRetried struct {
 	Request   string
 	Route     string
--- a/internal/decision/beliefs.go
+++ b/internal/decision/state_changes.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// StoreSlowdown is a store that came to count as slow, or as sound again.
+// StoreSlowdown is logged when a store starts or stops counting as slow.
 type StoreSlowdown struct {
 	Store string
 	Slow  bool
-	// Slowdown is how many times longer its transfers take than its link says.
+	// Slowdown is the ratio of the store's transfer times to the times predicted from its
+	// link rate.
 	Slowdown float64
-	// Took and Predicted are those of the transfer that decided.
+	// Took and Predicted are the times of the transfer that caused the change.
 	Took, Predicted time.Duration
 }
 
@@ -26,14 +27,15 @@
 	return []any{"store", e.Store, "slow", e.Slow, "pace", e.Slowdown, "took_ms", ms(e.Took), "predicted_ms", ms(e.Predicted)}
 }
 
-// UpstreamHealth is an upstream that came to be avoided, or trusted again.
+// UpstreamHealth is logged when an upstream is ejected or reinstated.
 type UpstreamHealth struct {
 	Upstream string
 	Ejected  bool
-	// InRow counts the failures in a row, Failures is the share of late.
+	// InRow is the number of consecutive failures; Failures is the recent share of failed
+	// sends.
 	InRow    int
 	Failures float64
-	// Cause is what the last send ended with, nil when it went well.
+	// Cause is the error of the last send, nil if it succeeded.
 	Cause error
 }
 
@@ -48,18 +50,18 @@
 	return []any{"upstream", e.Upstream, "avoided", e.Ejected, "in_row", e.InRow, "failures", e.Failures, "cause", e.Cause}
 }
 
-// UpstreamLost tells of requests that broke off at an upstream, and whether it ended
-// or only they did.
+// UpstreamLost is logged when the connections of requests to an upstream were lost. Crashed
+// is true if the upstream crashed, false if only the requests failed.
 type UpstreamLost struct {
 	Upstream string
 	Crashed  bool
-	// Requests are the callers' attempts, and Prints tell the same request in
-	// several of them, one for each.
+	// Requests are the IDs of the callers' attempts. Fingerprints has one for each of
+	// them; attempts of the same request have the same fingerprint.
 	Requests, Fingerprints []string
 }
 
-// lostShown is how many requests a line names; the rest are counted.
-const lostShown = 12
+// maxListed is how many requests a line lists; all of them are counted.
+const maxListed = 12
 
 // Class implements Event.
 func (e *UpstreamLost) Class() Class { return StateChange }
@@ -69,9 +71,9 @@
 
 // Fields implements Event.
 func (e *UpstreamLost) Fields() []any {
-	shown := min(len(e.Requests), lostShown)
+	listed := min(len(e.Requests), maxListed)
 	return []any{
 		"upstream", e.Upstream, "ended", e.Crashed, "under_way", len(e.Requests),
-		"requests", strings.Join(e.Requests[:shown], ","), "prints", strings.Join(e.Fingerprints[:shown], ","),
+		"requests", strings.Join(e.Requests[:listed], ","), "prints", strings.Join(e.Fingerprints[:listed], ","),
 	}
 }
--- a/internal/decision/writer.go
+++ b/internal/decision/writer.go
@@ -10,37 +10,39 @@
 )
 
 const (
-	// bufferBytes bounds the lines that wait to be written. At 300 bytes a
-	// line and the budget's 120 lines a second it covers seven seconds.
-	bufferBytes = 256 << 10
-	// writeEvery is how long lines are gathered for one write.
-	writeEvery = 100 * time.Millisecond
+	// maxBufferBytes is the maximum size of the lines that wait to be written. At 300
+	// bytes per line and the budget's 120 lines per second it covers seven seconds.
+	maxBufferBytes = 256 << 10
+	// flushInterval is how long lines are collected for one write.
+	flushInterval = 100 * time.Millisecond
 )
 
-// Writer takes lines without ever blocking and passes them on in batches. Run
-// must be running for lines to leave; Flush writes what waits at the end.
+// Writer buffers lines without blocking. Run writes them to the output in batches, the last
+// one when its context ends.
 type Writer struct {
 	out     io.Writer
 	mu      sync.Mutex
-	waiting []byte
-	lost    int
-	dropped atomic.Uint64
-	wake    chan struct{}
+	pending []byte
+	// unreported is the number of dropped lines not logged yet.
+	unreported int
+	dropped    atomic.Uint64
+	wake       chan struct{}
 }
 
-// NewWriter returns a writer to out.
+// NewWriter returns a Writer whose output is out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: out, wake: make(chan struct{}, 1)}
 }
 
-// Write takes one line. It never fails: a line without room is counted.
+// Write appends one line to the buffer. It never fails: a line that exceeds the buffer is
+// dropped and counted.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.waiting)+len(line) > bufferBytes {
-		w.lost++
+	if len(w.pending)+len(line) > maxBufferBytes {
+		w.unreported++
 		w.dropped.Add(1)
 	} else {
-		w.waiting = append(w.waiting, line...)
+		w.pending = append(w.pending, line...)
 	}
 	w.mu.Unlock()
 	select {
@@ -50,10 +52,10 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines found no room since the start.
+// Dropped returns how many lines were dropped since the start.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Run writes until ctx ends, and then what waits.
+// Run writes the buffered lines until ctx ends, and then those that remain.
 func (w *Writer) Run(ctx context.Context) {
 	var spare []byte
 	for {
@@ -63,7 +65,7 @@
 			w.flush(spare)
 			return
 		}
-		timer := time.NewTimer(writeEvery)
+		timer := time.NewTimer(flushInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -73,17 +75,18 @@
 	}
 }
 
-// flush writes what waits and returns the buffer for the next batch.
+// flush writes the buffered lines. spare becomes the new buffer; the old one is returned for
+// reuse.
 func (w *Writer) flush(spare []byte) []byte {
 	w.mu.Lock()
-	batch, lost := w.waiting, w.lost
-	w.waiting, w.lost = spare[:0], 0
+	batch, unreported := w.pending, w.unreported
+	w.pending, w.unreported = spare[:0], 0
 	w.mu.Unlock()
-	if lost > 0 {
-		batch = fmt.Appendf(batch, "level=warn msg=\"lines dropped\" count=%d\n", lost)
+	if unreported > 0 {
+		batch = fmt.Appendf(batch, "level=warn msg=\"lines dropped\" count=%d\n", unreported)
 	}
 	if len(batch) > 0 {
-		// Nothing can be reported about a log that can't be written.
+		// A failed write can't be reported, since the report would go to the same output.
 		_, _ = w.out.Write(batch)
 	}
 	return batch
