--- a/roster/cold_test.go
+++ b/roster/cold_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against full load on upstreams of a data centre that is used again: they may have
-// turned cold after their last announcement, also if that was still in flight.
+// turned cold after their last announcement, and an announcement in flight does not show it.
 func TestPresumedColdEndsWithSecondWarmAnnouncement(t *testing.T) {
 	r := New()
 	r.Announce(coldAnnouncement(5, 0))
