--- a/once/bounds_test.go
+++ b/once/bounds_test.go
@@ -12,6 +12,8 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
+// must executes a command at a fixed time and fails the test if its status
+// isn't want.
 func (l *Ledger) must(t testing.TB, want Status, c Command) Result {
 	t.Helper()
 	c.NowMillis = max(l.now, testStart)
@@ -22,7 +24,8 @@
 	return got
 }
 
-func configured(t testing.TB, change func(*Options)) *Ledger {
+// configuredLedger returns a ledger with the default options after change.
+func configuredLedger(t testing.TB, change func(*Options)) *Ledger {
 	t.Helper()
 	l := New()
 	o := DefaultOptions()
@@ -31,10 +34,10 @@
 	return l
 }
 
-// A ledger without room must refuse new keys, saying when to come back, and
-// must go on taking the outcomes of keys that it has granted.
+// A ledger at its memory limit must refuse new keys with a retry delay and
+// still accept the outcomes of the keys it has granted.
 func TestFullLedgerRefusesOnlyNewKeys(t *testing.T) {
-	l := configured(t, func(o *Options) { o.MaxBytes = 10 * recordBytes; o.MaxTeamBytes = 4 * recordBytes })
+	l := configuredLedger(t, func(o *Options) { o.MaxBytes = 10 * recordBytes; o.MaxTeamBytes = 4 * recordBytes })
 	var claims []Claim
 	for i := range 4 {
 		c := testClaim(fmt.Sprint(i), byte(i))
@@ -44,7 +47,7 @@
 	more := testClaim("more", 9)
 	full := l.must(t, StatusFull, Command{Claim: &more})
 	if full.RetryMillis <= 0 || outcome.KindOf(full.Err()) != outcome.KindNotRun {
-		t.Errorf("refusal %+v", full)
+		t.Errorf("StatusFull result %+v, want a retry delay and the outcome not-run", full)
 	}
 	other := more
 	other.Key.Team = "growers"
@@ -58,12 +61,12 @@
 	}
 }
 
-// A duplicate of a call whose answer was larger than the ledger keeps still
-// learns that the call ran: it gets the recorded outcome with the length and
-// digest of the body and without the body. Otherwise a few large answers would
-// fill the memory of every control host.
+// A duplicate of a call whose answer body exceeds MaxBody must get the recorded
+// outcome with the length and digest of the body instead of the body. If such
+// bodies were kept, a few large answers would fill the memory of every control
+// host.
 func TestLargeBodiesAreKeptByDigest(t *testing.T) {
-	l := configured(t, func(o *Options) { o.MaxBody = 8 })
+	l := configuredLedger(t, func(o *Options) { o.MaxBody = 8 })
 	for i, body := range []string{"short", "longer than eight"} {
 		c := testClaim(fmt.Sprint(i), byte(i))
 		l.must(t, StatusGranted, Command{Claim: &c})
@@ -76,10 +79,10 @@
 	}
 }
 
-// Two entry hosts know of different numbers of shards while shards are added.
-// Neither the one that asks the old shard only, nor the one that asks both, may
-// win a key that the other has won.
-func TestAddingShardsKeepsKeys(t *testing.T) {
+// While shards are added, two entry hosts use different shard histories: one
+// tries only the old shard, the other the old and then the new one. Whichever
+// claims first, exactly one of them must be granted a key.
+func TestReshardGrantsEachKeyOnce(t *testing.T) {
 	const before, after = 2, 3
 	ledgers := []*Ledger{New(), New(), New()}
 	claim := func(history Shards, c Claim) Status {
@@ -105,17 +108,17 @@
 			views[0], views[1] = views[1], views[0]
 		}
 		statuses := []Status{claim(views[0], first), claim(views[1], second)}
-		won := 0
+		granted := 0
 		for _, s := range statuses {
 			switch s {
 			case StatusGranted:
-				won++
+				granted++
 			case StatusMoved:
 				moved++
 			}
 		}
-		if won != 1 {
-			t.Fatalf("key %d: statuses %v", i, statuses)
+		if granted != 1 {
+			t.Fatalf("key %d: statuses %v, want exactly one grant", i, statuses)
 		}
 	}
 	if moved == 0 || moved > 300/after+50 {
@@ -123,14 +126,14 @@
 	}
 	for _, bad := range []Shards{{}, {0}, {4, 4}, {4, 2}} {
 		if bad.Validate() == nil {
-			t.Errorf("history %v is taken", bad)
+			t.Errorf("shard history %v was accepted", bad)
 		}
 	}
 }
 
-// A key carries its date where its form allows it, so that a duplicate that
-// comes after the retention is refused as expired. A date read from a key that
-// holds none would refuse a call that never ran.
+// A date must be found in the key forms that encode one, so that a duplicate
+// after the retention is refused as expired. A date found in any other key
+// would refuse a call that never ran.
 func TestKeyDates(t *testing.T) {
 	cases := map[string]int64{
 		"018fd5a0-1234-7abc-8def-0123456789ab": 0x018fd5a01234,
@@ -150,39 +153,39 @@
 	}
 	for _, bad := range []string{"", "a\nb", "é", string(bytes.Repeat([]byte("x"), MaxKeyLength+1))} {
 		if (Key{Text: bad}).Validate() == nil {
-			t.Errorf("key %q is taken", bad)
+			t.Errorf("key %q was accepted", bad)
 		}
 	}
 }
 
-// The filter may refuse a key that was never used, and must never take one that
-// was.
-func TestFilterForgetsNothing(t *testing.T) {
+// The filter may report a key that was never added, but must report every key
+// that was; a missed key could be run a second time.
+func TestFilterHasNoFalseNegatives(t *testing.T) {
 	var f filter
 	id := func(n int) KeyID { return Key{Text: fmt.Sprint(n)}.ID() }
 	const keys = 50_000
 	for n := range keys {
 		f.add(id(n))
 	}
-	found := 0
+	falsePositives := 0
 	for n := range keys {
 		if !f.has(id(n)) {
-			t.Fatalf("key %d is forgotten", n)
+			t.Fatalf("key %d was added and isn't found", n)
 		}
 		if f.has(id(n + keys)) {
-			found++
+			falsePositives++
 		}
 	}
-	if found > keys/10_000 {
-		t.Errorf("%d of %d unused keys are refused", found, keys)
+	if falsePositives > keys/10_000 {
+		t.Errorf("%d of %d absent keys are reported as present", falsePositives, keys)
 	}
 }
 
-// Two ledgers that get the same commands must stay equal byte for byte, also
-// when one of them is restored from a snapshot on the way; and no key may be
-// won twice without a release in between, whatever becomes of time and the
-// retention meanwhile.
-func TestRandomCommandsStayDeterministic(t *testing.T) {
+// Two ledgers that apply the same random commands must have equal results and
+// snapshots, also when one of them is repeatedly restored from a snapshot. No
+// key may be granted to two claims without a release in between, however the
+// time and the retention change.
+func TestRandomCommandsAreDeterministic(t *testing.T) {
 	for seed := range uint64(4) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		a, b := New(), New()
@@ -215,7 +218,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkHolder(t, holders, command, result)
+			checkSingleGrant(t, holders, command, result)
 			if i%500 == 499 {
 				mine, _ := a.Snapshot()
 				theirs, _ := b.Snapshot()
@@ -231,13 +234,15 @@
 	}
 }
 
-func checkHolder(t *testing.T, holders map[string]ClaimID, command Command, result Result) {
+// checkSingleGrant fails the test if a key is granted to a claim while another
+// one holds it. holders maps each key to the claim it was granted to.
+func checkSingleGrant(t *testing.T, holders map[string]ClaimID, command Command, result Result) {
 	t.Helper()
 	switch {
 	case command.Claim != nil && result.Status == StatusGranted:
 		text := command.Claim.Key.Text
 		if holder, held := holders[text]; held && holder != command.Claim.ID {
-			t.Fatalf("key %q is won by %x while %x holds it", text, command.Claim.ID[0], holder[0])
+			t.Fatalf("key %q is granted to %x while %x holds it", text, command.Claim.ID[0], holder[0])
 		}
 		holders[text] = command.Claim.ID
 	case command.Release != nil && result.Status == StatusReleased && holders[command.Release.Key.Text] == command.Release.ID:
@@ -258,7 +263,7 @@
 			t.Fatal(err)
 		}
 		if err := New().Restore(data); err != nil {
-			t.Fatalf("own snapshot is refused: %v", err)
+			t.Fatalf("Restore refuses the ledger's own snapshot: %v", err)
 		}
 	})
 }
@@ -269,8 +274,9 @@
 	now := testStart
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		// One a millisecond for the retention of a day would outgrow the
-		// ledger; time runs faster here.
+		// At one key a millisecond, the keys of a day's retention would exceed
+		// the ledger's memory limit, so each iteration advances the time by a
+		// second.
 		now += 1000
 		claim.Key.Text = fmt.Sprintf("%d.%d", now, n)
 		record := claim.done("a short body")
@@ -279,8 +285,8 @@
 	}
 }
 
-// BenchmarkMemoryPerClaim reports what a kept key costs beside the ledger's own
-// account of it.
+// BenchmarkMemoryPerClaim reports the heap memory used by a kept key next to
+// the memory that the ledger accounts for it.
 func BenchmarkMemoryPerClaim(b *testing.B) {
 	for b.Loop() {
 		l := New()
@@ -304,8 +310,8 @@
 	}
 }
 
-// BenchmarkSnapshot reports what a snapshot and its restoration cost for each
-// kept key.
+// BenchmarkSnapshot reports the size of a snapshot and the time to save and
+// restore it, per key.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, keys := range []int{10_000, 50_000, 100_000} {
 		b.Run(fmt.Sprint("keys=", keys), func(b *testing.B) {
@@ -358,7 +364,7 @@
 			t.Fatal(err)
 		}
 		if err := New().Restore(again); err != nil {
-			t.Fatalf("own snapshot is refused: %v", err)
+			t.Fatalf("Restore refuses the ledger's own snapshot: %v", err)
 		}
 		c := testClaim("other", 2)
 		l.Execute(Command{NowMillis: testStart, Claim: &c})
--- a/once/claim.go
+++ b/once/claim.go
@@ -4,22 +4,24 @@
 	"fmt"
 )
 
-// maxHosts bounds the entry hosts whose incarnations are remembered.
+// maxHosts bounds the number of entry hosts whose latest incarnation is kept.
 const maxHosts = 1 << 14
 
+// claim grants the key to the claim, or returns why it can't be granted.
 func (l *Ledger) claim(c Claim) Result {
 	if err := c.Key.Validate(); err != nil {
 		return Result{Status: StatusBad, Detail: err.Error()}
 	}
-	// A claim of a process that has died since can be delayed in the network.
-	// Granting it would leave the key in flight with nobody to send the call.
+	// A claim from an earlier incarnation of the process can be delayed in the
+	// network. Granting it would leave the key in flight with no process to
+	// send the call.
 	if c.Owner.Incarnation < l.incarnations[c.Owner.Host] {
 		return Result{Status: StatusStaleOwner, Detail: "a later incarnation of this entry host is known"}
 	}
 	if _, known := l.incarnations[c.Owner.Host]; !known && len(l.incarnations) >= maxHosts {
 		return Result{Status: StatusFull, RetryMillis: 1000, Detail: "too many entry hosts have claimed"}
 	}
-	l.noteIncarnation(c.Owner)
+	l.recordIncarnation(c.Owner)
 	id := c.Key.ID()
 	rec, known := l.records[id]
 	if !known {
@@ -30,9 +32,9 @@
 	}
 	switch {
 	case rec.phase == phaseClaimed && rec.claim == c.ID:
-		// The same claim, resent after a lost answer.
+		// The same claim, resent because its answer was lost.
 		return Result{Status: StatusGranted}
-	case rec.isDead(c.ID):
+	case rec.isAbandoned(c.ID):
 		return Result{Status: StatusReleased, Reason: rec.reason}
 	case rec.phase == phaseReleased:
 		return l.reclaim(id, rec, c)
@@ -41,14 +43,15 @@
 	}
 }
 
+// claimNew grants a key that has no record.
 func (l *Ledger) claimNew(id KeyID, c Claim) Result {
-	if status, detail := l.tooOld(c.Key, id); status != StatusInvalid {
+	if status, detail := l.checkNewKey(c.Key, id); status != StatusInvalid {
 		return Result{Status: status, Detail: detail}
 	}
 	if l.moved(id) {
 		return Result{Status: StatusMoved}
 	}
-	if refusal, full := l.full(c.Key); full {
+	if refusal, full := l.checkCapacity(c.Key); full {
 		return refusal
 	}
 	rec := l.insert(id, c.Key, c.Digest, c.Owner, c.ID)
@@ -57,7 +60,8 @@
 	return Result{Status: StatusGranted}
 }
 
-// reclaim lets another claim have a key that was given back: nothing ran.
+// reclaim grants a released key to another claim. The call was not sent under
+// the previous one.
 func (l *Ledger) reclaim(id KeyID, rec *record, c Claim) Result {
 	rec.claim = c.ID
 	rec.owner = c.Owner
@@ -67,6 +71,7 @@
 	return Result{Status: StatusGranted}
 }
 
+// grant marks the key as claimed and starts its hold.
 func (l *Ledger) grant(id KeyID, rec *record, c Claim) {
 	hold := c.HoldMillis
 	if hold <= 0 || hold > l.options.MaxHoldMillis {
@@ -78,26 +83,29 @@
 	l.trackOwner(rec.owner.Host, id)
 }
 
+// insert adds a record for the key. The caller sets its phase.
 func (l *Ledger) insert(id KeyID, key Key, digest Digest, owner Owner, claim ClaimID) *record {
 	date, dated := key.Date()
-	from := l.now
+	retainFrom := l.now
 	if dated {
-		from = max(from, date.UnixMilli())
+		retainFrom = max(retainFrom, date.UnixMilli())
 	}
 	rec := &record{
-		digest: digest,
-		claim:  claim,
-		owner:  owner,
-		team:   key.Team,
-		dated:  dated,
-		from:   from,
+		digest:     digest,
+		claim:      claim,
+		owner:      owner,
+		team:       key.Team,
+		dated:      dated,
+		retainFrom: retainFrom,
 	}
 	l.records[id] = rec
-	l.forgets.add(l.forgetAt(rec), id)
+	l.expiries.add(l.expiresAt(rec), id)
 	l.charge(rec, recordBytes)
 	return rec
 }
 
+// charge adds bytes, which may be negative, to the memory accounted to the
+// record, its team and the ledger.
 func (l *Ledger) charge(rec *record, bytes int64) {
 	rec.bytes += bytes
 	l.bytes += bytes
@@ -107,21 +115,22 @@
 	}
 }
 
-// full tells whether there is no room for another claim.
-func (l *Ledger) full(key Key) (Result, bool) {
+// checkCapacity returns a StatusFull result and true if the ledger or the team
+// has no memory left for another claim.
+func (l *Ledger) checkCapacity(key Key) (Result, bool) {
 	const detail = "the at-most-once ledger is full (%s)"
-	which := ""
+	scope := ""
 	switch {
 	case l.bytes+recordBytes > l.options.MaxBytes:
-		which = "all teams"
+		scope = "all teams"
 	case l.teams[key.Team]+recordBytes > l.options.MaxTeamBytes:
-		which = "this team"
+		scope = "this team"
 	default:
 		return Result{}, false
 	}
 	retry := int64(1000)
-	if next, ok := l.forgets.next(); ok {
+	if next, ok := l.expiries.next(); ok {
 		retry = max(retry, next-l.now)
 	}
-	return Result{Status: StatusFull, RetryMillis: retry, Detail: fmt.Sprintf(detail, which)}, true
+	return Result{Status: StatusFull, RetryMillis: retry, Detail: fmt.Sprintf(detail, scope)}, true
 }
--- a/once/codec.go
+++ b/once/codec.go
@@ -8,26 +8,26 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// The records of a snapshot are written as fixed fields and counted texts, one
-// record after the other. A general codec took 5 us for each, half a second for
-// a busy day's keys, during which no command could be applied.
+// The records of a snapshot are encoded one after the other as fixed-size and
+// length-prefixed fields. A general codec took 5 us per record, half a second
+// for the keys of a busy day, during which no command could be applied.
 
-var errRecords = errors.New("once: the records of a snapshot are damaged")
+var errCorruptRecords = errors.New("once: snapshot records are corrupt")
 
-// Flags of a record.
+// Flags of an encoded record.
 const (
 	flagDated = 1 << iota
-	flagLost
+	flagOwnerLost
 )
 
-// appendRecord adds one record to the records of a snapshot.
+// appendRecord appends the encoding of one record to data.
 func appendRecord(data []byte, id KeyID, r *record) []byte {
 	flags := byte(0)
 	if r.dated {
 		flags |= flagDated
 	}
-	if r.lost {
-		flags |= flagLost
+	if r.ownerLost {
+		flags |= flagOwnerLost
 	}
 	data = append(data, id[:]...)
 	data = append(data, byte(r.phase), flags)
@@ -35,92 +35,93 @@
 	data = append(data, r.claim[:]...)
 	data = append(data, r.request[:]...)
 	data = binary.BigEndian.AppendUint64(data, uint64(r.holdEnd))
-	data = binary.BigEndian.AppendUint64(data, uint64(r.from))
+	data = binary.BigEndian.AppendUint64(data, uint64(r.retainFrom))
 	data = binary.BigEndian.AppendUint64(data, uint64(r.owner.Incarnation))
-	data = appendCounted(data, string(r.owner.Host))
-	data = appendCounted(data, string(r.team))
-	data = appendCounted(data, string(r.reason))
-	data = appendCounted(data, r.answer)
-	data = binary.AppendUvarint(data, uint64(len(r.dead)))
-	for _, claim := range r.dead {
+	data = appendLengthPrefixed(data, string(r.owner.Host))
+	data = appendLengthPrefixed(data, string(r.team))
+	data = appendLengthPrefixed(data, string(r.reason))
+	data = appendLengthPrefixed(data, r.answer)
+	data = binary.AppendUvarint(data, uint64(len(r.abandoned)))
+	for _, claim := range r.abandoned {
 		data = append(data, claim[:]...)
 	}
 	return data
 }
 
-func appendCounted[T string | []byte](data []byte, text T) []byte {
+func appendLengthPrefixed[T string | []byte](data []byte, text T) []byte {
 	data = binary.AppendUvarint(data, uint64(len(text)))
 	return append(data, text...)
 }
 
-// recordReader reads what appendRecord wrote. After the first damage it yields
-// zeros.
+// recordReader decodes records written by appendRecord. Once it finds corrupt
+// data, it sets corrupt and returns only zero values.
 type recordReader struct {
 	data    []byte
-	damaged bool
+	corrupt bool
 }
 
 func (r *recordReader) next() (KeyID, *record) {
 	var id KeyID
 	rec := &record{}
-	copy(id[:], r.take(len(id)))
+	copy(id[:], r.read(len(id)))
 	rec.phase = phase(r.byte())
 	flags := r.byte()
-	rec.dated, rec.lost = flags&flagDated != 0, flags&flagLost != 0
-	copy(rec.digest[:], r.take(len(rec.digest)))
-	copy(rec.claim[:], r.take(len(rec.claim)))
-	copy(rec.request[:], r.take(len(rec.request)))
+	rec.dated, rec.ownerLost = flags&flagDated != 0, flags&flagOwnerLost != 0
+	copy(rec.digest[:], r.read(len(rec.digest)))
+	copy(rec.claim[:], r.read(len(rec.claim)))
+	copy(rec.request[:], r.read(len(rec.request)))
 	rec.holdEnd = int64(r.uint64())
-	rec.from = int64(r.uint64())
+	rec.retainFrom = int64(r.uint64())
 	rec.owner.Incarnation = ident.Incarnation(r.uint64())
-	rec.owner.Host = ident.Host(r.counted())
-	rec.team = ident.Team(r.counted())
-	rec.reason = outcome.Reason(r.counted())
-	if answer := r.counted(); len(answer) > 0 {
+	rec.owner.Host = ident.Host(r.lengthPrefixed())
+	rec.team = ident.Team(r.lengthPrefixed())
+	rec.reason = outcome.Reason(r.lengthPrefixed())
+	if answer := r.lengthPrefixed(); len(answer) > 0 {
 		rec.answer = append([]byte(nil), answer...)
 	}
-	for range min(r.uvarint(), maxDead) {
-		rec.dead = append(rec.dead, ClaimID(r.take(len(ClaimID{}))))
+	for range min(r.uvarint(), maxAbandoned) {
+		rec.abandoned = append(rec.abandoned, ClaimID(r.read(len(ClaimID{}))))
 	}
 	if rec.phase < phaseClaimed || rec.phase > phaseAnswered {
-		r.damaged = true
+		r.corrupt = true
 	}
 	return id, rec
 }
 
-// take returns n bytes of the data, or n zeros after its end.
-func (r *recordReader) take(n int) []byte {
-	if r.damaged || n > len(r.data) {
-		r.damaged = true
+// read returns the next n bytes. If the data is corrupt or shorter, it returns
+// zero bytes, at most maxFixed of them.
+func (r *recordReader) read(n int) []byte {
+	if r.corrupt || n > len(r.data) {
+		r.corrupt = true
 		return make([]byte, min(n, maxFixed))
 	}
-	taken := r.data[:n]
+	field := r.data[:n]
 	r.data = r.data[n:]
-	return taken
+	return field
 }
 
-// maxFixed is the size of the largest fixed field.
+// maxFixed is the size of the largest fixed-size field in bytes.
 const maxFixed = len(Digest{})
 
-func (r *recordReader) byte() byte { return r.take(1)[0] }
+func (r *recordReader) byte() byte { return r.read(1)[0] }
 
-func (r *recordReader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *recordReader) uint64() uint64 { return binary.BigEndian.Uint64(r.read(8)) }
 
 func (r *recordReader) uvarint() uint64 {
 	value, n := binary.Uvarint(r.data)
-	if n <= 0 || r.damaged {
-		r.damaged = true
+	if n <= 0 || r.corrupt {
+		r.corrupt = true
 		return 0
 	}
 	r.data = r.data[n:]
 	return value
 }
 
-func (r *recordReader) counted() []byte {
+func (r *recordReader) lengthPrefixed() []byte {
 	n := r.uvarint()
 	if n > uint64(len(r.data)) {
-		r.damaged = true
+		r.corrupt = true
 		return nil
 	}
-	return r.take(int(n))
+	return r.read(int(n))
 }
--- a/once/doc.go
+++ b/once/doc.go
@@ -1,12 +1,13 @@
-// Package once decides whether a call that may not be repeated is run.
+// Package once implements the at-most-once ledger, which decides whether a call
+// that must not be repeated may be sent.
 //
 // A Ledger is a replicated state machine: it changes only through commands
-// that a quorum has committed, takes its time from them, and gives the same
-// results on every host. An entry host claims a key before it sends the call,
-// and records the outcome afterwards. Whoever asks again under the same key
-// gets the recorded outcome, waits while the call is in flight, or learns that
-// the outcome is unknown; the call itself is never run again.
+// committed by a quorum, takes its time from those commands, and returns the
+// same results on every replica. An entry host claims an idempotency key before
+// it sends the call and records the outcome afterwards. A later claim of the
+// same key gets the recorded outcome, waits while the call is in flight, or
+// gets the outcome "unknown"; the call is never sent a second time.
 //
-// What the ledger promises and for how long is in docs/OUTCOMES.md, why it
-// is built this way in docs/design/once.md.
+// See docs/OUTCOMES.md for the guarantees and their duration, and
+// docs/design/once.md for the design.
 package once
--- a/once/expire.go
+++ b/once/expire.go
@@ -6,19 +6,21 @@
 	"crypto/sha256"
 )
 
-// maxForget bounds the work of one command.
-const maxForget = 64
-
-// tooOld tells whether a key without a record must be refused: it may have
-// been run and forgotten.
-func (l *Ledger) tooOld(key Key, id KeyID) (Status, string) {
+// maxExpirePerCommand bounds the number of records that one command drops, and
+// with it the time that a command takes.
+const maxExpirePerCommand = 64
+
+// checkNewKey returns the status and detail with which a key without a record
+// is refused, or StatusInvalid if it may be claimed. A key that may have been
+// run and expired since is refused.
+func (l *Ledger) checkNewKey(key Key, id KeyID) (Status, string) {
 	date, dated := key.Date()
 	if dated {
-		// A record is forgotten once ledger time passes the key's date and its
-		// claim by the retention. So a forgotten key's date lies further back
-		// than the retention, and this test refuses it however long ago that
-		// was.
-		if date.UnixMilli() <= l.oldest() {
+		// A record expires only once both its key's date and its claim lie
+		// further back than the retention. The date of an expired key is
+		// therefore at or before the cutoff from then on, and this check
+		// refuses the key permanently.
+		if date.UnixMilli() <= l.expiryCutoff() {
 			return StatusExpired, "the date in this key is older than the retention"
 		}
 		if date.UnixMilli() > l.now+l.options.SkewMillis {
@@ -38,8 +40,9 @@
 	return StatusInvalid, ""
 }
 
-// endHolds makes claims unknown whose owner has taken too long.
-func (l *Ledger) endHolds() {
+// expireHolds marks the claims whose hold has ended without an outcome as
+// unknown.
+func (l *Ledger) expireHolds() {
 	for {
 		due, ok := l.holds.popDue(l.now)
 		if !ok {
@@ -47,28 +50,31 @@
 		}
 		rec := l.records[due.id]
 		if rec != nil && rec.phase == phaseClaimed && rec.holdEnd <= l.now {
-			l.loseOwner(due.id, rec)
+			l.markOwnerLost(due.id, rec)
 		}
 	}
 }
 
-// oldest is the date up to which dated keys are too old.
-func (l *Ledger) oldest() int64 {
-	return max(l.floor, l.now-l.options.RetentionMillis)
+// expiryCutoff returns the date, in Unix milliseconds, up to which dated keys
+// are refused as expired.
+func (l *Ledger) expiryCutoff() int64 {
+	return max(l.minCutoff, l.now-l.options.RetentionMillis)
 }
 
-// forgetAt is when a record is dropped. It outlives its hold: a claim that is
-// forgotten in flight could be granted a second time.
-func (l *Ledger) forgetAt(rec *record) int64 {
-	return max(rec.from+l.options.RetentionMillis, rec.holdEnd+l.options.MaxHoldMillis)
+// expiresAt returns the ledger time at which a record is dropped. It is later
+// than the end of the record's hold: a key whose record were dropped while in
+// flight could be granted a second time.
+func (l *Ledger) expiresAt(rec *record) int64 {
+	return max(rec.retainFrom+l.options.RetentionMillis, rec.holdEnd+l.options.MaxHoldMillis)
 }
 
-// forget drops the records past their retention, the oldest first and not many
-// with one command. Which ones depends on the records alone, not on what the
-// queue has gathered, which a restored ledger does not share.
-func (l *Ledger) forget() {
-	for dropped := 0; dropped < maxForget; {
-		due, ok := l.forgets.popDue(l.now)
+// expireRecords drops up to maxExpirePerCommand records past their retention,
+// oldest first. The choice depends on the records alone and not on stale
+// entries in the queue, because a ledger restored from a snapshot doesn't have
+// those.
+func (l *Ledger) expireRecords() {
+	for dropped := 0; dropped < maxExpirePerCommand; {
+		due, ok := l.expiries.popDue(l.now)
 		if !ok {
 			return
 		}
@@ -76,8 +82,8 @@
 		if rec == nil {
 			continue
 		}
-		if at := l.forgetAt(rec); at != due.at {
-			l.forgets.add(at, due.id)
+		if at := l.expiresAt(rec); at != due.at {
+			l.expiries.add(at, due.id)
 			continue
 		}
 		if !rec.dated {
@@ -89,13 +95,14 @@
 	}
 }
 
-// deadline is one entry of a queue ordered by time, then key, so that every
-// host handles them in the same order.
+// deadline is one entry of a queue ordered by time and then by key, so that
+// every replica processes entries in the same order.
 type deadline struct {
 	at int64
 	id KeyID
 }
 
+// deadlines is a min-heap of deadlines.
 type deadlines []deadline
 
 func (d deadlines) Len() int      { return len(d) }
@@ -120,6 +127,7 @@
 
 func (d *deadlines) add(at int64, id KeyID) { heap.Push(d, deadline{at: at, id: id}) }
 
+// next returns the earliest time in the queue.
 func (d deadlines) next() (int64, bool) {
 	if len(d) == 0 {
 		return 0, false
@@ -127,6 +135,7 @@
 	return d[0].at, true
 }
 
+// popDue removes and returns the earliest deadline if it is at or before now.
 func (d *deadlines) popDue(now int64) (deadline, bool) {
 	if len(*d) == 0 || (*d)[0].at > now {
 		return deadline{}, false
@@ -134,5 +143,5 @@
 	return heap.Pop(d).(deadline), true
 }
 
-// DigestBody returns the digest of an answer's body.
+// DigestBody returns the digest of the body of an answer.
 func DigestBody(body []byte) Digest { return sha256.Sum256(body) }
--- a/once/filter.go
+++ b/once/filter.go
@@ -5,23 +5,24 @@
 	"errors"
 )
 
-var errLayerSize = errors.New("once: snapshot has a layer of another size")
+var errLayerSize = errors.New("once: snapshot filter layer has an unexpected size")
 
-// The shape of one layer of a filter: with 2^21 keys on 2^25 bits and eleven
-// probes a key that was never added is found in about 5 of 10,000 cases.
+// Parameters of one filter layer. With 2^21 keys in 2^25 bits and eleven probes
+// per key, about 5 of 10,000 lookups of absent keys are false positives.
 const (
 	layerBits   = 1 << 25
 	layerKeys   = 1 << 21
 	layerProbes = 11
 )
 
-// filter is a set of expired keys that never forgets one (a Bloom filter in
-// layers). It may find a key that was never added: its caller is refused,
-// which is true, and takes another key. It never misses one that was.
+// filter is the set of expired undated keys: a Bloom filter that grows by
+// layers. A false positive refuses a claim whose call never ran; the call isn't
+// sent, and the caller can use another key. There are no false negatives.
 type filter struct {
 	layers []layer
 }
 
+// layer is one fixed-size Bloom filter.
 type layer struct {
 	keys int64
 	bits []uint64
@@ -39,12 +40,12 @@
 	if len(f.layers) == 0 || f.layers[len(f.layers)-1].keys >= layerKeys {
 		f.layers = append(f.layers, layer{bits: make([]uint64, layerBits/64)})
 	}
-	top := &f.layers[len(f.layers)-1]
-	top.keys++
+	last := &f.layers[len(f.layers)-1]
+	last.keys++
 	h := newProbe(id)
 	for range layerProbes {
 		bit := h.next()
-		top.bits[bit/64] |= 1 << (bit % 64)
+		last.bits[bit/64] |= 1 << (bit % 64)
 	}
 }
 
@@ -68,30 +69,30 @@
 	return true
 }
 
-// probe walks the bits of one key by double hashing.
+// probe generates the bit positions of one key by double hashing.
 type probe struct {
-	at, step uint64
+	pos, step uint64
 }
 
 func newProbe(id KeyID) probe {
-	// The first half also picks the shard; the second half spreads the keys
-	// of one shard evenly all the same.
+	// The first half of the ID also selects the shard, so the keys of one shard
+	// share some of its bits. The second half still spreads them evenly.
 	first := binary.BigEndian.Uint64(id[:8])
 	second := binary.BigEndian.Uint64(id[8:])
-	return probe{at: second, step: first | 1}
+	return probe{pos: second, step: first | 1}
 }
 
 func (p *probe) next() uint64 {
-	bit := (p.at >> 16) % layerBits
-	p.at += p.step
+	bit := (p.pos >> 16) % layerBits
+	p.pos += p.step
 	return bit
 }
 
-func appendWord(data []byte, word uint64) []byte {
-	return binary.BigEndian.AppendUint64(data, word)
+func appendUint64(data []byte, value uint64) []byte {
+	return binary.BigEndian.AppendUint64(data, value)
 }
 
-func layersOf(images []layerImage) ([]layer, error) {
+func decodeLayers(images []layerImage) ([]layer, error) {
 	layers := make([]layer, 0, len(images))
 	for _, img := range images {
 		if len(img.Bits) != layerBits/8 {
--- a/once/key.go
+++ b/once/key.go
@@ -13,22 +13,23 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// MaxKeyLength is the longest idempotency key in bytes.
+// MaxKeyLength is the maximum length of an idempotency key in bytes.
 const MaxKeyLength = 255
 
-// Key names one call that may not be repeated. Teams can't meet one another's
-// keys.
+// Key identifies one call that must not be repeated. Keys of different teams
+// never collide.
 type Key struct {
 	Team    ident.Team    `cbor:"1,keyasint"`
 	Service ident.Service `cbor:"2,keyasint"`
-	// Text is the caller's Idempotency-Key.
+	// Text is the value of the caller's Idempotency-Key header.
 	Text string `cbor:"3,keyasint"`
 }
 
-// ErrKeyText reports a key that is empty, too long or not printable ASCII.
+// ErrKeyText is returned for a key text that is empty, too long or not
+// printable ASCII.
 var ErrKeyText = errors.New("idempotency key must be 1 to 255 printable ASCII characters")
 
-// Validate checks the key's text.
+// Validate checks the key's text and returns ErrKeyText if it is invalid.
 func (k Key) Validate() error {
 	if len(k.Text) == 0 || len(k.Text) > MaxKeyLength {
 		return ErrKeyText
@@ -41,21 +42,21 @@
 	return nil
 }
 
-// keyIDSize is large enough that two keys of one deployment never share an
-// identity: at 10^12 keys the chance is about 10^-15.
+// keyIDSize is the size of a KeyID in bytes. With 16 bytes the probability of a
+// collision among 10^12 keys is about 10^-15.
 const keyIDSize = 16
 
-// KeyID is a digest of a key, of a fixed size whatever the caller sent.
+// KeyID is a fixed-size digest of a Key.
 type KeyID [keyIDSize]byte
 
-// ID returns the key's digest.
+// ID returns the digest of the key.
 func (k Key) ID() KeyID {
-	var sized [4]byte
+	var length [4]byte
 	h := sha256.New()
 	for _, part := range [...]string{string(k.Team), string(k.Service), k.Text} {
-		// The length in front keeps ("ab","c") apart from ("a","bc").
-		binary.BigEndian.PutUint32(sized[:], uint32(len(part)))
-		h.Write(sized[:])
+		// The length prefix distinguishes ("ab","c") from ("a","bc").
+		binary.BigEndian.PutUint32(length[:], uint32(len(part)))
+		h.Write(length[:])
 		h.Write([]byte(part))
 	}
 	var sum [sha256.Size]byte
@@ -63,15 +64,16 @@
 	return KeyID(sum[:keyIDSize])
 }
 
-// String returns the identity in hexadecimal.
+// String returns the ID in hexadecimal.
 func (id KeyID) String() string { return hex.EncodeToString(id[:]) }
 
-// dateDigits is the length of a Unix time in milliseconds, from 2001 to 2286.
+// dateDigits is the number of digits of a Unix time in milliseconds between the
+// years 2001 and 2286.
 const dateDigits = 13
 
-// Date returns the time of creation that a key carries. Two forms do: a
-// UUID of version 7 (RFC 9562), and 13 digits of Unix milliseconds followed by
-// a full stop and at least one character more.
+// Date returns the creation time encoded in the key's text, and whether there
+// is one. Two forms encode a time: a version 7 UUID (RFC 9562), and 13 digits
+// of Unix milliseconds followed by a full stop and at least one more character.
 func (k Key) Date() (time.Time, bool) {
 	if millis, ok := uuidMillis(k.Text); ok {
 		return time.UnixMilli(millis), true
@@ -87,7 +89,7 @@
 	return time.UnixMilli(int64(millis)), true
 }
 
-// The shape of a UUID in text: xxxxxxxx-xxxx-7xxx-yxxx-xxxxxxxxxxxx.
+// Layout of a UUID in text form: xxxxxxxx-xxxx-7xxx-yxxx-xxxxxxxxxxxx.
 const (
 	uuidLength       = 36
 	uuidVersionAt    = 14
@@ -95,6 +97,7 @@
 	uuidMillisDigits = 12
 )
 
+// uuidMillis returns the Unix milliseconds of a version 7 UUID.
 func uuidMillis(text string) (int64, bool) {
 	if len(text) != uuidLength || text[uuidVersionAt] != '7' {
 		return 0, false
@@ -115,36 +118,37 @@
 	return millis, err == nil
 }
 
-// Shard returns which of shards ledger shards holds a key, from 0. Adding a
-// shard moves only the keys that the new shard takes (jump consistent hash by
-// Lamping and Veach).
+// Shard returns the ledger shard, from 0 to shards-1, that holds a key. Adding
+// a shard moves only the keys that the new shard takes over (jump consistent
+// hash by Lamping and Veach).
 func Shard(team ident.Team, service ident.Service, key string, shards uint32) uint32 {
 	id := Key{Team: team, Service: service, Text: key}.ID()
 	return id.Shard(shards)
 }
 
-// Shards is the history of the number of ledger shards, oldest first, as it
-// stands in the configuration state. A key is asked for at the shard of the
-// oldest number first, and at the next one only when that ledger answers
-// StatusMoved; so a key that was claimed before a change is found after it.
+// Shards is the history of the number of ledger shards, oldest first, as stored
+// in the configuration state. A claim goes first to the shard selected by the
+// oldest count, and to that of the next count only if the ledger answers
+// StatusMoved. A key claimed before the number of shards changed is therefore
+// found after the change.
 type Shards []uint32
 
-// ForKey returns the shards to ask for a key, in order, each once.
+// ForKey returns the shards to try for a key, in order and without duplicates.
 func (s Shards) ForKey(id KeyID) []uint32 {
-	var asked []uint32
+	var list []uint32
 	for _, count := range s {
 		shard := id.Shard(count)
-		if !slices.Contains(asked, shard) {
-			asked = append(asked, shard)
+		if !slices.Contains(list, shard) {
+			list = append(list, shard)
 		}
 	}
-	if len(asked) == 0 {
+	if len(list) == 0 {
 		return []uint32{0}
 	}
-	return asked
+	return list
 }
 
-// Validate checks that the history only grows.
+// Validate checks that the history is not empty and strictly increasing.
 func (s Shards) Validate() error {
 	if len(s) == 0 || s[0] == 0 {
 		return errors.New("once: at least one ledger shard is needed")
@@ -157,7 +161,8 @@
 	return nil
 }
 
-// Shard returns the shard of a key from its digest. Zero shards count as one.
+// Shard returns the shard of a key with the given digest. Zero shards count as
+// one.
 func (id KeyID) Shard(shards uint32) uint32 {
 	const multiplier = 2862933555777941757
 	hash := binary.BigEndian.Uint64(id[:8])
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -6,48 +6,52 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// phase is the state of a key between its claim and its expiry.
+// phase is the state of a key's record.
 type phase uint8
 
 const (
-	phaseClaimed  phase = iota + 1 // an owner may send
-	phaseReleased                  // given back before the first byte
-	phaseAnswered                  // an outcome is recorded, or unknown
+	phaseClaimed  phase = iota + 1 // granted; its owner may send the call
+	phaseReleased                  // released before the first byte of the call
+	phaseAnswered                  // an outcome, possibly unknown, is recorded
 )
 
-// record is what the ledger keeps of one key.
+// record is the ledger's state of one key.
 type record struct {
 	phase  phase
 	digest Digest
 	claim  ClaimID
 	owner  Owner
 	team   ident.Team
-	// holdEnd is when a claim without an outcome becomes unknown, and from the
-	// time from which the retention counts, both in ledger milliseconds.
+	// holdEnd is the time at which a claim without an outcome becomes unknown,
+	// in ledger milliseconds.
 	holdEnd int64
-	from    int64
+	// retainFrom is the time at which the retention starts, in ledger
+	// milliseconds.
+	retainFrom int64
+	// dated is set if the key's text encodes a date.
 	dated   bool
 	request ident.Request
 	reason  outcome.Reason
-	// answer is the encoded Answer: one piece of memory instead of many, ready
-	// for snapshots. lost tells that it says unknown only because nobody heard
-	// from the owner in time; such an owner may still say what happened.
+	// answer is the encoded Answer. The encoded form is one allocation instead
+	// of many and is copied into snapshots as it is.
 	answer []byte
-	lost   bool
-	// dead holds the latest claims that were given up, see giveUp.
-	dead  []ClaimID
-	bytes int64
+	// ownerLost is set if the answer is unknown only because the owner was lost
+	// or recorded no outcome in time. Such an owner may still record one.
+	ownerLost bool
+	// abandoned holds the latest released claims, see Ledger.abandon.
+	abandoned []ClaimID
+	bytes     int64
 }
 
-// maxDead bounds the claims of one key that are remembered as given up.
-const maxDead = 64
+// maxAbandoned bounds the number of abandoned claims kept for one key.
+const maxAbandoned = 64
 
-// recordBytes is what a claim without an answer costs in memory: the record,
-// its map entry and its places in the two queues (measured by
-// BenchmarkMemoryPerClaim).
+// recordBytes is the memory accounted to a claim without an answer: the record,
+// its map entry and its entries in the two queues. BenchmarkMemoryPerClaim
+// measures it.
 const recordBytes = 512
 
-// Ledger is the state machine. It is not safe for concurrent use.
+// Ledger is the replicated state machine. It is not safe for concurrent use.
 type Ledger struct {
 	options Options
 	now     int64
@@ -55,18 +59,23 @@
 	records map[KeyID]*record
 	bytes   int64
 	teams   map[ident.Team]int64
-	// incarnations are the latest known of each entry host.
+	// incarnations holds the latest known incarnation of each entry host.
 	incarnations map[ident.Host]ident.Incarnation
-	byOwner      map[ident.Host]map[KeyID]struct{}
-	holds        deadlines
-	forgets      deadlines
-	expired      filter
-	seal         Reshard
-	// floor is the date up to which dated keys have been refused as too old.
-	// It never falls, also when the retention is raised: the records of keys
-	// older than it are gone.
-	floor    int64
-	onSettle func(KeyID)
+	// byOwner holds the keys in flight of each entry host.
+	byOwner map[ident.Host]map[KeyID]struct{}
+	// holds and expiries are the queues of the ends of holds and of retentions.
+	// They may hold entries that no longer match their record.
+	holds    deadlines
+	expiries deadlines
+	// expired holds the expired undated keys.
+	expired filter
+	// lastReshard is the latest Reshard applied, zero if there was none.
+	lastReshard Reshard
+	// minCutoff is the expiry cutoff at the latest change of the options. The
+	// cutoff never falls below it, even if the retention is raised, because the
+	// records of older keys are already dropped.
+	minCutoff int64
+	onResolve func(KeyID)
 }
 
 // New returns an empty ledger with the default options.
@@ -81,25 +90,26 @@
 	l.teams = make(map[ident.Team]int64)
 	l.incarnations = make(map[ident.Host]ident.Incarnation)
 	l.byOwner = make(map[ident.Host]map[KeyID]struct{})
-	l.holds, l.forgets = nil, nil
+	l.holds, l.expiries = nil, nil
 	l.bytes = 0
 	l.expired = filter{}
-	l.seal = Reshard{}
-	l.floor = 0
+	l.lastReshard = Reshard{}
+	l.minCutoff = 0
 }
 
-// OnResolve sets a function that Apply calls with each key whose claim stops
-// being in flight. It must not call the ledger.
-func (l *Ledger) OnResolve(f func(KeyID)) { l.onSettle = f }
+// OnResolve sets a function that Apply calls with each key whose claim is no
+// longer in flight. The function must not call the ledger.
+func (l *Ledger) OnResolve(f func(KeyID)) { l.onResolve = f }
 
-func (l *Ledger) settled(id KeyID) {
-	if l.onSettle != nil {
-		l.onSettle(id)
+func (l *Ledger) notifyResolved(id KeyID) {
+	if l.onResolve != nil {
+		l.onResolve(id)
 	}
 }
 
-// Apply executes one committed command and returns an encoded Result. A
-// command at an index that was applied before changes nothing.
+// Apply executes one committed command and returns the encoded Result. A
+// command whose index was applied before has no effect; index 0 is never
+// treated as a duplicate.
 func (l *Ledger) Apply(index uint64, command []byte) []byte {
 	if index != 0 && index <= l.applied {
 		return Result{Status: StatusBad, Detail: "command was applied before"}.Encode()
@@ -112,11 +122,11 @@
 	return l.Execute(c).Encode()
 }
 
-// Execute runs one decoded command.
+// Execute executes one decoded command.
 func (l *Ledger) Execute(c Command) Result {
 	l.now = max(l.now, c.NowMillis)
-	l.endHolds()
-	l.forget()
+	l.expireHolds()
+	l.expireRecords()
 	switch {
 	case c.Claim != nil:
 		return l.claim(*c.Claim)
@@ -125,12 +135,12 @@
 	case c.Record != nil:
 		return l.record(*c.Record)
 	case c.LostOwner != nil:
-		l.loseIncarnations(c.LostOwner.Host, c.LostOwner.Incarnation)
+		l.markIncarnationsLost(c.LostOwner.Host, c.LostOwner.Incarnation)
 		return Result{Status: StatusOK}
 	case c.Configure != nil:
 		return l.configure(*c.Configure)
 	case c.Reshard != nil:
-		return l.sealShards(*c.Reshard)
+		return l.applyReshard(*c.Reshard)
 	default:
 		return Result{Status: StatusOK}
 	}
@@ -140,40 +150,40 @@
 	if err := options.Validate(); err != nil {
 		return Result{Status: StatusBad, Detail: err.Error()}
 	}
-	l.floor = l.oldest()
+	l.minCutoff = l.expiryCutoff()
 	l.options = options
-	// The queue must not depend on when the options changed: a host that
-	// restores a snapshot builds it anew.
-	l.forgets = nil
+	// Rebuild the queue, so that it doesn't depend on when the options changed:
+	// a replica that restores a snapshot builds it from the records too.
+	l.expiries = nil
 	for id, rec := range l.records {
-		l.forgets.add(l.forgetAt(rec), id)
+		l.expiries.add(l.expiresAt(rec), id)
 	}
 	return Result{Status: StatusOK}
 }
 
-// sealShards takes a seal if it spreads the keys wider than the one before; a
-// late copy of an older one changes nothing.
-func (l *Ledger) sealShards(s Reshard) Result {
+// applyReshard applies a Reshard that raises the number of shards. A delayed
+// copy of an older one has no effect.
+func (l *Ledger) applyReshard(s Reshard) Result {
 	if s.Self >= s.Shards {
 		return Result{Status: StatusBad, Detail: "a shard's number must be below the number of shards"}
 	}
-	if s.Shards > l.seal.Shards {
-		l.seal = s
+	if s.Shards > l.lastReshard.Shards {
+		l.lastReshard = s
 	}
 	return Result{Status: StatusOK}
 }
 
-// moved tells whether a key that is not known here belongs to a newer shard.
+// moved reports whether a key without a record here now maps to another shard.
 func (l *Ledger) moved(id KeyID) bool {
-	return l.seal.Shards > 0 && id.Shard(l.seal.Shards) != l.seal.Self
+	return l.lastReshard.Shards > 0 && id.Shard(l.lastReshard.Shards) != l.lastReshard.Self
 }
 
-// Lookup answers what is known of a key without changing anything.
+// Lookup returns the state of a key without changing it.
 func (l *Ledger) Lookup(key Key) Result {
 	id := key.ID()
 	rec, ok := l.records[id]
 	if !ok {
-		if status, detail := l.tooOld(key, id); status != StatusInvalid {
+		if status, detail := l.checkNewKey(key, id); status != StatusInvalid {
 			return Result{Status: status, Detail: detail}
 		}
 		if l.moved(id) {
@@ -184,20 +194,20 @@
 	return rec.result()
 }
 
-// Peek answers a claim without a command where the ledger's answer can't change
-// any more, or where another claim holds the key at nowMillis. It reports false
-// when the claim must be committed to be answered.
+// Peek answers a claim without a command if the answer is final, or if another
+// claim holds the key at nowMillis. It returns false if the claim must be
+// committed to be answered.
 func (l *Ledger) Peek(c Claim, nowMillis int64) (Result, bool) {
 	rec, ok := l.records[c.Key.ID()]
 	switch {
-	case !ok || l.forgetAt(rec) <= nowMillis:
+	case !ok || l.expiresAt(rec) <= nowMillis:
 		return Result{}, false
 	case rec.digest != c.Digest:
 		return Result{Status: StatusConflict}, true
 	case rec.phase == phaseClaimed:
-		return rec.result(), rec.claim != c.ID && rec.holdEnd > nowMillis && !rec.isDead(c.ID)
+		return rec.result(), rec.claim != c.ID && rec.holdEnd > nowMillis && !rec.isAbandoned(c.ID)
 	case rec.phase == phaseAnswered:
-		return rec.result(), !rec.lost
+		return rec.result(), !rec.ownerLost
 	default:
 		return Result{}, false
 	}
@@ -210,30 +220,31 @@
 	case phaseReleased:
 		return Result{Status: StatusReleased, Reason: r.reason}
 	default:
-		return Result{Status: StatusAnswered, Answer: r.decoded()}
+		return Result{Status: StatusAnswered, Answer: r.decodeAnswer()}
 	}
 }
 
-func (r *record) decoded() *Answer {
+func (r *record) decodeAnswer() *Answer {
 	var answer Answer
 	if err := wire.Unmarshal(r.answer, &answer); err != nil {
-		// Only a damaged snapshot leads here; the caller is told unknown.
+		// This happens only after a corrupt snapshot. The caller gets the
+		// outcome unknown.
 		return &Answer{Kind: outcome.KindUnknown, Reason: outcome.ReasonLedgerDown, Detail: "the recorded outcome can't be read"}
 	}
 	return &answer
 }
 
-// Stats describes a ledger for metrics and dumps.
+// Stats holds the sizes of a ledger for metrics and dumps.
 type Stats struct {
 	Keys     int   `cbor:"1,keyasint"`
 	InFlight int   `cbor:"2,keyasint"`
 	Bytes    int64 `cbor:"3,keyasint"`
-	// Expired counts the undated keys remembered as expired.
+	// Expired is the number of undated keys remembered as expired.
 	Expired   int64 `cbor:"4,keyasint"`
 	NowMillis int64 `cbor:"5,keyasint"`
 }
 
-// Stats returns the ledger's sizes.
+// Stats returns the ledger's current sizes.
 func (l *Ledger) Stats() Stats {
 	stats := Stats{Keys: len(l.records), Bytes: l.bytes, Expired: l.expired.count(), NowMillis: l.now}
 	for _, keys := range l.byOwner {
--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -28,9 +28,10 @@
 	return Record{Key: c.Key, ID: c.ID, Answer: Answer{Kind: outcome.KindDone, Status: 201, Body: []byte(body)}}
 }
 
-// step is one command after some time, with the status it must get.
+// step is one command, applied after a delay, and the expected result. An empty
+// body or reason isn't checked.
 type step struct {
-	after   time.Duration
+	delay   time.Duration
 	command Command
 	want    Status
 	body    string
@@ -43,17 +44,18 @@
 
 func recordStep(r Record, want Status) step { return step{command: Command{Record: &r}, want: want} }
 
-func (s step) later(d time.Duration) step { s.after = d; return s }
+func (s step) withDelay(d time.Duration) step { s.delay = d; return s }
 
-func (s step) answers(body string) step { s.body = body; return s }
+func (s step) withBody(body string) step { s.body = body; return s }
 
-func (s step) because(reason outcome.Reason) step { s.reason = reason; return s }
+func (s step) withReason(reason outcome.Reason) step { s.reason = reason; return s }
 
-func run(t *testing.T, l *Ledger, steps []step) {
+// runSteps applies the steps in order, starting at the ledger's time.
+func runSteps(t *testing.T, l *Ledger, steps []step) {
 	t.Helper()
 	now := max(l.now, testStart)
 	for i, s := range steps {
-		now += s.after.Milliseconds()
+		now += s.delay.Milliseconds()
 		s.command.NowMillis = now
 		data := l.Apply(0, s.command.Encode())
 		got, err := DecodeResult(data)
@@ -72,11 +74,11 @@
 	}
 }
 
-// Each case takes keys through claims, records, releases, losses of their owner
-// and the passing of time. Whatever the order, at most one claim wins the right
-// to send, and everyone who asks later gets the first outcome; a second winner
-// would be a bid or a confirmation that runs twice.
-func TestLedgerLifeOfAKey(t *testing.T) {
+// Each case applies a sequence of claims, records, releases, owner losses and
+// delays. In every order at most one claim may be granted, and every later
+// claim must get the first recorded outcome. A second grant would run a bid or
+// a confirmation twice.
+func TestClaimSequences(t *testing.T) {
 	first, second, third := testClaim("k", 1), testClaim("k", 2), testClaim("k", 5)
 	other := second
 	other.Digest = DigestCall("POST", "/bid", []byte("amount=4"))
@@ -88,20 +90,20 @@
 		name  string
 		steps []step
 	}{
-		{"duplicate in flight waits, then gets the same answer", []step{
+		{"duplicate gets in-flight, then the recorded answer", []step{
 			claimStep(first, StatusGranted),
 			claimStep(second, StatusInFlight),
-			recordStep(first.done("bid 7"), StatusAnswered).answers("bid 7"),
-			claimStep(second, StatusAnswered).answers("bid 7"),
+			recordStep(first.done("bid 7"), StatusAnswered).withBody("bid 7"),
+			claimStep(second, StatusAnswered).withBody("bid 7"),
 		}},
-		{"claim resent after a lost answer is won again", []step{
+		{"claim resent after a lost answer is granted again", []step{
 			claimStep(first, StatusGranted),
 			claimStep(first, StatusGranted),
 		}},
-		{"the first outcome stands", []step{
+		{"first recorded outcome is final", []step{
 			claimStep(first, StatusGranted),
 			recordStep(first.done("a"), StatusAnswered),
-			recordStep(first.done("b"), StatusAnswered).answers("a"),
+			recordStep(first.done("b"), StatusAnswered).withBody("a"),
 		}},
 		{"other content under the same key", []step{
 			claimStep(first, StatusGranted),
@@ -109,7 +111,7 @@
 			recordStep(first.done("a"), StatusAnswered),
 			claimStep(other, StatusConflict),
 		}},
-		{"released by its owner, then claimed anew", []step{
+		{"released by its owner, then granted to another claim", []step{
 			claimStep(first, StatusGranted),
 			releaseStep(first.release(), StatusReleased),
 			claimStep(second, StatusGranted),
@@ -118,42 +120,42 @@
 			claimStep(first, StatusReleased),
 			claimStep(third, StatusGranted),
 		}},
-		{"released by another claim", []step{
+		{"release of a claim that doesn't hold the key", []step{
 			claimStep(first, StatusGranted),
 			releaseStep(second.release(), StatusReleased),
 			claimStep(third, StatusInFlight),
 			claimStep(second, StatusReleased),
-			recordStep(first.done("a"), StatusAnswered).answers("a"),
+			recordStep(first.done("a"), StatusAnswered).withBody("a"),
 		}},
-		{"release that overtakes its claim", []step{
+		{"release that arrives before its claim", []step{
 			releaseStep(first.release(), StatusReleased),
-			claimStep(first, StatusReleased).because(outcome.ReasonDial),
+			claimStep(first, StatusReleased).withReason(outcome.ReasonDial),
 			claimStep(second, StatusGranted),
 		}},
 		{"release after the outcome changes nothing", []step{
 			claimStep(first, StatusGranted),
 			recordStep(first.done("a"), StatusAnswered),
-			releaseStep(first.release(), StatusAnswered).answers("a"),
-			claimStep(second, StatusAnswered).answers("a"),
+			releaseStep(first.release(), StatusAnswered).withBody("a"),
+			claimStep(second, StatusAnswered).withBody("a"),
 		}},
 		{"record after release is not kept", []step{
 			claimStep(first, StatusGranted),
 			releaseStep(first.release(), StatusReleased),
 			recordStep(first.done("a"), StatusReleased),
 		}},
-		{"owner silent past its hold", []step{
+		{"hold ends without an outcome", []step{
 			claimStep(first, StatusGranted),
-			claimStep(second, StatusInFlight).later(time.Minute - time.Millisecond),
-			claimStep(second, StatusAnswered).later(time.Millisecond).because(outcome.ReasonOwnerLost),
-			recordStep(first.done("late"), StatusAnswered).answers("late"),
-			claimStep(second, StatusAnswered).answers("late"),
+			claimStep(second, StatusInFlight).withDelay(time.Minute - time.Millisecond),
+			claimStep(second, StatusAnswered).withDelay(time.Millisecond).withReason(outcome.ReasonOwnerLost),
+			recordStep(first.done("late"), StatusAnswered).withBody("late"),
+			claimStep(second, StatusAnswered).withBody("late"),
 		}},
 		{"owner declared lost", []step{
 			claimStep(first, StatusGranted),
 			{command: Command{LostOwner: &Owner{Host: "e1", Incarnation: 1}}, want: StatusOK},
-			claimStep(second, StatusAnswered).because(outcome.ReasonOwnerLost),
+			claimStep(second, StatusAnswered).withReason(outcome.ReasonOwnerLost),
 		}},
-		{"a later incarnation of the owner ends the claims of the earlier", []step{
+		{"newer incarnation of the owner makes earlier claims unknown", []step{
 			claimStep(first, StatusGranted),
 			claimStep(restarted, StatusGranted),
 			claimStep(restarted, StatusGranted),
@@ -162,33 +164,33 @@
 		{"undated key older than the retention", []step{
 			claimStep(first, StatusGranted),
 			recordStep(first.done("a"), StatusAnswered),
-			claimStep(second, StatusExpired).later(day),
-			claimStep(second, StatusExpired).later(1000 * day),
+			claimStep(second, StatusExpired).withDelay(day),
+			claimStep(second, StatusExpired).withDelay(1000 * day),
 		}},
 		{"released key older than the retention", []step{
 			claimStep(first, StatusGranted),
 			releaseStep(first.release(), StatusReleased),
-			claimStep(second, StatusExpired).later(day),
+			claimStep(second, StatusExpired).withDelay(day),
 		}},
 		{"dated key older than the retention", []step{
 			claimStep(testClaim("1764700000000.order-17", 1), StatusGranted),
-			claimStep(testClaim("1764700000000.order-17", 2), StatusExpired).later(day),
+			claimStep(testClaim("1764700000000.order-17", 2), StatusExpired).withDelay(day),
 			claimStep(testClaim("1764700000000.order-18", 2), StatusExpired),
 		}},
-		{"dated key from the future", []step{
+		{"key dated in the future", []step{
 			claimStep(testClaim("1764799999999.order-17", 1), StatusBad),
 		}},
-		{"time never goes back", []step{
+		{"ledger time never decreases", []step{
 			claimStep(first, StatusGranted),
-			claimStep(second, StatusExpired).later(day),
-			claimStep(second, StatusExpired).later(-day),
+			claimStep(second, StatusExpired).withDelay(day),
+			claimStep(second, StatusExpired).withDelay(-day),
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			run(t, New(), c.steps)
-			// The same commands on a ledger that is saved and restored before
-			// each step must give the same statuses.
+			runSteps(t, New(), c.steps)
+			// Saving and restoring the ledger before each step must not change
+			// any status.
 			restored := New()
 			for i := range c.steps {
 				data, err := restored.Snapshot()
@@ -203,7 +205,7 @@
 				if i == 0 {
 					restored.now = testStart
 				}
-				run(t, restored, []step{s})
+				runSteps(t, restored, []step{s})
 			}
 		})
 	}
--- a/once/options.go
+++ b/once/options.go
@@ -7,28 +7,30 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// maxRecords is how many records a snapshot may hold.
+// maxRecords is the maximum number of records in a snapshot.
 const maxRecords = wire.MaxElements
 
-// Options bound a ledger. They are part of its replicated state, so that every
-// host of a group decides alike; Command.Configure changes them.
+// Options holds the limits of a ledger. They are part of the replicated state,
+// so that every replica decides alike; Command.Configure changes them.
 type Options struct {
-	// RetentionMillis is how long an outcome is kept after the claim.
+	// RetentionMillis is the time for which an outcome is kept after the claim,
+	// or after the key's date if that is later.
 	RetentionMillis int64 `cbor:"1,keyasint"`
-	// MaxHoldMillis bounds Claim.HoldMillis.
+	// MaxHoldMillis is the upper limit of Claim.HoldMillis.
 	MaxHoldMillis int64 `cbor:"2,keyasint"`
-	// SkewMillis is how far ahead of the ledger a dated key may be.
+	// SkewMillis is how far the date of a key may be ahead of the ledger's
+	// time.
 	SkewMillis int64 `cbor:"3,keyasint"`
-	// MaxBytes bounds the memory of all kept keys, MaxTeamBytes that of one
-	// team's.
+	// MaxBytes limits the memory of all records, MaxTeamBytes that of one
+	// team's records.
 	MaxBytes     int64 `cbor:"4,keyasint"`
 	MaxTeamBytes int64 `cbor:"5,keyasint"`
-	// MaxBody is the largest answer body kept; a larger one is kept as its
-	// length and digest.
+	// MaxBody is the size of the largest answer body kept, in bytes. Of a
+	// larger body only the length and digest are kept.
 	MaxBody int64 `cbor:"6,keyasint"`
-	// MaxExpired bounds how many undated keys are remembered as expired.
+	// MaxExpired limits the number of undated keys remembered as expired.
 	MaxExpired int64 `cbor:"7,keyasint"`
-	// RequireDate refuses keys that carry no date.
+	// RequireDate refuses keys without a date.
 	RequireDate bool `cbor:"8,keyasint,omitempty"`
 }
 
@@ -45,7 +47,7 @@
 	}
 }
 
-// Validate checks that the options keep the ledger's promises.
+// Validate checks that the ledger can keep its guarantees with these options.
 func (o Options) Validate() error {
 	switch {
 	case o.MaxHoldMillis <= 0:
--- a/once/owner.go
+++ b/once/owner.go
@@ -5,37 +5,42 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-func (l *Ledger) noteIncarnation(owner Owner) {
+// recordIncarnation stores the owner's incarnation if it is the newest of its
+// host, and marks the claims of earlier incarnations as unknown.
+func (l *Ledger) recordIncarnation(owner Owner) {
 	if owner.Incarnation > l.incarnations[owner.Host] {
 		if owner.Incarnation > 0 {
-			l.loseIncarnations(owner.Host, owner.Incarnation-1)
+			l.markIncarnationsLost(owner.Host, owner.Incarnation-1)
 		}
 		l.incarnations[owner.Host] = owner.Incarnation
 	}
 }
 
-// loseIncarnations makes the claims of a host's incarnations up to last unknown.
-func (l *Ledger) loseIncarnations(host ident.Host, last ident.Incarnation) {
+// markIncarnationsLost marks the claims of a host's incarnations up to and
+// including last as unknown.
+func (l *Ledger) markIncarnationsLost(host ident.Host, last ident.Incarnation) {
 	l.incarnations[host] = max(l.incarnations[host], last)
 	for id := range l.byOwner[host] {
 		rec := l.records[id]
 		if rec.owner.Incarnation <= last {
-			l.loseOwner(id, rec)
+			l.markOwnerLost(id, rec)
 		}
 	}
 }
 
-func (l *Ledger) loseOwner(id KeyID, rec *record) {
+// markOwnerLost records the outcome of a claim in flight as unknown.
+func (l *Ledger) markOwnerLost(id KeyID, rec *record) {
 	l.untrackOwner(rec.owner.Host, id)
-	l.keep(rec, Answer{
+	l.storeAnswer(rec, Answer{
 		Kind:    outcome.KindUnknown,
 		Reason:  outcome.ReasonOwnerLost,
 		Detail:  "the entry host that claimed this key has not said what became of the call",
 		Request: rec.request,
 	})
-	l.settled(id)
+	l.notifyResolved(id)
 }
 
+// trackOwner adds a key to those that its owner's host has in flight.
 func (l *Ledger) trackOwner(host ident.Host, id KeyID) {
 	keys := l.byOwner[host]
 	if keys == nil {
--- a/once/settle.go
+++ b/once/resolve.go
@@ -12,13 +12,14 @@
 	id := r.Key.ID()
 	rec, known := l.records[id]
 	if !known {
-		return l.releaseUnseen(id, r)
+		return l.releaseBeforeClaim(id, r)
 	}
 	if rec.claim != r.ID {
-		// Another claim holds the key, or this one did and was given back
-		// before. Both get the same answer, or a release resent after a lost
-		// answer would seem to have failed.
-		l.giveUp(rec, r.ID)
+		// Either another claim holds the key, or this claim held it and was
+		// released before. Both get the same answer, because otherwise a
+		// release that is resent after its answer was lost would appear to have
+		// failed.
+		l.abandon(rec, r.ID)
 		return Result{Status: StatusReleased, Reason: r.Reason}
 	}
 	if rec.owner != r.Owner {
@@ -27,59 +28,60 @@
 	if rec.phase == phaseReleased {
 		return Result{Status: StatusReleased, Reason: rec.reason}
 	}
-	if rec.phase == phaseAnswered && !rec.lost {
+	if rec.phase == phaseAnswered && !rec.ownerLost {
 		return rec.result()
 	}
 	l.dropAnswer(rec)
 	l.untrackOwner(rec.owner.Host, id)
 	rec.phase = phaseReleased
 	rec.reason = r.Reason
-	l.giveUp(rec, r.ID)
-	l.settled(id)
+	l.abandon(rec, r.ID)
+	l.notifyResolved(id)
 	return Result{Status: StatusReleased, Reason: r.Reason}
 }
 
-// releaseUnseen remembers a release that overtook its claim, so that the claim
-// is refused when it arrives. Without it the key would stay in flight, and
-// then unknown, though its owner has long told its caller that nothing ran.
-func (l *Ledger) releaseUnseen(id KeyID, r Release) Result {
+// releaseBeforeClaim stores a release that arrives before its claim, so that
+// the claim is refused when it arrives. Otherwise the key would stay in flight
+// and then become unknown, although the owner has already answered its caller
+// that the call was not run.
+func (l *Ledger) releaseBeforeClaim(id KeyID, r Release) Result {
 	if err := r.Key.Validate(); err != nil {
 		return Result{Status: StatusBad, Detail: err.Error()}
 	}
-	if status, detail := l.tooOld(r.Key, id); status != StatusInvalid {
+	if status, detail := l.checkNewKey(r.Key, id); status != StatusInvalid {
 		return Result{Status: status, Detail: detail}
 	}
 	if l.moved(id) {
 		return Result{Status: StatusMoved}
 	}
-	if refusal, full := l.full(r.Key); full {
+	if refusal, full := l.checkCapacity(r.Key); full {
 		return refusal
 	}
 	rec := l.insert(id, r.Key, r.Digest, r.Owner, r.ID)
 	rec.phase = phaseReleased
 	rec.reason = r.Reason
-	l.giveUp(rec, r.ID)
+	l.abandon(rec, r.ID)
 	return Result{Status: StatusReleased, Reason: r.Reason}
 }
 
-// giveUp remembers that a claim is no longer wanted. A copy of it that was
-// delayed in the network would otherwise win the key after its release with
-// nobody left to send the call, and the key would end as unknown though it
-// never ran. The memory is bounded; a copy older than it costs such a false
-// unknown, never a second run.
-func (l *Ledger) giveUp(rec *record, claim ClaimID) {
-	if rec.isDead(claim) || !l.room(rec.team, int64(len(claim))) {
+// abandon remembers that a claim was released. Otherwise a copy of the claim
+// that was delayed in the network could be granted the key after the release,
+// with no process left to send the call, and the outcome would become unknown
+// although the call never ran. The number of claims kept is bounded; a copy of
+// an older one causes such a false unknown, but never a second run.
+func (l *Ledger) abandon(rec *record, claim ClaimID) {
+	if rec.isAbandoned(claim) || !l.hasCapacity(rec.team, int64(len(claim))) {
 		return
 	}
-	if len(rec.dead) == maxDead {
-		rec.dead = slices.Delete(rec.dead, 0, 1)
+	if len(rec.abandoned) == maxAbandoned {
+		rec.abandoned = slices.Delete(rec.abandoned, 0, 1)
 		l.charge(rec, -int64(len(claim)))
 	}
-	rec.dead = append(rec.dead, claim)
+	rec.abandoned = append(rec.abandoned, claim)
 	l.charge(rec, int64(len(claim)))
 }
 
-func (r *record) isDead(claim ClaimID) bool { return slices.Contains(r.dead, claim) }
+func (r *record) isAbandoned(claim ClaimID) bool { return slices.Contains(r.abandoned, claim) }
 
 func (l *Ledger) record(r Record) Result {
 	id := r.Key.ID()
@@ -90,18 +92,18 @@
 	switch {
 	case rec.phase == phaseReleased:
 		return rec.result()
-	case rec.phase == phaseAnswered && !rec.lost:
-		// The first recorded outcome stands, or two callers of one key could
-		// be told different things.
+	case rec.phase == phaseAnswered && !rec.ownerLost:
+		// The first recorded outcome is final. Otherwise two callers with the
+		// same key could get different outcomes.
 		return rec.result()
 	}
 	if !validKind(r.Answer.Kind) {
 		return Result{Status: StatusBad, Detail: "an outcome must be done, failed or unknown"}
 	}
 	l.dropAnswer(rec)
-	l.keep(rec, r.Answer)
+	l.storeAnswer(rec, r.Answer)
 	l.untrackOwner(rec.owner.Host, id)
-	l.settled(id)
+	l.notifyResolved(id)
 	return rec.result()
 }
 
@@ -109,39 +111,43 @@
 	return kind == outcome.KindDone || kind == outcome.KindFailed || kind == outcome.KindUnknown
 }
 
-// Bounds on the texts of a kept answer.
+// Limits of the header and detail of a kept answer.
 const (
 	maxHeaderFields = 32
 	maxHeaderBytes  = 8 << 10
 	maxDetail       = 512
 )
 
-func (l *Ledger) keep(rec *record, answer Answer) {
+// storeAnswer records an answer, shortened to the ledger's limits.
+func (l *Ledger) storeAnswer(rec *record, answer Answer) {
 	answer.Header = boundHeader(answer.Header)
 	answer.Detail = answer.Detail[:min(len(answer.Detail), maxDetail)]
 	if !answer.BodyOmitted {
 		answer.BodyLength = int64(len(answer.Body))
 	}
-	noRoom := !l.room(rec.team, int64(len(answer.Body)+maxHeaderBytes))
-	if noRoom {
+	full := !l.hasCapacity(rec.team, int64(len(answer.Body)+maxHeaderBytes))
+	if full {
 		answer.Header = nil
 	}
 	size := int64(len(answer.Body))
-	if size > l.options.MaxBody || size > 0 && noRoom {
+	if size > l.options.MaxBody || size > 0 && full {
 		answer = answer.withoutBody()
 	}
 	rec.answer = wire.MustMarshal(answer)
-	rec.lost = answer.Kind == outcome.KindUnknown && answer.Reason == outcome.ReasonOwnerLost
+	rec.ownerLost = answer.Kind == outcome.KindUnknown && answer.Reason == outcome.ReasonOwnerLost
 	rec.phase = phaseAnswered
 	l.charge(rec, int64(len(rec.answer)))
 }
 
-// room tells whether a team may take so many bytes more. An outcome is recorded
-// even without room, but cut to a few hundred bytes.
-func (l *Ledger) room(team ident.Team, bytes int64) bool {
+// hasCapacity reports whether the ledger and the team may use the given number
+// of bytes more. An outcome is recorded even without capacity, but shortened to
+// a few hundred bytes.
+func (l *Ledger) hasCapacity(team ident.Team, bytes int64) bool {
 	return l.bytes+bytes <= l.options.MaxBytes && l.teams[team]+bytes <= l.options.MaxTeamBytes
 }
 
+// boundHeader returns the leading fields that fit within maxHeaderFields and
+// maxHeaderBytes.
 func boundHeader(fields []HeaderField) []HeaderField {
 	total := 0
 	for i, field := range fields {
@@ -153,12 +159,13 @@
 	return fields
 }
 
-// MaxSentBody is the largest body that is sent to a ledger at all.
+// MaxSentBody is the size of the largest body sent to a ledger, in bytes.
 const MaxSentBody = 256 << 10
 
-// LimitBody returns the answer as it may be sent to a ledger: one with a larger
-// body has its length and digest instead. The ledger cuts further as its own
-// options say.
+// LimitBody returns the answer in the form in which it may be sent to a ledger:
+// with a limited header, and with the length and digest instead of a body
+// larger than MaxSentBody. The ledger shortens it further according to its own
+// options.
 func (a Answer) LimitBody() Answer {
 	a.Header = boundHeader(a.Header)
 	if len(a.Body) > MaxSentBody {
@@ -167,6 +174,8 @@
 	return a
 }
 
+// withoutBody returns the answer with the body replaced by its length and
+// digest.
 func (a Answer) withoutBody() Answer {
 	a.BodyLength = int64(len(a.Body))
 	a.BodyDigest = DigestBody(a.Body)
@@ -177,5 +186,5 @@
 
 func (l *Ledger) dropAnswer(rec *record) {
 	l.charge(rec, -int64(len(rec.answer)))
-	rec.answer, rec.lost = nil, false
+	rec.answer, rec.ownerLost = nil, false
 }
