--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -10,7 +10,8 @@
 
 var teamCounts = []int{1_000, 10_000, 27_000}
 
-func loaded(b *testing.B, teams int) *State {
+// loadedState returns a state with a document of the given number of teams.
+func loadedState(b *testing.B, teams int) *State {
 	b.Helper()
 	state := NewState()
 	if got := state.Apply(command(state, "first", 0, testDocument(teams))); got.Verdict != VerdictApplied {
@@ -19,8 +20,8 @@
 	return state
 }
 
-// changeTeam returns a command that changes one team's token.
-func changeTeam(state *State, teams, n int) Command {
+// changeTeamCommand returns a command that replaces the token of one team.
+func changeTeamCommand(state *State, teams, n int) Command {
 	team := testTeam(n % teams)
 	team.Tokens = []TokenDigest{DigestToken(fmt.Sprint(n))}
 	base := state.Current().Revision()
@@ -32,7 +33,7 @@
 func BenchmarkTeamByToken(b *testing.B) {
 	for _, teams := range teamCounts {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
-			current := loaded(b, teams).Current()
+			current := loadedState(b, teams).Current()
 			digest := testTeam(teams / 2).Tokens[0]
 			for b.Loop() {
 				if _, found := current.TeamByToken(digest); !found {
@@ -46,12 +47,12 @@
 func BenchmarkStateApplyOneTeam(b *testing.B) {
 	for _, teams := range teamCounts {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
-			state := loaded(b, teams)
+			state := loadedState(b, teams)
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
 				n++
-				if got := state.Apply(changeTeam(state, teams, n)); got.Verdict != VerdictApplied {
+				if got := state.Apply(changeTeamCommand(state, teams, n)); got.Verdict != VerdictApplied {
 					b.Fatalf("%+v", got)
 				}
 			}
@@ -74,6 +75,7 @@
 	}
 }
 
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -81,20 +83,20 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkCatchUp brings a follower forward that missed a number of changes
-// of different teams out of 27,000.
+// BenchmarkCatchUp measures an update for a follower that lacks a number of
+// changes of different teams out of 27,000.
 func BenchmarkCatchUp(b *testing.B) {
 	const teams = 27_000
 	for _, pending := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint("pending=", pending), func(b *testing.B) {
-			state := loaded(b, teams)
+			state := loadedState(b, teams)
 			behind := NewFollower()
 			if _, err := behind.Apply(state.Since(0)); err != nil {
 				b.Fatal(err)
 			}
 			start := behind.Current()
 			for n := range pending {
-				state.Apply(changeTeam(state, teams, n))
+				state.Apply(changeTeamCommand(state, teams, n))
 			}
 			bytes, full := 0, 0.0
 			for b.Loop() {
@@ -114,15 +116,15 @@
 	}
 }
 
-// BenchmarkRestore rebuilds a control host's state from its snapshot after a
-// number of changes.
+// BenchmarkRestore measures the restoration of a control host's state from its
+// snapshot after a number of changes.
 func BenchmarkRestore(b *testing.B) {
 	const teams = 27_000
 	for _, changes := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint("changes=", changes), func(b *testing.B) {
-			state := loaded(b, teams)
+			state := loadedState(b, teams)
 			for n := range changes {
-				state.Apply(changeTeam(state, teams, n))
+				state.Apply(changeTeamCommand(state, teams, n))
 			}
 			data := wire.MustMarshal(state.Image())
 			for b.Loop() {
@@ -139,9 +141,9 @@
 	}
 }
 
-// Bounds on counts: what one change costs must not depend on the number of
-// teams, and a change must stay a small message.
-func TestChangeCostsDoNotGrowWithTeams(t *testing.T) {
+// The allocations of one change must not grow with the number of teams, and the
+// message of a change must stay small.
+func TestChangeCostIsIndependentOfTeamCount(t *testing.T) {
 	const maxAllocations, maxDeltaBytes = 120, 256
 	for _, teams := range []int{100, 10_000} {
 		snapshot, err := NewSnapshot(1, testDocument(teams))
@@ -154,7 +156,7 @@
 		delta.Teams.Put = []Team{team}
 		allocations := testing.AllocsPerRun(50, func() {
 			if snapshot.Check(delta) != nil {
-				t.Fatal("delta refused")
+				t.Fatal("valid delta was refused")
 			}
 			snapshot.Apply(delta)
 		})
--- a/config/delta.go
+++ b/config/delta.go
@@ -6,7 +6,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Delta turns revision From into revision To, item by item.
+// Delta is the list of item changes that turn revision From into revision To.
 type Delta struct {
 	From Revision `cbor:"1,keyasint" json:"from"`
 	To   Revision `cbor:"2,keyasint" json:"to"`
@@ -18,14 +18,14 @@
 	Services     Change[ident.Service, Service] `cbor:"7,keyasint,omitzero" json:"services,omitzero"`
 }
 
-// Change lists the items of one kind that were set or removed. An item is in
-// at most one of the lists.
+// Change lists the items of one kind that were set or removed. No item is in
+// both lists.
 type Change[K ~string, V any] struct {
 	Put  []V `cbor:"1,keyasint,omitempty" json:"put,omitempty"`
 	Drop []K `cbor:"2,keyasint,omitempty" json:"drop,omitempty"`
 }
 
-// IsZero reports whether nothing changes.
+// IsZero reports whether the change is empty.
 func (c Change[K, V]) IsZero() bool { return len(c.Put) == 0 && len(c.Drop) == 0 }
 
 func (c Change[K, V]) size() int { return len(c.Put) + len(c.Drop) }
@@ -80,8 +80,8 @@
 	return change
 }
 
-// Apply returns the snapshot that delta leads to. The caller has checked that
-// the delta starts here (see Check and Follower).
+// Apply returns the snapshot that results from delta. The caller has checked
+// that the delta starts at this revision (see Check and Follower).
 func (s *Snapshot) Apply(delta Delta) *Snapshot {
 	next := *s
 	next.revision = delta.To
@@ -104,21 +104,22 @@
 	return t.apply(change.Drop, put)
 }
 
-// applyTeams keeps the index of tokens and the sum of floors beside the teams.
-// Old tokens go first: a token may move from one changed team to another.
+// applyTeams applies a change of teams and updates the token index and the sum
+// of guaranteed shares. Old tokens are removed first, because a token may move
+// from one changed team to another.
 func (s *Snapshot) applyTeams(change Change[ident.Team, Team]) {
 	var oldTokens []TokenDigest
 	for _, name := range change.Drop {
-		oldTokens = s.retire(name, oldTokens)
+		oldTokens = s.unindexTeam(name, oldTokens)
 	}
 	for i := range change.Put {
-		oldTokens = s.retire(change.Put[i].Name, oldTokens)
+		oldTokens = s.unindexTeam(change.Put[i].Name, oldTokens)
 	}
 	s.teams = applyChange(s.teams, change, teamName)
 	var newTokens []tableItem[TokenDigest, Team]
 	for i := range change.Put {
 		team, _ := s.teams.get(change.Put[i].Name)
-		s.floors += uint64(team.Share.Guaranteed)
+		s.guaranteedSum += uint64(team.Share.Guaranteed)
 		for _, digest := range team.Tokens {
 			newTokens = append(newTokens, tableItem[TokenDigest, Team]{key: digest, value: team})
 		}
@@ -126,18 +127,19 @@
 	s.tokens = s.tokens.apply(oldTokens, newTokens)
 }
 
-// retire takes a team that is about to change out of the sum of floors and
-// appends its tokens to those that go.
-func (s *Snapshot) retire(name ident.Team, tokens []TokenDigest) []TokenDigest {
+// unindexTeam subtracts a team's guaranteed share from the sum and appends its
+// tokens, which are to be removed from the index, to tokens. The caller is
+// about to change or remove the team.
+func (s *Snapshot) unindexTeam(name ident.Team, tokens []TokenDigest) []TokenDigest {
 	team, found := s.teams.get(name)
 	if !found {
 		return tokens
 	}
-	s.floors -= uint64(team.Share.Guaranteed)
+	s.guaranteedSum -= uint64(team.Share.Guaranteed)
 	return append(tokens, team.Tokens...)
 }
 
-// Merge joins deltas that follow one another into one. It needs at least one.
+// Merge combines consecutive deltas into one. It panics if there are none.
 func Merge(deltas []Delta) Delta {
 	merged := deltas[0]
 	for _, next := range deltas[1:] {
@@ -153,8 +155,8 @@
 	return merged
 }
 
-// mergeChanges keeps the last word on each item. Put and Drop are sorted so
-// that equal inputs give equal messages.
+// mergeChanges keeps the latest change of each item. Put and Drop are sorted,
+// so that equal inputs give equal messages.
 func mergeChanges[K ~string, V any](deltas []Delta, part func(*Delta) Change[K, V], name func(*V) K) Change[K, V] {
 	last := make(map[K]*V)
 	for i := range deltas {
--- a/config/deltalog.go
+++ b/config/deltalog.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// deltaLog keeps the latest deltas, each of which starts where the one before
-// it ended.
+// deltaLog keeps the latest deltas. Each starts at the revision where the
+// previous one ends. items is the sum of the deltas' sizes.
 type deltaLog struct {
 	kept  ring[Delta]
 	items int
@@ -18,20 +18,21 @@
 
 func (l *deltaLog) push(delta Delta) {
 	l.items += delta.Size()
-	for _, gone := range l.kept.push(delta) {
-		l.items -= gone.Size()
+	for _, evicted := range l.kept.push(delta) {
+		l.items -= evicted.Size()
 	}
 	for l.items > DeltaItemsKept {
-		for _, gone := range l.kept.trim(1) {
-			l.items -= gone.Size()
+		for _, evicted := range l.kept.trim(1) {
+			l.items -= evicted.Size()
 		}
 	}
 }
 
-// RangeError reports that the changes between two revisions are not known.
+// RangeError is returned if the changes between two revisions are not
+// available.
 type RangeError struct {
 	From, To Revision
-	// Oldest and Latest bound what is kept.
+	// Oldest and Latest are the bounds of the range that is kept.
 	Oldest, Latest Revision
 }
 
@@ -41,29 +42,28 @@
 }
 
 // between returns the changes from one revision to a later one, which must be
-// the end of a kept delta. The result may start before from: it states the
-// final value of every item changed since its own start. Its error is a
-// *RangeError.
+// the end of a kept delta. The result may start before from; it holds the final
+// value of every item changed since its own start. The error is a *RangeError.
 func (l *deltaLog) between(from, to Revision) (Delta, error) {
 	deltas := l.kept.items
-	outside := &RangeError{From: from, To: to}
+	rangeErr := &RangeError{From: from, To: to}
 	if len(deltas) == 0 {
-		return Delta{}, outside
+		return Delta{}, rangeErr
 	}
-	outside.Oldest, outside.Latest = deltas[0].From, deltas[len(deltas)-1].To
-	if from < outside.Oldest || from >= to || to > outside.Latest {
-		return Delta{}, outside
+	rangeErr.Oldest, rangeErr.Latest = deltas[0].From, deltas[len(deltas)-1].To
+	if from < rangeErr.Oldest || from >= to || to > rangeErr.Latest {
+		return Delta{}, rangeErr
 	}
 	first := sort.Search(len(deltas), func(i int) bool { return deltas[i].To > from })
 	last := sort.Search(len(deltas), func(i int) bool { return deltas[i].To >= to })
 	if deltas[last].To != to {
-		return Delta{}, outside
+		return Delta{}, rangeErr
 	}
 	return Merge(deltas[first : last+1]), nil
 }
 
-// since returns what brings a follower from held to current: nothing, a delta,
-// or the whole document when the delta is no longer kept or would be as large.
+// since returns the update from held to current: empty, a delta, or the full
+// revision if the delta is no longer kept or would be as large.
 func (l *deltaLog) since(current *Snapshot, held Revision) Update {
 	if held >= current.revision {
 		return Update{}
--- a/config/feed.go
+++ b/config/feed.go
@@ -1,36 +1,36 @@
 package config
 
-// Feed is a follower that others follow in turn: a relay's copy of the
+// Feed is a follower that serves other followers: a relay's copy of the
 // configuration. It is not safe for concurrent use.
 type Feed struct {
 	follower *Follower
 	deltas   deltaLog
 }
 
-// NewFeed returns a feed that holds nothing yet.
+// NewFeed returns a feed at revision zero.
 func NewFeed() *Feed {
 	return &Feed{follower: NewFollower(), deltas: newDeltaLog()}
 }
 
-// Current returns the revision held.
+// Current returns the feed's revision.
 func (f *Feed) Current() *Snapshot { return f.follower.Current() }
 
-// Apply takes an update and reports whether it moved the feed forward.
+// Apply applies an update and reports whether it advanced the feed.
 func (f *Feed) Apply(update Update) (bool, error) {
 	held := f.follower.Current().revision
 	moved, err := f.follower.Apply(update)
 	if err != nil || !moved {
 		return moved, err
 	}
-	f.keep(held, update)
+	f.recordDelta(held, update)
 	return true, nil
 }
 
-// keep remembers how the feed moved. A delta that starts before the revision
-// that was held is as good as one from there: it states the final value of
-// every item changed since its own start. After a whole document nothing kept
-// leads to the present revision.
-func (f *Feed) keep(held Revision, update Update) {
+// recordDelta stores the delta with which the feed advanced from revision held.
+// A delta that starts before held is stored as one that starts at held: it
+// contains the final value of every item changed since its own start. A full
+// revision clears the log, because no kept delta leads to the new revision.
+func (f *Feed) recordDelta(held Revision, update Update) {
 	if update.Delta == nil {
 		f.deltas = newDeltaLog()
 		return
@@ -40,7 +40,8 @@
 	f.deltas.push(delta)
 }
 
-// Since returns what brings a follower that holds a revision to this feed's.
+// Since returns the update that takes a follower from revision held to the
+// feed's revision.
 func (f *Feed) Since(held Revision) Update {
 	return f.deltas.since(f.follower.Current(), held)
 }
--- a/config/feed_test.go
+++ b/config/feed_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// Two feeds stand between the state and a follower, each skipping updates at
-// its own pace, so that deltas get merged twice and start where no kept delta
-// ends. The follower must still see exactly the state's document.
-func TestFollowerBehindFeedsAgreesWithState(t *testing.T) {
+// A follower gets its updates from the state through two feeds. Each feed skips
+// updates independently, so that deltas are merged twice and requested from
+// revisions at which no kept delta ends. The follower must always equal the
+// state's document of its revision.
+func TestFollowerThroughFeedsMatchesState(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 1))
 	state := NewState()
 	state.deltas.kept.limit = 9
@@ -19,7 +20,7 @@
 	documents := map[Revision]Document{}
 	deltas := 0
 	for step := range 600 {
-		doc := oneTeamChanged(state.Current().Document(), random)
+		doc := randomTeamChange(state.Current().Document(), random)
 		state.Apply(command(state, fmt.Sprint(step), state.Current().Revision(), doc))
 		documents[state.Current().Revision()] = state.Current().Document()
 		if random.IntN(2) == 0 {
@@ -43,8 +44,8 @@
 	}
 }
 
-// oneTeamChanged adds, drops or changes one of forty teams.
-func oneTeamChanged(doc Document, random *rand.Rand) Document {
+// randomTeamChange adds, removes or changes one of forty teams.
+func randomTeamChange(doc Document, random *rand.Rand) Document {
 	if len(doc.Classes) == 0 {
 		return testDocument(20)
 	}
--- a/config/follower.go
+++ b/config/follower.go
@@ -5,45 +5,46 @@
 	"fmt"
 )
 
-// Update brings a follower forward. At most one field is set; none means that
-// the follower holds the latest revision.
+// Update advances a follower. At most one field is set; none means that the
+// follower has the latest revision.
 type Update struct {
 	Delta *Delta        `cbor:"1,keyasint,omitempty" json:"delta,omitempty"`
 	Full  *FullRevision `cbor:"2,keyasint,omitempty" json:"full,omitempty"`
 }
 
-// FullRevision is a whole revision.
+// FullRevision is a complete revision.
 type FullRevision struct {
 	Revision Revision `cbor:"1,keyasint" json:"revision"`
 	Document Document `cbor:"2,keyasint" json:"document"`
 }
 
-// Empty reports whether the update changes nothing.
+// Empty reports whether the update has no content.
 func (u *Update) Empty() bool { return u.Delta == nil && u.Full == nil }
 
-// ErrGap reports a delta that starts after the revision held. The follower
-// subscribes again with the revision it holds.
-var ErrGap = errors.New("config: delta starts after the revision held")
+// ErrGap is returned for a delta that starts after the follower's revision. The
+// follower subscribes again from its current revision.
+var ErrGap = errors.New("config: delta starts after the current revision")
 
-// Follower is an entry's view of the configuration. It only moves forward: an
-// update that is late, repeated or from a host that lags changes nothing. It
-// is not safe for concurrent use; the snapshots it returns are.
+// Follower is an entry's view of the configuration. Its revision only
+// increases: an update that is late, repeated or from a lagging host has no
+// effect. It is not safe for concurrent use; the snapshots it returns are.
 type Follower struct {
 	current *Snapshot
 }
 
-// NewFollower returns a follower that holds nothing yet.
+// NewFollower returns a follower at revision zero.
 func NewFollower() *Follower {
 	return &Follower{current: Empty()}
 }
 
-// Current returns the revision held.
+// Current returns the follower's revision.
 func (f *Follower) Current() *Snapshot { return f.current }
 
-// Apply takes an update and reports whether it moved the follower forward.
+// Apply applies an update and reports whether it advanced the follower.
 //
-// A delta that starts before the revision held is as good as one that starts
-// there: it states the final value of every item changed since its start.
+// A delta that starts before the current revision is applied like one that
+// starts at it: it contains the final value of every item changed since its
+// start.
 func (f *Follower) Apply(update Update) (bool, error) {
 	if update.Full != nil {
 		return f.applyFull(update.Full)
--- a/config/testing_test.go
+++ b/config/helpers_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// command builds what a leader proposes for a document on a base.
+// command returns the command that a leader proposes for a document and a base.
 func command(state *State, id string, base Revision, doc Document) Command {
 	doc.Normalize()
 	cmd := Command{RequestID: id, Author: "ana", Base: base, Content: ContentDigest(DigestToken(fmt.Sprint(base, doc)))}
--- a/config/normalize.go
+++ b/config/normalize.go
@@ -55,14 +55,15 @@
 	m.Roles = nilIfEmpty(m.Roles)
 	m.Versions = nilIfEmpty(m.Versions)
 	for i := range m.Versions {
-		// A snapshot's documents share this array and are normal already;
-		// they must not be written to.
+		// Write only where needed: the documents of a snapshot share this array
+		// and are already normalized, so it must not be written to.
 		if adapters := m.Versions[i].Adapters; adapters != nil && len(adapters) == 0 {
 			m.Versions[i].Adapters = nil
 		}
 	}
 }
 
+// nilIfEmpty returns nil for an empty list.
 func nilIfEmpty[E any](list []E) []E {
 	if len(list) == 0 {
 		return nil
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -9,8 +9,8 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Snapshot is one revision of the configuration. It never changes and is safe
-// for concurrent use; what its lookups return must not be changed.
+// Snapshot is an immutable revision of the configuration. It is safe for
+// concurrent use. The values returned by its lookups must not be modified.
 type Snapshot struct {
 	revision     Revision
 	ledgerShards int
@@ -19,16 +19,17 @@
 	models       table[ident.Model, Model]
 	services     table[ident.Service, Service]
 	tokens       table[TokenDigest, Team]
-	// floors is the sum of the teams' floors in millionths.
-	floors uint64
+	// guaranteedSum is the sum of the teams' guaranteed shares in millionths.
+	guaranteedSum uint64
 }
 
 func hashName[K ~string](name K) uint64 { return xxhash.Sum64String(string(name)) }
 
-// hashToken uses the digest's own bytes, which are uniform already.
+// hashToken returns the first bytes of the digest, which are already uniformly
+// distributed.
 func hashToken(digest TokenDigest) uint64 { return binary.LittleEndian.Uint64(digest[:8]) }
 
-// Empty returns the configuration before the first revision.
+// Empty returns the configuration at revision zero.
 func Empty() *Snapshot {
 	return &Snapshot{
 		classes:  newTable[ident.Class, Class](hashName[ident.Class]),
@@ -39,8 +40,8 @@
 	}
 }
 
-// NewSnapshot returns doc as the given revision, or the problems that keep it
-// from being one.
+// NewSnapshot normalizes doc and returns it as the given revision. If doc is
+// invalid, the error is a Problems.
 func NewSnapshot(revision Revision, doc Document) (*Snapshot, error) {
 	doc.Normalize()
 	return doc.snapshot(revision)
@@ -49,30 +50,31 @@
 // Revision returns the snapshot's revision.
 func (s *Snapshot) Revision() Revision { return s.revision }
 
-// LedgerShards returns the number of groups of the at-most-once ledger; zero
+// LedgerShards returns the number of groups of the at-most-once ledger, or zero
 // before the first revision.
 func (s *Snapshot) LedgerShards() int { return s.ledgerShards }
 
-// TeamByToken finds the team that a bearer token's digest names.
+// TeamByToken returns the team that holds the bearer token with the given
+// digest.
 func (s *Snapshot) TeamByToken(digest TokenDigest) (*Team, bool) { return s.tokens.get(digest) }
 
-// Team finds a team by name.
+// Team returns a team by name.
 func (s *Snapshot) Team(name ident.Team) (*Team, bool) { return s.teams.get(name) }
 
-// Class finds a class by name.
+// Class returns a class by name.
 func (s *Snapshot) Class(name ident.Class) (*Class, bool) { return s.classes.get(name) }
 
-// Model finds a model by name.
+// Model returns a model by name.
 func (s *Snapshot) Model(name ident.Model) (*Model, bool) { return s.models.get(name) }
 
-// Service finds a service by name.
+// Service returns a service by name.
 func (s *Snapshot) Service(name ident.Service) (*Service, bool) { return s.services.get(name) }
 
 // Classes yields all classes in no particular order.
 func (s *Snapshot) Classes() iter.Seq[*Class] { return s.classes.all() }
 
-// Teams yields all teams in no particular order. It is meant for dumps and for
-// setting up; nothing does this once per request.
+// Teams yields all teams in no particular order. It is intended for dumps and
+// setup, not for the path of a request.
 func (s *Snapshot) Teams() iter.Seq[*Team] { return s.teams.all() }
 
 // Models yields all models in no particular order.
@@ -86,7 +88,7 @@
 	return s.classes.size + s.teams.size + s.models.size + s.services.size
 }
 
-// Document returns the whole configuration, sorted by name.
+// Document returns the complete configuration, sorted by name.
 func (s *Snapshot) Document() Document {
 	doc := Document{
 		LedgerShards: s.ledgerShards,
@@ -101,6 +103,7 @@
 	return doc
 }
 
+// collect returns the items of a table in no particular order.
 func collect[K comparable, V any](t table[K, V]) []V {
 	list := make([]V, 0, t.size)
 	for value := range t.all() {
--- a/config/state.go
+++ b/config/state.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// What State keeps. At 13,000 changes a day the history and the table of
-// request ids reach back 30 hours.
+// Limits on what State keeps. At 13,000 changes a day the history and the
+// request IDs reach back 30 hours.
 const (
 	HistoryKept  = 16384
 	RequestsKept = 16384
-	// DeltasKept and DeltaItemsKept bound the deltas kept for followers that
-	// are behind; one that is further behind gets a snapshot.
+	// DeltasKept and DeltaItemsKept limit the deltas kept for followers. A
+	// follower too far behind for them gets a full revision.
 	DeltasKept     = 2048
 	DeltaItemsKept = 65536
 )
 
-// State is the replicated configuration. It is deterministic: equal commands
-// in equal order give equal states and results on every replica. It is not
-// safe for concurrent use.
+// State is the replicated configuration. It is deterministic: the same commands
+// in the same order give the same states and results on every replica. It is
+// not safe for concurrent use.
 //
-// An id that has left the table of requests is still harmless when it comes
-// again: the base of its command is an old revision by then, so the command
-// ends in a conflict and never in a second revision.
+// A command whose request ID is no longer kept can be resent without harm: its
+// base is an old revision by then, so the command results in a conflict and
+// never in a second revision.
 type State struct {
-	current  *Snapshot
-	history  ring[RevisionMeta]
-	deltas   deltaLog
-	requests map[string]answered
-	order    ring[string]
+	current      *Snapshot
+	history      ring[RevisionMeta]
+	deltas       deltaLog
+	requests     map[string]recordedResult
+	requestOrder ring[string]
 }
 
-// answered is the first answer to a request id.
-type answered struct {
+// recordedResult is the first answer to a request ID.
+type recordedResult struct {
 	content ContentDigest
 	result  Result
 }
@@ -37,19 +37,19 @@
 // NewState returns the state before the first command.
 func NewState() *State {
 	return &State{
-		current:  Empty(),
-		history:  ring[RevisionMeta]{limit: HistoryKept},
-		deltas:   newDeltaLog(),
-		requests: make(map[string]answered),
-		order:    ring[string]{limit: RequestsKept},
+		current:      Empty(),
+		history:      ring[RevisionMeta]{limit: HistoryKept},
+		deltas:       newDeltaLog(),
+		requests:     make(map[string]recordedResult),
+		requestOrder: ring[string]{limit: RequestsKept},
 	}
 }
 
 // Current returns the latest committed revision.
 func (s *State) Current() *Snapshot { return s.current }
 
-// Answered returns the first answer to a request id, if it is still kept. It
-// tells a resend without a proposal.
+// Answered returns the answer to a request ID if one is still kept. With it a
+// leader recognises a resend without a proposal.
 func (s *State) Answered(id string, content ContentDigest) (Result, bool) {
 	first, found := s.requests[id]
 	if !found {
@@ -63,28 +63,29 @@
 	return result, true
 }
 
-// Apply decides a command.
+// Apply executes a command and returns its result.
 func (s *State) Apply(cmd Command) Result {
-	result, isNew := s.answer(cmd)
+	result, isNew := s.evaluate(cmd)
 	if !isNew {
 		return result
 	}
 	if result.Verdict == VerdictApplied {
 		s.accept(cmd)
 	}
-	s.remember(cmd, result)
+	s.recordResult(cmd, result)
 	return result
 }
 
-// DryRun tells what Apply would answer and changes nothing.
+// DryRun returns the result that Apply would return, without changing the
+// state.
 func (s *State) DryRun(cmd Command) Result {
-	result, _ := s.answer(cmd)
+	result, _ := s.evaluate(cmd)
 	return result
 }
 
-// answer works out a command's answer and tells whether the command is well
-// formed and its request id new.
-func (s *State) answer(cmd Command) (Result, bool) {
+// evaluate returns the result of a command without applying it, and reports
+// whether the command is well formed and its request ID new.
+func (s *State) evaluate(cmd Command) (Result, bool) {
 	if problems := cmd.check(); problems != nil {
 		return Result{Verdict: VerdictInvalid, Revision: s.current.revision, Problems: problems}, false
 	}
@@ -94,6 +95,7 @@
 	return s.decide(cmd), true
 }
 
+// check returns the problems of the command's texts.
 func (c *Command) check() Problems {
 	var check checker
 	if c.RequestID == "" || len(c.RequestID) > MaxRequestID {
@@ -108,7 +110,8 @@
 	return check.problems
 }
 
-// decide works out the answer to a new request and changes nothing.
+// decide returns the result of a command with a new request ID without applying
+// it.
 func (s *State) decide(cmd Command) Result {
 	latest := s.current.revision
 	if cmd.Base > latest {
@@ -116,8 +119,8 @@
 		check.addf("base", "is revision %d, but the latest is %d", cmd.Base, latest)
 		return Result{Verdict: VerdictInvalid, Revision: latest, Problems: check.problems}
 	}
-	// Two operators with equal numbers: the first command in the log made
-	// revision Base+1, so the second no longer starts at the latest.
+	// Of two commands with the same base, the first in the log created revision
+	// Base+1, so the second no longer starts at the latest revision.
 	if cmd.Base < latest {
 		return Result{Verdict: VerdictConflict, Revision: latest, Winner: s.Meta(cmd.Base + 1)}
 	}
@@ -137,6 +140,7 @@
 	return Problems{{Path: "document", Reason: err.Error()}}
 }
 
+// accept applies the command's delta as the next revision.
 func (s *State) accept(cmd Command) {
 	delta := cmd.Delta
 	delta.From = s.current.revision
@@ -153,14 +157,15 @@
 	s.deltas.push(delta)
 }
 
-func (s *State) remember(cmd Command, result Result) {
-	s.requests[cmd.RequestID] = answered{content: cmd.Content, result: result}
-	for _, gone := range s.order.push(cmd.RequestID) {
-		delete(s.requests, gone)
+// recordResult stores the first answer to a request ID and evicts the oldest.
+func (s *State) recordResult(cmd Command, result Result) {
+	s.requests[cmd.RequestID] = recordedResult{content: cmd.Content, result: result}
+	for _, evicted := range s.requestOrder.push(cmd.RequestID) {
+		delete(s.requests, evicted)
 	}
 }
 
-// Meta returns what is known of a revision, nil if it is no longer kept.
+// Meta returns the description of a revision, or nil if it is no longer kept.
 func (s *State) Meta(revision Revision) *RevisionMeta {
 	metas := s.history.items
 	if len(metas) == 0 || revision < metas[0].Revision || revision > s.current.revision {
@@ -170,8 +175,8 @@
 	return &meta
 }
 
-// History returns up to limit revisions before the given one, newest first. A
-// zero before starts at the latest.
+// History returns up to limit revisions before the given one, newest first. If
+// before is zero, it starts at the latest.
 func (s *State) History(before Revision, limit int) []RevisionMeta {
 	var list []RevisionMeta
 	for _, meta := range slices.Backward(s.history.items) {
@@ -185,13 +190,14 @@
 	return list
 }
 
-// DeltaBetween returns the changes from one revision to a later one. Its
-// error is a *RangeError.
+// DeltaBetween returns the changes from one revision to a later one. The error
+// is a *RangeError.
 func (s *State) DeltaBetween(from, to Revision) (Delta, error) {
 	return s.deltas.between(from, to)
 }
 
-// Since returns what brings a follower that holds a revision to the latest.
+// Since returns the update that takes a follower from revision held to the
+// latest.
 func (s *State) Since(held Revision) Update {
 	return s.deltas.since(s.current, held)
 }
--- a/config/state_test.go
+++ b/config/state_test.go
@@ -10,25 +10,25 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Two operators read revision 1 and both apply. The first command in the log
-// makes revision 2; the second operator sees a conflict that names the winner.
-// Both lose their answers and resend the same request, also after a leader
-// change and a snapshot: each gets its first answer, and no third revision
-// comes to be.
-func TestEqualBasesAndResends(t *testing.T) {
+// Two operators apply a document on revision 1. The first command in the log
+// creates revision 2; the second gets a conflict that names the first as the
+// winner. Both answers are lost and both requests resent, also after a restore
+// from a snapshot as on a leader change. Each must get its first answer again,
+// and no third revision may be created.
+func TestSameBaseConflictsAndResends(t *testing.T) {
 	state := NewState()
 	if got := state.Apply(command(state, "r1", 0, testDocument(1))); got.Verdict != VerdictApplied || got.Revision != 1 {
-		t.Fatalf("first apply gives %+v", got)
+		t.Fatalf("first command got %+v, want revision 1 applied", got)
 	}
 	first := command(state, "r2", 1, testDocument(2))
 	second := command(state, "r3", 1, testDocument(3))
 	won := state.Apply(first)
 	lost := state.Apply(second)
 	if won.Verdict != VerdictApplied || won.Revision != 2 {
-		t.Errorf("first of equal numbers gives %+v", won)
+		t.Errorf("first command on revision 1 got %+v, want revision 2 applied", won)
 	}
 	if lost.Verdict != VerdictConflict || lost.Winner == nil || lost.Winner.RequestID != "r2" {
-		t.Errorf("second of equal numbers gives %+v", lost)
+		t.Errorf("second command on revision 1 got %+v, want a conflict with winner r2", lost)
 	}
 	restored, err := FromImage(state.Image())
 	if err != nil {
@@ -41,10 +41,10 @@
 			other := first
 			other.Content = second.Content
 			if got := s.Apply(other); got.Verdict != VerdictReused {
-				t.Errorf("same id with other content gives %+v", got)
+				t.Errorf("same request ID with other content got %+v, want VerdictReused", got)
 			}
 			if s.Current().Revision() != 2 {
-				t.Errorf("revision %d after resends", s.Current().Revision())
+				t.Errorf("revision %d after resends, want 2", s.Current().Revision())
 			}
 		})
 	}
@@ -53,46 +53,46 @@
 func wantRepeat(t *testing.T, got, first Result) {
 	t.Helper()
 	if !got.Repeated {
-		t.Errorf("resend is not marked as repeated: %+v", got)
+		t.Errorf("resend got %+v, want Repeated set", got)
 	}
 	got.Repeated = false
 	if !reflect.DeepEqual(got, first) {
-		t.Errorf("resend gives %+v, first answer was %+v", got, first)
+		t.Errorf("resend got %+v, want the first answer %+v", got, first)
 	}
 }
 
-// A request id comes again after so many others that its answer is no longer
-// kept. Its base is an old revision by then: the caller sees a conflict, and
-// its change is not applied a second time.
-func TestForgottenRequestIDIsHarmless(t *testing.T) {
+// A request is resent after so many others that its first answer is no longer
+// kept. It must get a conflict, because its base is an old revision by then,
+// and its change must not be applied a second time.
+func TestEvictedRequestIDConflicts(t *testing.T) {
 	state := NewState()
-	state.order.limit = 2
+	state.requestOrder.limit = 2
 	old := command(state, "r1", 0, testDocument(1))
 	state.Apply(old)
 	for i := 2; i <= 4; i++ {
 		state.Apply(command(state, fmt.Sprintf("r%d", i), Revision(i-1), testDocument(i)))
 	}
 	if len(state.requests) != 2 {
-		t.Fatalf("%d request ids kept, want 2", len(state.requests))
+		t.Fatalf("%d request IDs kept, want 2", len(state.requests))
 	}
 	if got := state.Apply(old); got.Verdict != VerdictConflict || state.Current().Revision() != 4 {
-		t.Errorf("forgotten id gives %+v at revision %d", got, state.Current().Revision())
+		t.Errorf("resend with an evicted request ID got %+v at revision %d, want a conflict at 4", got, state.Current().Revision())
 	}
 }
 
-// An operator applies a document that can't be in force beside the present one.
-// It is refused as a whole and names the field at fault; part of it in force
-// would be a configuration that nobody wrote.
-func TestApplyRefuses(t *testing.T) {
+// An operator applies a document that is invalid given the current revision. It
+// must be refused as a whole with the path of the invalid field. Applying a
+// part of it would put a configuration in force that no operator wrote.
+func TestApplyRejectsInvalidDocuments(t *testing.T) {
 	shards := testDocument(1)
 	shards.LedgerShards = 8
 	twoOwners := testDocument(2)
 	twoOwners.Teams[1].Tokens = twoOwners.Teams[0].Tokens
-	twice := testDocument(1)
-	twice.Teams = append(twice.Teams, testTeam(7), testTeam(7))
-	floors := testDocument(3)
-	for i := range floors.Teams {
-		floors.Teams[i].Share.Guaranteed = FullShare / 2
+	duplicate := testDocument(1)
+	duplicate.Teams = append(duplicate.Teams, testTeam(7), testTeam(7))
+	overcommitted := testDocument(3)
+	for i := range overcommitted.Teams {
+		overcommitted.Teams[i].Share.Guaranteed = FullShare / 2
 	}
 	noClass := testDocument(1)
 	noClass.Classes = noClass.Classes[:1]
@@ -104,12 +104,12 @@
 		doc  Document
 		want string
 	}{
-		{"base ahead", 9, testDocument(1), "the latest is 1"},
+		{"base after the latest revision", 9, testDocument(1), "the latest is 1"},
 		{"ledger shards changed", 1, shards, "fixed at 4"},
 		{"one token for two teams", 1, twoOwners, "every token names one team"},
-		{"team given twice", 1, twice, "is given twice"},
-		{"floors above the whole", 1, floors, "add up to 150%"},
-		{"class dropped that a service names", 1, noClass, "teams[team-000000].classes"},
+		{"duplicate team", 1, duplicate, "is given twice"},
+		{"guaranteed shares above 100%", 1, overcommitted, "add up to 150%"},
+		{"removed class is in use by a team", 1, noClass, "teams[team-000000].classes"},
 		{"class kind changed under a service", 1, otherKind, "services[clock].class"},
 	}
 	for _, c := range cases {
@@ -118,20 +118,20 @@
 			state.Apply(command(state, "r1", 0, testDocument(1)))
 			got := state.Apply(command(state, "r2", c.base, c.doc))
 			if got.Verdict != VerdictInvalid || !strings.Contains(got.Problems.Error(), c.want) {
-				t.Errorf("%+v lacks %q", got, c.want)
+				t.Errorf("got %+v, want VerdictInvalid with %q", got, c.want)
 			}
 			if state.Current().Revision() != 1 {
-				t.Errorf("revision %d after a refusal", state.Current().Revision())
+				t.Errorf("revision %d after a refused command, want 1", state.Current().Revision())
 			}
 		})
 	}
 }
 
-// A random walk of documents, each revision followed by several followers that
-// skip updates, get merged deltas, late and repeated ones. A follower never
-// goes back, and where it stands its view equals the state's at that revision,
-// indices included.
-func TestFollowersAgreeWithState(t *testing.T) {
+// After each revision of a random sequence, followers get a random recent
+// update: one that is late, repeated, merged or meant for another follower. A
+// follower's revision must never decrease, and its view, including the indices,
+// must equal the state's at that revision.
+func TestFollowersMatchState(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	state := NewState()
 	state.deltas.kept.limit = 6
@@ -159,7 +159,7 @@
 		past = past[max(0, len(past)-12):]
 	}
 	if followers[0].Current().Revision() < 100 {
-		t.Errorf("follower only reached revision %d", followers[0].Current().Revision())
+		t.Errorf("follower reached only revision %d, want at least 100", followers[0].Current().Revision())
 	}
 }
 
@@ -192,23 +192,23 @@
 	if got := view.Document(); !reflect.DeepEqual(got, want) {
 		t.Fatalf("revision %d is %+v, want %+v", view.Revision(), got, want)
 	}
-	tokens, floors := 0, uint64(0)
+	tokens, guaranteedSum := 0, uint64(0)
 	for team := range view.Teams() {
 		owner, found := view.TeamByToken(team.Tokens[0])
 		if !found || owner.Name != team.Name {
-			t.Fatalf("revision %d: token of %s names %+v", view.Revision(), team.Name, owner)
+			t.Fatalf("revision %d: TeamByToken for the token of %s returned %+v", view.Revision(), team.Name, owner)
 		}
 		tokens += len(team.Tokens)
-		floors += uint64(team.Share.Guaranteed)
+		guaranteedSum += uint64(team.Share.Guaranteed)
 	}
-	if view.tokens.size != tokens || view.floors != floors {
-		t.Fatalf("revision %d: %d tokens and floors %d, want %d and %d", view.Revision(), view.tokens.size, view.floors, tokens, floors)
+	if view.tokens.size != tokens || view.guaranteedSum != guaranteedSum {
+		t.Fatalf("revision %d: %d tokens and guaranteed shares of %d, want %d and %d", view.Revision(), view.tokens.size, view.guaranteedSum, tokens, guaranteedSum)
 	}
 }
 
-// A delta reaches a follower that lacks the revisions before it, after an answer
-// was lost. The follower refuses it and asks anew: applied, it would give a
-// configuration that never was in force.
+// After a lost answer a delta can reach a follower that lacks earlier
+// revisions. The follower must refuse it and subscribe again. Applying it would
+// give a configuration that was never in force.
 func TestDeltaGapIsReported(t *testing.T) {
 	follower := NewFollower()
 	_, err := follower.Apply(Update{Delta: &Delta{From: 3, To: 4}})
@@ -241,10 +241,10 @@
 	}
 }
 
-// A snapshot comes in whose parts disagree, as after damage or a fault of its
-// writer. It is refused, so that a control host never answers from a state that
-// its group never had.
-func TestImageRefusesContradiction(t *testing.T) {
+// A snapshot whose parts are inconsistent, because of damage or a fault of its
+// writer, must be refused. Otherwise a control host would answer from a state
+// that its group never had.
+func TestFromImageRejectsInconsistency(t *testing.T) {
 	state := NewState()
 	for i := range 3 {
 		state.Apply(command(state, fmt.Sprint(i), Revision(i), testDocument(i+1)))
@@ -259,19 +259,19 @@
 			image := state.Image()
 			damage(&image)
 			if _, err := FromImage(image); err == nil {
-				t.Error("image was accepted")
+				t.Error("inconsistent image was accepted")
 			}
 		})
 	}
 }
 
-// A follower that was away for 10,000 changes gets the whole configuration in
-// one message; one that missed a few gets just those.
-func TestFarBehindCatchesUpBySnapshot(t *testing.T) {
+// A follower that lacks 10,000 changes must get the complete configuration in
+// one message; one that lacks a few must get only those.
+func TestSinceSendsFullRevisionWhenFarBehind(t *testing.T) {
 	state := NewState()
 	state.Apply(command(state, "first", 0, testDocument(50)))
 	for n := range 10_000 {
-		state.Apply(changeTeam(state, 50, n))
+		state.Apply(changeTeamCommand(state, 50, n))
 	}
 	latest := state.Current().Revision()
 	cases := []struct {
@@ -290,6 +290,6 @@
 		}
 	}
 	if got := state.Since(latest); !got.Empty() {
-		t.Errorf("up to date, yet got %+v", got)
+		t.Errorf("follower at the latest revision got %+v, want an empty update", got)
 	}
 }
--- a/config/table.go
+++ b/config/table.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// tableFan is the number of children of each of a table's two levels. With
-// 4,096 buckets a table of 27,000 items has about seven to a bucket, and a
-// change copies two nodes of 64 pointers and one bucket.
-const tableFan = 64
+// tableFanout is the number of children of each of a table's two levels. With
+// 4,096 buckets, a table of 27,000 items has about seven items per bucket, and
+// a change copies two nodes of 64 pointers and one bucket.
+const tableFanout = 64
 
-const tableBits = 6
+// tableFanoutBits is the binary logarithm of tableFanout.
+const tableFanoutBits = 6
 
 type bucket[K comparable, V any] []tableItem[K, V]
 
@@ -19,27 +20,28 @@
 	value *V
 }
 
-type tableNode[K comparable, V any] [tableFan]bucket[K, V]
+type tableNode[K comparable, V any] [tableFanout]bucket[K, V]
 
 // table is a persistent hash map: with and without return a changed table and
-// leave the old one as it was.
+// leave the original unchanged.
 type table[K comparable, V any] struct {
 	hash func(K) uint64
-	root *[tableFan]*tableNode[K, V]
+	root *[tableFanout]*tableNode[K, V]
 	size int
 }
 
 func newTable[K comparable, V any](hash func(K) uint64) table[K, V] {
-	return table[K, V]{hash: hash, root: new([tableFan]*tableNode[K, V])}
+	return table[K, V]{hash: hash, root: new([tableFanout]*tableNode[K, V])}
 }
 
-func (t table[K, V]) place(key K) (outer, inner int) {
+// slot returns the indices of key's bucket on the two levels.
+func (t table[K, V]) slot(key K) (outer, inner int) {
 	h := t.hash(key)
-	return int(h % tableFan), int(h >> tableBits % tableFan)
+	return int(h % tableFanout), int(h >> tableFanoutBits % tableFanout)
 }
 
 func (t table[K, V]) get(key K) (*V, bool) {
-	outer, inner := t.place(key)
+	outer, inner := t.slot(key)
 	node := t.root[outer]
 	if node == nil {
 		return nil, false
@@ -74,9 +76,10 @@
 	})
 }
 
-// change copies the path to key's bucket and edits the copy of the bucket.
+// change copies the path to key's bucket and replaces the bucket with the
+// result of edit. edit gets a copy of the bucket and the index of key, or -1.
 func (t table[K, V]) change(key K, edit func(items bucket[K, V], at int) bucket[K, V]) table[K, V] {
-	outer, inner := t.place(key)
+	outer, inner := t.slot(key)
 	root := *t.root
 	node := new(tableNode[K, V])
 	if root[outer] != nil {
@@ -93,11 +96,12 @@
 	return t
 }
 
-// bulkChanges is the number of changes from which on an editor is cheaper than
-// copying a path for each.
+// bulkChanges is the number of changes from which an editor is cheaper than
+// copying a path for each change.
 const bulkChanges = 64
 
-// apply removes and then sets items.
+// apply returns the table with the items of drop removed and then those of put
+// set.
 func (t table[K, V]) apply(drop []K, put []tableItem[K, V]) table[K, V] {
 	if len(drop)+len(put) >= bulkChanges {
 		return t.applyBulk(drop, put)
@@ -124,15 +128,16 @@
 	return e.table
 }
 
-// editor changes a table in place after copying each node it touches once.
+// editor changes a table in place after copying each node it changes once.
 type editor[K comparable, V any] struct {
 	table table[K, V]
-	owned [tableFan]bool
+	owned [tableFanout]bool
 }
 
-// bucket returns a bucket that may be written to.
+// bucket returns key's bucket, which may be written to, and the index of key in
+// it, or -1.
 func (e *editor[K, V]) bucket(key K) (*bucket[K, V], int) {
-	outer, inner := e.table.place(key)
+	outer, inner := e.table.slot(key)
 	if !e.owned[outer] {
 		e.owned[outer] = true
 		e.table.root[outer] = e.table.root[outer].clone()
@@ -182,6 +187,7 @@
 	}
 }
 
+// each yields the node's items and reports whether to continue.
 func (n *tableNode[K, V]) each(yield func(*V) bool) bool {
 	for _, items := range n {
 		for i := range items {
--- a/config/validate.go
+++ b/config/validate.go
@@ -10,7 +10,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Bounds on what a configuration may hold.
+// Limits on the content of a configuration.
 const (
 	MaxNameLength     = 128
 	MaxLedgerShards   = 256
@@ -22,20 +22,20 @@
 	MaxBlockTokens    = 1 << 16
 	MaxLoadingBound   = 1024
 	MaxDeadline       = Duration(24 * time.Hour)
-	// MaxProblems bounds how many problems one error lists.
+	// MaxProblems limits the number of problems in one error.
 	MaxProblems = 20
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]*$`)
 
-// Problem is one reason why a configuration can't be accepted.
+// Problem is one reason for which a configuration is refused.
 type Problem struct {
-	// Path names the field, for example teams[growers].share.floor.
+	// Path is the path of the field, for example teams[growers].share.floor.
 	Path   string `cbor:"1,keyasint" json:"path"`
 	Reason string `cbor:"2,keyasint" json:"reason"`
 }
 
-// Problems is the error that lists what is wrong with a configuration.
+// Problems is the error that lists the problems of a configuration.
 type Problems []Problem
 
 // Error implements error.
@@ -47,7 +47,7 @@
 	return strings.Join(lines, "; ")
 }
 
-// checker collects problems up to a bound.
+// checker collects up to MaxProblems problems.
 type checker struct {
 	problems Problems
 }
@@ -65,19 +65,20 @@
 	return c.problems
 }
 
-// Validate checks a normalized document as a whole. Its error is a Problems.
+// Validate checks a normalized document. The error is a Problems.
 func (d *Document) Validate() error {
 	_, err := d.snapshot(1)
 	return err
 }
 
-// snapshot checks a normalized document and returns it as a revision.
+// snapshot checks a normalized document and returns it as the given revision.
 func (d *Document) snapshot(revision Revision) (*Snapshot, error) {
 	delta := Diff(Empty(), d)
 	delta.To = revision
 	return Empty().advance(delta)
 }
 
+// checkUnique reports each name that occurs more than once in a list.
 func checkUnique[K ~string, V any](check *checker, list string, items []V, name func(*V) K) {
 	if len(items) < 2 {
 		return
@@ -85,27 +86,29 @@
 	seen := make(map[K]struct{}, len(items))
 	for i := range items {
 		key := name(&items[i])
-		if _, twice := seen[key]; twice {
+		if _, duplicate := seen[key]; duplicate {
 			check.addf(itemPath(list, key), "is given twice; keep one")
 		}
 		seen[key] = struct{}{}
 	}
 }
 
+// itemPath returns the path of a named item of a list.
 func itemPath[K ~string](list string, name K) string {
 	return fmt.Sprintf("%s[%s]", list, string(name))
 }
 
-// Check reports whether the configuration that delta leads to is valid, given
-// that s is. It looks at the changed items and at what refers to them, so its
-// cost follows the size of the change; only a removed or changed class makes it
-// look at all teams. Its error is a Problems.
+// Check checks that the configuration that results from delta is valid, given
+// that s is. It checks the changed items and the references to them, so its
+// cost depends on the size of the change. Only a removed class or a changed
+// class kind requires a check of all teams and services. The error is a
+// Problems.
 func (s *Snapshot) Check(delta Delta) error {
 	_, err := s.advance(delta)
 	return err
 }
 
-// advance is Check and Apply in one.
+// advance combines Check and Apply.
 func (s *Snapshot) advance(delta Delta) (*Snapshot, error) {
 	var check checker
 	checkUnique(&check, "classes", delta.Classes.Put, className)
@@ -129,17 +132,17 @@
 	for i := range delta.Services.Put {
 		check.service(next, &delta.Services.Put[i])
 	}
-	if next.floors > uint64(FullShare) {
-		check.addf("teams", "the floors add up to %s; lower some until they fit in 100%%", Share(next.floors))
+	if next.guaranteedSum > uint64(FullShare) {
+		check.addf("teams", "the floors add up to %s; lower some until they fit in 100%%", Share(next.guaranteedSum))
 	}
 	if s.changesClassUse(delta) {
-		check.references(next)
+		check.classReferences(next)
 	}
 	return next, check.err()
 }
 
-// changesClassUse tells whether a class that others may name is gone or has
-// another kind.
+// changesClassUse reports whether delta removes a class or changes the kind of
+// one, so that references to it can become invalid.
 func (s *Snapshot) changesClassUse(delta Delta) bool {
 	if len(delta.Classes.Drop) > 0 {
 		return true
@@ -153,7 +156,8 @@
 	return false
 }
 
-func (c *checker) references(next *Snapshot) {
+// classReferences checks the class names in all teams and services.
+func (c *checker) classReferences(next *Snapshot) {
 	for team := range next.Teams() {
 		c.teamClasses(next, team)
 	}
@@ -210,7 +214,7 @@
 		c.addf(path+".token_digests", "must hold 1 to %d digests", MaxTokensPerTeam)
 	}
 	for _, digest := range team.Tokens {
-		c.tokenIsOwn(old, next, team, digest)
+		c.tokenIsUnique(old, next, team, digest)
 	}
 	if team.Share.Guaranteed > FullShare || team.Share.Maximum > FullShare {
 		c.addf(path+".share", "must be within 0%% to 100%%")
@@ -221,14 +225,15 @@
 	c.teamClasses(next, team)
 }
 
-// tokenIsOwn refuses a digest that two teams hold: one caller's token naming
-// two teams would let it read either team's prompts. The new index shows two
-// changed teams with one digest, the old one an unchanged team that keeps it.
-func (c *checker) tokenIsOwn(old, next *Snapshot, team *Team, digest TokenDigest) {
+// tokenIsUnique refuses a digest held by two teams: the token would identify
+// both, and its caller could read either team's prompts. The index of next
+// detects two changed teams with the same digest; the index of old detects an
+// unchanged team that keeps it.
+func (c *checker) tokenIsUnique(old, next *Snapshot, team *Team, digest TokenDigest) {
 	owner, _ := next.TeamByToken(digest)
 	if before, found := old.TeamByToken(digest); found && before.Name != team.Name {
-		if still, kept := next.Team(before.Name); kept && slices.Contains(still.Tokens, digest) {
-			owner = still
+		if current, exists := next.Team(before.Name); exists && slices.Contains(current.Tokens, digest) {
+			owner = current
 		}
 	}
 	if owner == nil || owner.Name != team.Name {
@@ -262,14 +267,14 @@
 		c.addf(path+".versions", "must hold 1 to %d versions", MaxVersions)
 	}
 	seen := make(map[ident.Version]struct{}, len(model.Versions))
-	for _, wanted := range model.Versions {
-		c.name(path+".versions", string(wanted.Version))
-		if _, twice := seen[wanted.Version]; twice {
-			c.addf(path+".versions", "names %q twice", wanted.Version)
+	for _, target := range model.Versions {
+		c.name(path+".versions", string(target.Version))
+		if _, duplicate := seen[target.Version]; duplicate {
+			c.addf(path+".versions", "names %q twice", target.Version)
 		}
-		seen[wanted.Version] = struct{}{}
-		if len(wanted.Adapters) > MaxAdapters {
-			c.addf(path+".versions", "%q has more than %d adapters", wanted.Version, MaxAdapters)
+		seen[target.Version] = struct{}{}
+		if len(target.Adapters) > MaxAdapters {
+			c.addf(path+".versions", "%q has more than %d adapters", target.Version, MaxAdapters)
 		}
 	}
 	if model.MaxLoading < 1 || model.MaxLoading > MaxLoadingBound {
--- a/config/value.go
+++ b/config/value.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Revision counts accepted configurations. Zero is the empty configuration
-// before the first.
+// Revision numbers the accepted configurations. Zero is the empty configuration
+// before the first one.
 type Revision uint64
 
-// Duration is a time.Duration written as text, for example "380ms".
+// Duration is a time.Duration that is encoded as text, for example "380ms".
 type Duration time.Duration
 
 // Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String returns the customary form, for example "380ms".
+// String returns d in the format of time.Duration, for example "380ms".
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -36,17 +36,17 @@
 	return nil
 }
 
-// Share is a part of a whole in millionths. It is an integer so that sums are
-// the same on every replica whatever the order of addition.
+// Share is a share in millionths. It is an integer, so that sums are equal on
+// every replica whatever the order of addition.
 type Share uint32
 
-// FullShare is the share that leaves nothing to others.
+// FullShare is a share of 100%.
 const FullShare Share = 1_000_000
 
-// sharePerPercent is how many millionths make one percent.
+// sharePerPercent is the number of millionths in one percent.
 const sharePerPercent = FullShare / 100
 
-// Fraction returns s between 0 and 1.
+// Fraction returns s as a number from 0 to 1.
 func (s Share) Fraction() float64 { return float64(s) / float64(FullShare) }
 
 // String returns s in percent, for example "12.5%".
@@ -68,10 +68,11 @@
 	return nil
 }
 
-// TokenDigest is the SHA-256 of a bearer token. The token itself is never kept.
+// TokenDigest is the SHA-256 of a bearer token. The token itself is never
+// stored.
 type TokenDigest [sha256.Size]byte
 
-// ErrTokenDigest reports text that is not a SHA-256 in hexadecimal.
+// ErrTokenDigest is returned for text that is not a SHA-256 in hexadecimal.
 var ErrTokenDigest = errors.New("not the 64 hexadecimal digits of a SHA-256; make one with: printf %s \"$TOKEN\" | sha256sum")
 
 // DigestToken returns the digest of a bearer token.
--- a/config/yaml.go
+++ b/config/yaml.go
@@ -1,24 +1,25 @@
 package config
 
-// The YAML library formats its whole document again for every value that it
-// gives to an encoding.TextUnmarshaler, which takes minutes for thousands of
-// teams. Values that read themselves through a function are spared that.
+// The YAML library reformats the complete document for every value that it
+// decodes through encoding.TextUnmarshaler, which takes minutes for thousands
+// of teams. Types with an UnmarshalYAML method avoid that.
 
-// UnmarshalYAML reads the form written by MarshalText.
+// UnmarshalYAML decodes the form written by MarshalText.
 func (d *Duration) UnmarshalYAML(decode func(any) error) error {
 	return unmarshalScalar(decode, d.UnmarshalText)
 }
 
-// UnmarshalYAML reads the form written by MarshalText.
+// UnmarshalYAML decodes the form written by MarshalText.
 func (s *Share) UnmarshalYAML(decode func(any) error) error {
 	return unmarshalScalar(decode, s.UnmarshalText)
 }
 
-// UnmarshalYAML reads the form written by MarshalText.
+// UnmarshalYAML decodes the form written by MarshalText.
 func (d *TokenDigest) UnmarshalYAML(decode func(any) error) error {
 	return unmarshalScalar(decode, d.UnmarshalText)
 }
 
+// unmarshalScalar decodes a YAML scalar as text and passes it to set.
 func unmarshalScalar(decode func(any) error, set func([]byte) error) error {
 	var text string
 	if err := decode(&text); err != nil {
