--- a/quorum/api.go
+++ b/quorum/api.go
@@ -7,23 +7,25 @@
 
 // The membership changes. Replacing a host is Remove, AddLearner, Promote.
 const (
-	// AddLearner adds Host with Disk as a learner.
+	// AddLearner adds Host, with the disk identity Disk, as a learner.
 	AddLearner ChangeKind = iota + 1
-	// Promote makes a learner that is caught up and synced a voter.
+	// Promote makes a learner a voter. It requires the learner to have synced
+	// every committed entry.
 	Promote
-	// Remove takes a voter or learner out.
+	// Remove removes a voter or learner from the group.
 	Remove
 )
 
-// MemberChange is one change of membership.
+// MemberChange is a single membership change.
 type MemberChange struct {
 	Kind ChangeKind `cbor:"1,keyasint"`
 	Host ident.Host `cbor:"2,keyasint"`
-	// Disk is the identity that Host presents; needed by AddLearner.
+	// Disk is the disk identity that Host presents. It is required by
+	// AddLearner.
 	Disk DiskID `cbor:"3,keyasint,omitempty"`
 }
 
-// Role is what a node does at present.
+// Role is the current role of a node.
 type Role uint8
 
 // The roles.
@@ -43,9 +45,9 @@
 	return "unknown"
 }
 
-// Bootstrap returns the state of a new group's first disk. Exactly one host forms
-// a group, once; the others start from an empty disk (Stored with only
-// HardState.Disk set) and are added as learners.
+// Bootstrap returns the initial disk state of a new group's first host. Exactly
+// one host bootstraps a group, once. Every other host starts with an empty disk
+// (a StoredState with only HardState.Disk set) and is added as a learner.
 func Bootstrap(members Membership, self ident.Host) StoredState {
 	var disk DiskID
 	for _, m := range members.Voters {
@@ -54,13 +56,13 @@
 		}
 	}
 	return StoredState{
-		HardState: HardState{Term: formTerm, Disk: disk},
-		Snapshot:  SnapshotMeta{Index: formIndex, Term: formTerm, Members: members},
+		HardState: HardState{Term: bootstrapTerm, Disk: disk},
+		Snapshot:  SnapshotMeta{Index: bootstrapIndex, Term: bootstrapTerm, Members: members},
 	}
 }
 
-// The position of the snapshot that Form makes.
+// Index and term of the snapshot that Bootstrap returns.
 const (
-	formIndex = 1
-	formTerm  = 1
+	bootstrapIndex = 1
+	bootstrapTerm  = 1
 )
--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -10,17 +10,17 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// group passes messages between nodes at once; disks and links cost nothing,
-// so what is measured is the state machine itself.
-type group struct {
+// benchGroup delivers messages between nodes immediately. Disks and links have
+// no cost, so only the state machine is measured.
+type benchGroup struct {
 	nodes []*Node
 	now   time.Time
 	bytes int
 	count int
 }
 
-func newGroup(tb testing.TB, size int) *group {
-	g := &group{now: time.Unix(1000, 0)}
+func newBenchGroup(tb testing.TB, size int) *benchGroup {
+	g := &benchGroup{now: time.Unix(1000, 0)}
 	var members Membership
 	for i := range size {
 		members.Voters = append(members.Voters, Member{ident.Host(fmt.Sprintf("hall-north-%d", i+1)), DiskID(rand.NewPCG(1, uint64(i)).Uint64())})
@@ -38,13 +38,14 @@
 	g.nodes[0].Tick(g.now)
 	g.pump(nil)
 	if g.nodes[0].role != RoleLeader {
-		tb.Fatal("h1 does not lead")
+		tb.Fatal("the first host is not the leader")
 	}
 	return g
 }
 
-// pump carries out all effects until none is left.
-func (g *group) pump(size func(Message) int) {
+// pump performs effects until there are none left. If size is not nil, it
+// counts messages and bytes.
+func (g *benchGroup) pump(size func(Message) int) {
 	for busy := true; busy; {
 		busy = false
 		for _, n := range g.nodes {
@@ -62,7 +63,7 @@
 	}
 }
 
-func (g *group) deliver(list []Message, size func(Message) int) {
+func (g *benchGroup) deliver(list []Message, size func(Message) int) {
 	for _, m := range list {
 		if size != nil {
 			g.bytes += size(m)
@@ -76,7 +77,7 @@
 	}
 }
 
-func (g *group) commit(tb testing.TB, batch int, data []byte, size func(Message) int) {
+func (g *benchGroup) commit(tb testing.TB, batch int, data []byte, size func(Message) int) {
 	for range batch {
 		if _, _, err := g.nodes[0].Propose(g.now, data); err != nil {
 			tb.Fatal(err)
@@ -85,7 +86,7 @@
 	g.pump(size)
 	leader := g.nodes[0]
 	if leader.log.commit != leader.log.last() {
-		tb.Fatalf("committed %d of %d", leader.log.commit, leader.log.last())
+		tb.Fatalf("committed up to %d, want %d", leader.log.commit, leader.log.last())
 	}
 	if len(leader.log.entries) > 10_000 {
 		for _, n := range g.nodes {
@@ -100,19 +101,19 @@
 	}
 }
 
-func (g *group) heartbeat(size func(Message) int) {
+func (g *benchGroup) heartbeat(size func(Message) int) {
 	g.now = g.now.Add(DefaultHeartbeat)
 	g.nodes[0].Tick(g.now)
 	g.pump(size)
 }
 
-func encoded(m Message) int { return len(wire.MustMarshal(m)) }
+func encodedSize(m Message) int { return len(wire.MustMarshal(m)) }
 
 func BenchmarkCommit(b *testing.B) {
 	for _, members := range []int{1, 3, 5} {
 		for _, batch := range []int{1, 16, 64} {
 			b.Run(fmt.Sprintf("members=%d/batch=%d", members, batch), func(b *testing.B) {
-				g := newGroup(b, members)
+				g := newBenchGroup(b, members)
 				data := make([]byte, 128)
 				b.ReportAllocs()
 				for b.Loop() {
@@ -127,19 +128,19 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, members := range []int{3, 5, 7} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			g := newGroup(b, members)
+			g := newBenchGroup(b, members)
 			b.ReportAllocs()
 			for b.Loop() {
 				g.heartbeat(nil)
 			}
-			g.heartbeat(encoded)
+			g.heartbeat(encodedSize)
 			b.ReportMetric(float64(g.bytes)/float64(g.count), "B/message")
 		})
 	}
 }
 
 func BenchmarkLeaseRead(b *testing.B) {
-	g := newGroup(b, 3)
+	g := newBenchGroup(b, 3)
 	g.heartbeat(nil)
 	b.ReportAllocs()
 	for id := uint64(1); b.Loop(); id++ {
@@ -147,7 +148,7 @@
 			b.Fatal(err)
 		}
 		if rd := g.nodes[0].Ready(); len(rd.Reads) != 1 {
-			b.Fatal("not answered by the lease")
+			b.Fatal("read is not served under the lease")
 		}
 	}
 }
@@ -157,7 +158,7 @@
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			stored := Bootstrap(Membership{Voters: []Member{{"h1", 100}}}, "h1")
 			for i := range entries {
-				stored.Entries = append(stored.Entries, Entry{Term: 1, Index: formIndex + 1 + uint64(i), Data: make([]byte, 128)})
+				stored.Entries = append(stored.Entries, Entry{Term: 1, Index: bootstrapIndex + 1 + uint64(i), Data: make([]byte, 128)})
 			}
 			opts := Options{Self: "h1", Rand: rand.New(rand.NewPCG(1, 1))}
 			b.ReportAllocs()
@@ -173,7 +174,7 @@
 func BenchmarkDecodeAppend(b *testing.B) {
 	for _, entries := range []int{0, 1, 64} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			data := wire.MustMarshal(appendOf(entries, 128))
+			data := wire.MustMarshal(appendMessage(entries, 128))
 			b.SetBytes(int64(len(data)))
 			b.ReportAllocs()
 			for b.Loop() {
@@ -186,7 +187,7 @@
 	}
 }
 
-func appendOf(entries, bytes int) Message {
+func appendMessage(entries, bytes int) Message {
 	m := Message{
 		Type: MsgAppend, From: "hall-north-1", To: "hall-north-2", FromDisk: 1 << 60, ToDisk: 1 << 61,
 		Incarnation: 1 << 40, Term: 100, Round: 1 << 20, Index: 1 << 20, LogTerm: 100, Commit: 1 << 20,
@@ -197,33 +198,33 @@
 	return m
 }
 
-// What the group costs is bounded in counts, which don't depend on the
-// machine: bytes on the wire, messages, and allocations.
+// Guards against a rise in the cost of the group. The limits are counts that
+// don't depend on the machine: bytes on the wire, messages and allocations.
 func TestCostBounds(t *testing.T) {
-	g := newGroup(t, 3)
+	g := newBenchGroup(t, 3)
 	data := make([]byte, 128)
 	g.commit(t, 64, data, nil)
-	g.commit(t, 64, data, encoded)
+	g.commit(t, 64, data, encodedSize)
 	perEntry := float64(g.bytes) / 64
 	messages := g.count
 	g.bytes, g.count = 0, 0
-	g.heartbeat(encoded)
-	figures := []struct {
-		name        string
-		value, most float64
+	g.heartbeat(encodedSize)
+	costs := []struct {
+		name         string
+		value, limit float64
 	}{
-		{"bytes of a heartbeat or its answer", float64(g.bytes) / float64(g.count), 90},
-		{"messages of a heartbeat round", float64(g.count), 4},
-		{"bytes per entry of 128 in a batch of 64, both followers", perEntry, 300},
+		{"bytes per heartbeat or reply", float64(g.bytes) / float64(g.count), 90},
+		{"messages per heartbeat round", float64(g.count), 4},
+		{"bytes per 128-byte entry in a batch of 64, to both followers", perEntry, 300},
 		{"messages per batch of 64", float64(messages), 4},
-		{"bytes per entry besides its data", float64(encoded(appendOf(64, 128))-encoded(appendOf(0, 0)))/64 - 128, 16},
-		{"allocations of a heartbeat round", testing.AllocsPerRun(100, func() { g.heartbeat(nil) }), 8},
+		{"bytes per entry in addition to its data", float64(encodedSize(appendMessage(64, 128))-encodedSize(appendMessage(0, 0)))/64 - 128, 16},
+		{"allocations per heartbeat round", testing.AllocsPerRun(100, func() { g.heartbeat(nil) }), 8},
 		{"allocations per batch of 64", testing.AllocsPerRun(100, func() { g.commit(t, 64, data, nil) }), 8},
 	}
-	for _, f := range figures {
-		t.Logf("%s: %.1f", f.name, f.value)
-		if f.value > f.most {
-			t.Errorf("%s: %.1f, bound %.1f", f.name, f.value, f.most)
+	for _, c := range costs {
+		t.Logf("%s: %.1f", c.name, c.value)
+		if c.value > c.limit {
+			t.Errorf("%s: %.1f, limit %.1f", c.name, c.value, c.limit)
 		}
 	}
 }
--- a/quorum/cases_test.go
+++ b/quorum/cases_test.go
@@ -12,17 +12,18 @@
 	"pgregory.net/rapid"
 )
 
-// The leader is lost, by a crash or silently behind a partition, or hands
-// over. Until another leader has committed the entry of its term callers get
-// no answer; that must stay under a second at the default settings. All in
-// virtual time: links of 1.5 to 2 ms one way, 1 ms for a sync, ticks of 10 ms.
+// Guards against a long time without a leader after a crash, behind a partition
+// or during a leadership transfer. The time from the loss until another leader
+// has committed the first entry of its term must stay below 1 s with the
+// default settings. Virtual time: links of 1.5 to 2 ms one way, 1 ms per sync,
+// ticks of 10 ms.
 func TestTimeWithoutLeader(t *testing.T) {
 	cases := map[string]func(s *sim, l *simHost){
-		"crash":    func(s *sim, l *simHost) { s.crash(l) },
-		"parted":   func(s *sim, l *simHost) { s.part([]*simHost{l}, others(s, l)) },
-		"transfer": func(s *sim, l *simHost) { _ = l.node.TransferLeader(s.local(l), "") },
+		"crash":     func(s *sim, l *simHost) { s.crash(l) },
+		"partition": func(s *sim, l *simHost) { s.partition([]*simHost{l}, others(s, l)) },
+		"transfer":  func(s *sim, l *simHost) { _ = l.node.TransferLeader(s.local(l), "") },
 	}
-	for name, lose := range cases {
+	for name, fault := range cases {
 		for _, members := range []int{3, 5} {
 			t.Run(fmt.Sprintf("%s of %d", name, members), func(t *testing.T) {
 				t.Parallel()
@@ -32,22 +33,22 @@
 					l := s.awaitLeader()
 					s.run(time.Second + time.Duration(seed)*time.Millisecond)
 					term := l.node.hard.Term
-					lost := s.now
-					lose(s, l)
-					found := s.until(5*time.Second, func() bool {
+					lostAt := s.now
+					fault(s, l)
+					found := s.runUntil(5*time.Second, func() bool {
 						next := s.leader()
-						return next != nil && next.node.hard.Term > term && next.node.log.commit >= next.node.lead.noop
+						return next != nil && next.node.hard.Term > term && next.node.log.commit >= next.node.lead.noopIndex
 					})
 					if !found {
 						t.Fatal("no leader within 5 s")
 					}
-					waits = append(waits, s.now.Sub(lost))
-					s.requireSound()
+					waits = append(waits, s.now.Sub(lostAt))
+					s.requireInvariants()
 				}
 				slices.Sort(waits)
-				t.Logf("%s: p50 %v, p99 %v, longest %v of %d", t.Name(), waits[len(waits)/2], waits[len(waits)*99/100], waits[len(waits)-1], len(waits))
+				t.Logf("%s: p50 %v, p99 %v, maximum %v in %d runs", t.Name(), waits[len(waits)/2], waits[len(waits)*99/100], waits[len(waits)-1], len(waits))
 				if longest := waits[len(waits)-1]; longest >= time.Second {
-					t.Errorf("%v without a leader", longest)
+					t.Errorf("%v without a leader, want less than 1 s", longest)
 				}
 			})
 		}
@@ -58,8 +59,8 @@
 	return slices.DeleteFunc(slices.Clone(s.hosts), func(x *simHost) bool { return x == h })
 }
 
-// Writers that wait for their answer share syncs and appends. One alone waits
-// for a link, a sync and a link; many at once must not wait for one another,
+// Guards against serialising concurrent writers. A single writer waits for a
+// link, a sync and a link; 64 concurrent writers must share syncs and appends,
 // or the group's rate would be that of one writer. Virtual time.
 func TestWritersShareSyncs(t *testing.T) {
 	rate := func(writers int) float64 {
@@ -67,7 +68,7 @@
 		l := s.awaitLeader()
 		waiting, done := map[uint64]bool{}, 0
 		start := s.now
-		s.until(time.Second, func() bool {
+		s.runUntil(time.Second, func() bool {
 			for index := range waiting {
 				if _, ok := s.committed[index]; ok {
 					delete(waiting, index)
@@ -84,7 +85,7 @@
 			s.drain(l)
 			return false
 		})
-		s.requireSound()
+		s.requireInvariants()
 		return float64(done) / s.now.Sub(start).Seconds()
 	}
 	one, many := rate(1), rate(64)
@@ -94,32 +95,33 @@
 	}
 }
 
-// A follower's disk hangs. What waits for the sync stays bounded, the group
-// goes on with the others, and the follower catches up once the disk is back.
+// Guards against unbounded memory use while a follower's disk hangs. The
+// messages waiting for the sync must stay bounded, the rest of the group must
+// continue, and the follower must catch up once the disk recovers.
 func TestHangingDisk(t *testing.T) {
 	s := newSim(t, 2, 3, 3, nil)
 	h := s.follower()
-	h.slow = time.Minute
+	h.syncDelay = time.Minute
 	for i := range 20 {
 		s.write(0, i)
 		for id := range uint64(500) {
 			_ = h.node.ReadIndex(s.local(h), uint64(i)*1000+id)
 		}
 	}
-	if waiting := len(h.node.messages); waiting > maxWaiting || h.node.counters.Dropped == 0 {
-		t.Errorf("%d messages wait, %d dropped", waiting, h.node.counters.Dropped)
+	if waiting := len(h.node.messages); waiting > maxPendingMessages || h.node.counters.Dropped == 0 {
+		t.Errorf("%d pending messages, %d dropped", waiting, h.node.counters.Dropped)
 	}
-	h.slow, h.syncAt = 0, s.now
-	if !s.until(2*time.Second, func() bool { return h.state.applied == s.top }) {
-		t.Errorf("applied %d of %d", h.state.applied, s.top)
+	h.syncDelay, h.syncAt = 0, s.now
+	if !s.runUntil(2*time.Second, func() bool { return h.state.applied == s.lastCommitted }) {
+		t.Errorf("applied up to %d, want %d", h.state.applied, s.lastCommitted)
 	}
-	s.requireSound()
+	s.requireInvariants()
 }
 
-// A leader that is asked to stop hands over first. Proposals made meanwhile
-// are refused as not appended, none that was accepted is lost, and the old
-// leader never again reads by its lease, which the hand-over passed over.
-func TestTransfer(t *testing.T) {
+// A leader transfers leadership. Proposals during the transfer must be
+// rejected, no accepted one may be lost, and the old leader must not serve
+// reads under its lease, because the transfer bypasses the lease.
+func TestLeadershipTransfer(t *testing.T) {
 	s := newSim(t, 1, 3, 3, func(s *sim) { s.syncTime = 5 * time.Millisecond })
 	l := s.awaitLeader()
 	to := others(s, l)[1]
@@ -128,55 +130,55 @@
 		t.Fatal(err)
 	}
 	if _, _, err := l.node.Propose(s.local(l), nil); !errors.Is(err, ErrTransferring) {
-		t.Errorf("proposal during the transfer: %v", err)
+		t.Errorf("proposal during the transfer: err = %v, want ErrTransferring", err)
 	}
-	s.until(time.Second, func() bool {
-		if l.node.lead.handedOver && l.node.leased() {
-			t.Fatal("lease in force after the hand-over")
+	s.runUntil(time.Second, func() bool {
+		if l.node.lead.timeoutNowSent && l.node.hasLease() {
+			t.Fatal("lease is valid after MsgTimeoutNow was sent")
 		}
 		return s.leader() == to
 	})
 	s.run(100 * time.Millisecond)
-	if s.leader() != to || s.top < last || to.state.Registers[0] != 1 {
-		t.Errorf("leader %v, commit %d, register %d", s.leader().host, s.top, to.state.Registers[0])
+	if s.leader() != to || s.lastCommitted < last || to.state.Registers[0] != 1 {
+		t.Errorf("leader %v, committed up to %d, register 0 is %d", s.leader().host, s.lastCommitted, to.state.Registers[0])
 	}
 	var notLeader *NotLeaderError
 	if _, _, err := l.node.Propose(s.local(l), nil); !errors.As(err, &notLeader) || notLeader.Leader != to.host {
-		t.Errorf("proposal at the old leader: %v", err)
+		t.Errorf("proposal at the old leader: err = %v, want NotLeaderError with the new leader", err)
 	}
-	s.requireSound()
+	s.requireInvariants()
 }
 
-// A follower is away while the leader compacts past what it needs. It gets a
-// snapshot in chunks over a network that loses and repeats messages, while
-// writes go on, and then follows the log again.
+// A follower is down while the leader compacts entries that it needs. It must
+// catch up with a chunked snapshot over a network that loses and duplicates
+// messages, while writes continue, and then follow the log again.
 func TestSnapshotDuringLag(t *testing.T) {
 	s := newSim(t, 3, 3, 3, func(s *sim) {
 		s.compactAt, s.opts.SnapshotChunk, s.opts.MaxInflightBytes = 32, 4, 16
 		s.drop, s.dup = 0.05, 0.05
 	})
-	away := s.follower()
-	s.crash(away)
+	lagging := s.follower()
+	s.crash(lagging)
 	for i := range 100 {
 		s.write(i, i)
 	}
-	s.boot(away)
+	s.boot(lagging)
 	for i := range 40 {
 		s.write(i, i+1000)
 	}
-	caughtUp := func() bool { return away.state.applied == s.top }
-	if !s.until(10*time.Second, caughtUp) || s.counts[MsgSnapshot] < 10 {
-		t.Errorf("applied %d of %d after %d chunks", away.state.applied, s.top, s.counts[MsgSnapshot])
+	caughtUp := func() bool { return lagging.state.applied == s.lastCommitted }
+	if !s.runUntil(10*time.Second, caughtUp) || s.counts[MsgSnapshot] < 10 {
+		t.Errorf("applied up to %d, want %d, after %d chunks", lagging.state.applied, s.lastCommitted, s.counts[MsgSnapshot])
 	}
-	if got := away.state.Registers[5]; got != 1005 {
-		t.Errorf("register 5 is %d", got)
+	if got := lagging.state.Registers[5]; got != 1005 {
+		t.Errorf("register 5 is %d, want 1005", got)
 	}
-	s.requireSound()
+	s.requireInvariants()
 }
 
-// All hosts stop after many writes and start again: with pending entries that
-// no snapshot covers, and with a snapshot. Nothing is lost, and the group
-// serves again within the time of an election.
+// All hosts restart after many writes, once with entries that no snapshot
+// covers and once with a snapshot. No entry may be lost, and the group must
+// serve again within one second of the new leader's election.
 func TestRestartWithManyEntries(t *testing.T) {
 	for _, compactAt := range []uint64{1 << 40, 1000} {
 		s := newSim(t, 4, 3, 3, func(s *sim) { s.compactAt = compactAt })
@@ -191,24 +193,25 @@
 				s.run(simStep)
 			}
 		}
-		if !s.until(10*time.Second, func() bool { return s.top >= writes }) {
-			t.Fatalf("committed %d", s.top)
+		if !s.runUntil(10*time.Second, func() bool { return s.lastCommitted >= writes }) {
+			t.Fatalf("committed up to %d within 10 s", s.lastCommitted)
 		}
 		for _, h := range s.hosts {
 			s.restart(h)
 		}
 		start := s.now
 		l = s.awaitLeader()
-		if !s.until(time.Second, func() bool { return l.state.Registers[9] == writes-1 }) {
-			t.Errorf("register 9 is %d", l.state.Registers[9])
+		if !s.runUntil(time.Second, func() bool { return l.state.Registers[9] == writes-1 }) {
+			t.Errorf("register 9 is %d 1 s after the election", l.state.Registers[9])
 		}
-		t.Logf("compaction at %d: serving %v after the start, %d entries replayed", compactAt, s.now.Sub(start), len(l.disk.Entries))
-		s.requireSound()
+		t.Logf("compaction at %d entries: serving %v after the restart, %d entries replayed", compactAt, s.now.Sub(start), len(l.disk.Entries))
+		s.requireInvariants()
 	}
 }
 
-// Random bytes and damaged messages must neither panic the decoder nor the
-// node, and a node that takes one in must still emit a sound Ready.
+// Random bytes and damaged messages must not make the decoder or the node
+// panic, and a node that accepts such a message must still return a valid
+// Ready.
 func FuzzMessage(f *testing.F) {
 	members := Membership{Voters: []Member{{"h1", 100}, {"h2", 101}}}
 	f.Add(wire.MustMarshal(Message{Type: MsgAppend, From: "h2", FromDisk: 101, To: "h1", ToDisk: 100, Term: 2, Index: 1, LogTerm: 1,
@@ -218,12 +221,12 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var m Message
 		if wire.Unmarshal(data, &m) == nil {
-			feed(t, members, m)
+			stepAll(t, members, m)
 		}
 	})
 }
 
-// A damaged message is refused with the field that is wrong.
+// Validate must reject a damaged message and name the invalid field.
 func TestValidate(t *testing.T) {
 	cases := map[string]func(m *Message){
 		"Type":     func(m *Message) { m.Type = 99 },
@@ -236,21 +239,22 @@
 		"Entries":  func(m *Message) { m.Entries[1].Index++ },
 		"Chunk":    func(m *Message) { m.Type, m.Entries = MsgSnapshot, nil },
 	}
-	for field, damage := range cases {
-		m := appendOf(2, 1)
+	for field, corrupt := range cases {
+		m := appendMessage(2, 1)
 		if err := m.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		damage(&m)
-		var bad *MessageError
-		if err := m.Validate(); !errors.As(err, &bad) || bad.Field != field {
-			t.Errorf("damaged %s: %v", field, err)
+		corrupt(&m)
+		var invalid *MessageError
+		if err := m.Validate(); !errors.As(err, &invalid) || invalid.Field != field {
+			t.Errorf("invalid %s: err = %v", field, err)
 		}
 	}
 }
 
-// Well-formed messages with arbitrary fields, in any order.
-func TestArbitraryMessages(t *testing.T) {
+// Well-formed messages with arbitrary field values, in any order, must not make
+// the node panic or return entries beyond its commit index.
+func TestArbitraryMessageFields(t *testing.T) {
 	members := Membership{Voters: []Member{{"h1", 100}, {"h2", 101}}}
 	small := rapid.Uint64Range(0, 6)
 	rapid.Check(t, func(t *rapid.T) {
@@ -269,21 +273,21 @@
 			}
 			list = append(list, m)
 		}
-		feed(t, members, list...)
+		stepAll(t, members, list...)
 	})
 }
 
-func feed(t rapid.TB, members Membership, list ...Message) {
+func stepAll(t rapid.TB, members Membership, list ...Message) {
 	s := newSim(nil, 1, 1, 0, nil)
 	s.hosts[0].disk = Bootstrap(members, "h1")
 	s.boot(s.hosts[0])
 	n := s.hosts[0].node
 	for _, m := range list {
 		func() {
-			// A leader that would have a committed entry dropped breaks the
-			// protocol; the node must stop rather than go on.
+			// A leader that makes a node drop a committed entry violates the
+			// protocol; the node must panic rather than continue.
 			defer func() {
-				if r := recover(); r != nil && r != dropsCommitted {
+				if r := recover(); r != nil && r != truncatePanic {
 					panic(r)
 				}
 			}()
--- a/quorum/client_test.go
+++ b/quorum/client_test.go
@@ -10,26 +10,27 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// command is one operation on a register of the test's state machine.
+// command is an operation on a register of the test's state machine.
 type command struct {
 	ID  uint64 `cbor:"1,keyasint"`
 	Key int    `cbor:"2,keyasint"`
-	// Old is -1 for a plain write, else the value to compare with.
+	// Old is the expected value of a compare-and-swap, or -1 for an
+	// unconditional write.
 	Old int `cbor:"3,keyasint"`
 	New int `cbor:"4,keyasint"`
 }
 
-// machine is a set of registers.
-type machine struct {
+// stateMachine is a set of integer registers.
+type stateMachine struct {
 	Registers map[int]int `cbor:"1,keyasint"`
 	applied   uint64
 }
 
-func newMachine() machine { return machine{Registers: map[int]int{}} }
+func newStateMachine() stateMachine { return stateMachine{Registers: map[int]int{}} }
 
-func (m *machine) snapshot() []byte { return wire.MustMarshal(m) }
+func (m *stateMachine) snapshot() []byte { return wire.MustMarshal(m) }
 
-func (m *machine) restore(data []byte) {
+func (m *stateMachine) restore(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -38,7 +39,7 @@
 	}
 }
 
-func (m *machine) apply(s *sim, h *simHost, e Entry) {
+func (m *stateMachine) apply(s *sim, h *simHost, e Entry) {
 	m.applied = e.Index
 	result := registerOutput{ok: true}
 	if e.Kind == EntryCommand {
@@ -66,7 +67,7 @@
 	value       int
 }
 
-// registerModel is the sequential meaning of a register.
+// registerModel is the sequential specification of a register.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[int][]porcupine.Operation{}
@@ -74,11 +75,11 @@
 			key := op.Input.(registerInput).c.Key
 			byKey[key] = append(byKey[key], op)
 		}
-		var parts [][]porcupine.Operation
+		var partitions [][]porcupine.Operation
 		for _, key := range slices.Sorted(maps.Keys(byKey)) {
-			parts = append(parts, byKey[key])
+			partitions = append(partitions, byKey[key])
 		}
-		return parts
+		return partitions
 	},
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
@@ -109,12 +110,12 @@
 	clock   int64
 	nextID  uint64
 	idle    []time.Time
-	open    map[uint64]*openOp
+	pending map[uint64]*pendingOp
 	history []porcupine.Operation
 	done    int
 }
 
-type openOp struct {
+type pendingOp struct {
 	client      int
 	input       registerInput
 	call        int64
@@ -125,38 +126,38 @@
 }
 
 func newClients(s *sim) *clients {
-	c := &clients{s: s, open: map[uint64]*openOp{}, idle: make([]time.Time, clientCount)}
+	c := &clients{s: s, pending: map[uint64]*pendingOp{}, idle: make([]time.Time, clientCount)}
 	s.clients = c
 	return c
 }
 
 func (c *clients) step() {
-	for _, id := range slices.Sorted(maps.Keys(c.open)) {
-		if op := c.open[id]; !c.s.now.Before(op.deadline) {
+	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
+		if op := c.pending[id]; !c.s.now.Before(op.deadline) {
 			c.giveUp(id, op)
 		}
 	}
 	for i := range c.idle {
 		if !c.s.now.Before(c.idle[i]) {
-			c.begin(i)
+			c.startOp(i)
 		}
 	}
 }
 
-func (c *clients) begin(client int) {
+func (c *clients) startOp(client int) {
 	s := c.s
 	c.idle[client] = s.now.Add(time.Duration(5+s.rand.IntN(40)) * time.Millisecond)
 	h := s.hosts[s.rand.IntN(len(s.hosts))]
 	if l := s.leader(); l != nil && s.rand.IntN(3) > 0 {
 		h = l
 	}
-	if !s.up(h) {
+	if !s.running(h) {
 		return
 	}
 	c.nextID++
 	c.clock++
 	in := registerInput{c: command{ID: c.nextID, Key: s.rand.IntN(clientKeys), Old: -1, New: int(c.nextID)}}
-	op := &openOp{client: client, call: c.clock, host: h, start: h.starts, deadline: s.now.Add(clientTimeout)}
+	op := &pendingOp{client: client, call: c.clock, host: h, start: h.starts, deadline: s.now.Add(clientTimeout)}
 	switch s.rand.IntN(4) {
 	case 0, 1:
 		in.read = true
@@ -164,7 +165,7 @@
 		in.c.Old = h.state.Registers[in.c.Key]
 	}
 	op.input = in
-	c.open[c.nextID] = op
+	c.pending[c.nextID] = op
 	c.idle[client] = op.deadline
 	var err error
 	if in.read {
@@ -179,26 +180,26 @@
 	s.drain(h)
 }
 
-// drop forgets an operation that did not take place.
-func (c *clients) drop(id uint64, op *openOp) {
-	delete(c.open, id)
+// drop discards an operation that did not take effect.
+func (c *clients) drop(id uint64, op *pendingOp) {
+	delete(c.pending, id)
 	c.idle[op.client] = c.s.now.Add(20 * time.Millisecond)
 }
 
-func (c *clients) giveUp(id uint64, op *openOp) {
+func (c *clients) giveUp(id uint64, op *pendingOp) {
 	if !op.input.read {
 		c.record(op, registerOutput{unknown: true}, math.MaxInt64)
 	}
 	c.drop(id, op)
 }
 
-func (c *clients) record(op *openOp, out registerOutput, end int64) {
+func (c *clients) record(op *pendingOp, out registerOutput, end int64) {
 	c.history = append(c.history, porcupine.Operation{
 		ClientId: op.client, Input: op.input, Call: op.call, Output: out, Return: end,
 	})
 }
 
-func (c *clients) finish(id uint64, op *openOp, out registerOutput) {
+func (c *clients) finish(id uint64, op *pendingOp, out registerOutput) {
 	c.clock++
 	c.record(op, out, c.clock)
 	c.done++
@@ -206,8 +207,8 @@
 }
 
 func (c *clients) applied(h *simHost, e Entry, out registerOutput) {
-	for _, id := range slices.Sorted(maps.Keys(c.open)) {
-		op := c.open[id]
+	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
+		op := c.pending[id]
 		if op.input.read || op.host != h || op.start != h.starts || op.index != e.Index {
 			continue
 		}
@@ -220,7 +221,7 @@
 }
 
 func (c *clients) readDone(h *simHost, r Read) {
-	op := c.open[r.ID]
+	op := c.pending[r.ID]
 	if op == nil || !op.input.read || op.start != h.starts {
 		return
 	}
@@ -231,13 +232,13 @@
 	c.finish(r.ID, op, registerOutput{value: h.state.Registers[op.input.c.Key]})
 }
 
-// linearizable checks the history.
+// linearizable checks the recorded history.
 func (c *clients) linearizable() porcupine.CheckResult {
-	for _, op := range c.open {
+	for _, op := range c.pending {
 		if !op.input.read {
 			c.record(op, registerOutput{unknown: true}, math.MaxInt64)
 		}
 	}
-	clear(c.open)
+	clear(c.pending)
 	return porcupine.CheckOperationsTimeout(registerModel, c.history, 30*time.Second)
 }
--- a/quorum/disk_test.go
+++ b/quorum/disk_test.go
@@ -9,7 +9,7 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// write proposes a write on the leader and runs until it is acknowledged.
+// write proposes a write on the leader and runs until it is committed.
 func (s *sim) write(key, value int) Entry {
 	s.t.Helper()
 	l := s.awaitLeader()
@@ -17,36 +17,37 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if !s.until(2*time.Second, func() bool { return s.committed[index].Term == term }) {
-		s.t.Fatalf("write %d=%d is not acknowledged", key, value)
+	if !s.runUntil(2*time.Second, func() bool { return s.committed[index].Term == term }) {
+		s.t.Fatalf("write %d=%d is not committed within 2 s", key, value)
 	}
 	return s.committed[index]
 }
 
-// change makes one change of membership, waiting for it to be possible.
+// change makes a membership change, retrying until it is accepted and
+// committed.
 func (s *sim) change(c MemberChange) {
 	s.t.Helper()
 	var index, term uint64
-	possible := func() bool {
+	accepted := func() bool {
 		l := s.leader()
 		if l == nil {
 			return false
 		}
 		var err error
 		index, term, err = l.node.ProposeMembers(s.local(l), c)
-		var behind *NotCaughtUpError
-		if err != nil && !errors.As(err, &behind) && !errors.Is(err, ErrChangePending) {
+		var notCaughtUp *NotCaughtUpError
+		if err != nil && !errors.As(err, &notCaughtUp) && !errors.Is(err, ErrChangePending) {
 			s.t.Fatal(err)
 		}
 		return err == nil
 	}
-	if !s.until(5*time.Second, possible) || !s.until(2*time.Second, func() bool { return s.committed[index].Term == term }) {
-		s.t.Fatalf("change %+v is not made", c)
+	if !s.runUntil(5*time.Second, accepted) || !s.runUntil(2*time.Second, func() bool { return s.committed[index].Term == term }) {
+		s.t.Fatalf("change %+v is not committed", c)
 	}
 }
 
-// replace puts a host whose disk was lost back into the group.
-func (s *sim) replace(h *simHost, disk DiskID) {
+// replaceDisk returns a host whose disk was lost to the group.
+func (s *sim) replaceDisk(h *simHost, disk DiskID) {
 	s.t.Helper()
 	s.change(MemberChange{Kind: Remove, Host: h.host})
 	s.change(MemberChange{Kind: AddLearner, Host: h.host, Disk: disk})
@@ -63,15 +64,15 @@
 	return nil
 }
 
-// The disk of one of three hosts is lost and the host comes back empty under
-// its old name. The group repairs it: removed, learner, promoted. Right after
-// that a second host is lost for good. Every acknowledged write must still be
-// there, and the group must go on: the promotion waited until the new disk had
-// synced all that was committed, so either survivor pair holds everything.
+// Guards against the loss of acknowledged writes if a second host is lost
+// immediately after the replacement of a lost disk (remove, add as learner,
+// promote). The promotion must wait until the new disk has synced all committed
+// entries, so that either pair of surviving hosts has every acknowledged write
+// and can continue.
 func TestSecondLossAfterRepair(t *testing.T) {
 	for _, compactAt := range []uint64{1 << 40, 16} {
-		for lost := range 3 {
-			s := newSim(t, uint64(lost), 3, 3, func(s *sim) { s.compactAt, s.opts.SnapshotChunk = compactAt, 8 })
+		for second := range 3 {
+			s := newSim(t, uint64(second), 3, 3, func(s *sim) { s.compactAt, s.opts.SnapshotChunk = compactAt, 8 })
 			for i := range 40 {
 				s.write(i%clientKeys, i+1)
 			}
@@ -79,8 +80,8 @@
 			s.crash(h)
 			h.wipe(900)
 			s.boot(h)
-			s.replace(h, 900)
-			if victim := s.hosts[lost]; victim != h {
+			s.replaceDisk(h, 900)
+			if victim := s.hosts[second]; victim != h {
 				s.crash(victim)
 				victim.wipe(901)
 			} else {
@@ -89,19 +90,19 @@
 			l := s.awaitLeader()
 			for i := range clientKeys {
 				if got := l.state.Registers[i]; got != 37+i {
-					t.Errorf("register %d is %d, acknowledged was %d", i, got, 37+i)
+					t.Errorf("register %d is %d, want the acknowledged %d", i, got, 37+i)
 				}
 			}
 			s.write(0, 100)
-			s.requireSound()
+			s.requireInvariants()
 		}
 	}
 }
 
-// A voter's disk is wiped and the host starts again under its old name while
-// another voter is down. It must not take its former part: without it there
-// is no quorum, so nothing is committed and nobody is elected, however long
-// it takes. The leader says which identity the host presents now.
+// A voter's disk is wiped and the host restarts under the same name while
+// another voter is down. It must not be counted as the original voter: there is
+// no quorum, so nothing may be committed and no leader elected. The leader must
+// report the disk identity that the host now presents.
 func TestWipedDiskNeitherVotesNorCounts(t *testing.T) {
 	s := newSim(t, 1, 3, 3, nil)
 	s.write(0, 1)
@@ -111,56 +112,57 @@
 	s.boot(h)
 	s.run(200 * time.Millisecond)
 	if p := peerStatus(l, h.host); p.PresentedDisk != 900 {
-		t.Errorf("leader reports presented disk %d", p.PresentedDisk)
+		t.Errorf("leader reports presented disk %d, want 900", p.PresentedDisk)
 	}
 	for _, other := range s.hosts {
 		if other != l && other != h {
 			s.crash(other)
 		}
 	}
-	top := s.top
+	lastCommitted := s.lastCommitted
 	_, _, err := l.node.Propose(s.local(l), wire.MustMarshal(command{Old: -1, New: 2}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.run(5 * time.Second)
-	if s.top != top || s.leader() != nil {
-		t.Errorf("commit went from %d to %d, leader %v", top, s.top, s.leader())
+	if s.lastCommitted != lastCommitted || s.leader() != nil {
+		t.Errorf("commit index went from %d to %d, leader %v; want no commit and no leader", lastCommitted, s.lastCommitted, s.leader())
 	}
-	s.requireSound()
+	s.requireInvariants()
 }
 
-// One host forms the group and takes in the others, as an operator does. A
-// learner that is away can't be promoted, nor can the leader remove itself.
-func TestGrowFromOne(t *testing.T) {
+// A group grows from one host to three. An inactive learner must not be
+// promoted, and the leader must not be able to remove itself, nor a voter while
+// another one is down.
+func TestGrowFromOneHost(t *testing.T) {
 	s := newSim(t, 1, 3, 1, nil)
 	s.write(0, 1)
-	away := s.hosts[2]
-	s.crash(away)
+	inactive := s.hosts[2]
+	s.crash(inactive)
 	for _, h := range s.hosts[1:] {
 		s.change(MemberChange{AddLearner, h.host, h.disk.HardState.Disk})
 	}
 	l := s.leader()
-	var behind *NotCaughtUpError
-	if _, _, err := l.node.ProposeMembers(s.local(l), MemberChange{Kind: Promote, Host: away.host}); !errors.As(err, &behind) {
-		t.Errorf("promotion of a learner that is away: %v", err)
+	var notCaughtUp *NotCaughtUpError
+	if _, _, err := l.node.ProposeMembers(s.local(l), MemberChange{Kind: Promote, Host: inactive.host}); !errors.As(err, &notCaughtUp) {
+		t.Errorf("promotion of an inactive learner: err = %v, want NotCaughtUpError", err)
 	}
 	if _, _, err := l.node.ProposeMembers(s.local(l), MemberChange{Kind: Remove, Host: l.host}); !errors.Is(err, ErrRemoveLeader) {
-		t.Errorf("removal of the leader: %v", err)
+		t.Errorf("removal of the leader: err = %v, want ErrRemoveLeader", err)
 	}
 	s.change(MemberChange{Kind: Promote, Host: s.hosts[1].host})
-	s.boot(away)
-	s.change(MemberChange{Kind: Promote, Host: away.host})
-	s.crash(away)
+	s.boot(inactive)
+	s.change(MemberChange{Kind: Promote, Host: inactive.host})
+	s.crash(inactive)
 	s.run(time.Second)
 	if _, _, err := l.node.ProposeMembers(s.local(l), MemberChange{Kind: Remove, Host: s.hosts[1].host}); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("removal of one voter while another is away: %v", err)
+		t.Errorf("removal of a voter while another is down: err = %v, want ErrNoQuorum", err)
 	}
-	s.boot(away)
+	s.boot(inactive)
 	s.run(time.Second)
 	s.crash(l)
 	s.write(0, 2)
-	s.requireSound()
+	s.requireInvariants()
 }
 
 func peerStatus(l *simHost, host ident.Host) PeerStatus {
@@ -172,76 +174,77 @@
 	return PeerStatus{}
 }
 
-// A host starts from an older copy of its disk, or from a disk that confirmed
-// syncs it never made. It has forgotten votes and acknowledgements and would
-// give them again. The group must recognise it, stop counting it and tell it;
-// it takes part again only under a new identity.
+// Guards against the reuse of a rolled-back disk: a host starts from an older
+// copy of its disk, or its disk confirmed syncs that it did not perform. It has
+// lost votes and acknowledgements and could give them again. The group must
+// detect this, stop counting the host and notify it. It may only rejoin with a
+// new disk identity.
 func TestRolledBackDiskIsRevoked(t *testing.T) {
 	cases := map[string]func(s *sim, h *simHost){
-		"copy from an earlier incarnation": func(s *sim, h *simHost) {
-			old := h.diskCopy()
+		"copy from the previous incarnation": func(s *sim, h *simHost) {
+			restore := h.diskCopy()
 			s.restart(h)
 			s.write(0, 2)
 			s.crash(h)
-			old()
+			restore()
 			s.boot(h)
 		},
-		"copy two incarnations old, found by a new leader": func(s *sim, h *simHost) {
-			old := h.diskCopy()
+		"copy two incarnations old, detected by a new leader": func(s *sim, h *simHost) {
+			restore := h.diskCopy()
 			s.restart(h)
 			s.run(300 * time.Millisecond)
 			s.restart(h)
 			s.run(300 * time.Millisecond)
 			s.crash(h)
-			s.restart(s.leader()) // the third host leads next
-			old()
+			s.restart(s.leader()) // the third host becomes leader
+			restore()
 			s.boot(h)
 		},
 		"acknowledged entries of this incarnation lost, same leader": func(s *sim, h *simHost) {
-			old := h.diskCopy()
+			restore := h.diskCopy()
 			s.write(0, 2)
 			s.run(100 * time.Millisecond)
 			s.crash(h)
-			old()
+			restore()
 			s.boot(h)
 		},
-		"acknowledged, uncommitted entries lost, same leader": func(s *sim, h *simHost) {
-			l, old := s.leader(), h.diskCopy()
+		"acknowledged uncommitted entries lost, same leader": func(s *sim, h *simHost) {
+			l, restore := s.leader(), h.diskCopy()
 			for _, other := range others(s, h) {
 				if other != l {
 					s.crash(other)
 				}
 			}
-			l.slow = time.Minute // neither itself nor the third host counts
+			l.syncDelay = time.Minute // neither the leader nor the third host acknowledges
 			_, _, _ = l.node.Propose(s.local(l), wire.MustMarshal(command{Old: -1, New: 2}))
 			s.run(100 * time.Millisecond)
 			s.crash(h)
-			old()
+			restore()
 			s.boot(h)
 		},
 		"term of this incarnation lost": func(s *sim, h *simHost) {
-			old := h.diskCopy()
+			restore := h.diskCopy()
 			l := s.leader()
 			s.restart(l)
 			s.awaitLeader()
 			s.run(300 * time.Millisecond)
 			s.crash(h)
-			old()
+			restore()
 			s.boot(h)
 		},
 	}
 	for name, rollBack := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := newSim(t, 7, 3, 3, func(s *sim) { s.rollbacks = true })
+			s := newSim(t, 7, 3, 3, func(s *sim) { s.expectRollbacks = true })
 			s.write(0, 1)
 			s.run(100 * time.Millisecond)
 			h := s.follower()
 			rollBack(s, h)
-			if !s.until(time.Second, func() bool { return h.node.hard.Revoked }) {
-				t.Fatal("the rolled-back disk is not revoked")
+			if !s.runUntil(time.Second, func() bool { return h.node.hard.Revoked }) {
+				t.Fatal("the rolled-back disk is not revoked within 1 s")
 			}
 			for _, other := range s.hosts {
-				other.slow, other.syncAt = 0, s.now
+				other.syncDelay, other.syncAt = 0, s.now
 				if other.node == nil {
 					s.boot(other)
 				}
@@ -250,8 +253,8 @@
 			s.crash(h)
 			h.wipe(900)
 			s.boot(h)
-			s.replace(h, 900)
-			s.requireSound()
+			s.replaceDisk(h, 900)
+			s.requireInvariants()
 		})
 	}
 }
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -2,19 +2,21 @@
 
 import "github.com/lovagereach/lovagereach/ident"
 
-// campaign is one attempt to become leader.
+// campaign is the state of one pre-vote or election.
 type campaign struct {
-	// round identifies a pre-vote; its answers repeat it.
+	// round identifies a pre-vote. Replies repeat it.
 	round uint64
 	votes map[ident.Host]bool
-	// force is set for a campaign that the leader asked for.
+	// force is set for a campaign that the leader requested in order to
+	// transfer its leadership.
 	force bool
 }
 
-// leaderAlive reports whether a leader was heard, or led, so recently that
-// its lease may still run. The node must then not help elect another one.
+// leaderAlive reports whether this node leads or has received a message from a
+// leader within ElectionMin. The leader's lease may still be valid in that
+// time, so the node must not vote for another candidate.
 func (n *Node) leaderAlive() bool {
-	return n.role == RoleLeader || n.now.Before(n.heardLeader.Add(n.opts.ElectionMin))
+	return n.role == RoleLeader || n.now.Before(n.lastLeaderContact.Add(n.opts.ElectionMin))
 }
 
 func (n *Node) startPreVote() {
@@ -23,22 +25,24 @@
 	n.campaign.force = false
 	n.campaign.round++
 	n.campaign.votes = map[ident.Host]bool{n.opts.Self: true}
-	// A refused pre-vote costs nothing and is repeated soon: the voters may
-	// have heard the lost leader a little later than this host did.
-	n.electionAt = n.now.Add(n.opts.Heartbeat + n.random(2*n.opts.Heartbeat))
-	n.askVoters(Message{
+	// A rejected pre-vote changes no state and is retried after one to three
+	// heartbeats: the voters may have received the lost leader's last message
+	// slightly later than this node did.
+	n.electionDeadline = n.now.Add(n.opts.Heartbeat + n.random(2*n.opts.Heartbeat))
+	n.sendToVoters(Message{
 		Type:    MsgPreVote,
 		Round:   n.campaign.round,
 		Index:   n.log.last(),
 		LogTerm: n.log.lastTerm(),
 	})
-	if n.won() {
+	if n.hasVoteQuorum() {
 		n.startCampaign()
 	}
 }
 
-// startCampaign votes for itself in the next term. The requests leave only
-// after that vote is synced, and it counts only then (see Advance).
+// startCampaign starts an election in the next term and votes for itself. The
+// vote requests are sent only after that vote is synced, and the vote counts
+// only from then on (see Advance).
 func (n *Node) startCampaign() {
 	n.role = RoleCandidate
 	n.counters.Campaigns++
@@ -47,9 +51,10 @@
 	n.dirty = true
 	n.campaign.votes = map[ident.Host]bool{}
 	n.leader = Member{}
-	// A lost campaign is repeated soon as well: a pre-vote comes first.
-	n.electionAt = n.now.Add(n.opts.ElectionMin/2 + n.random(n.opts.ElectionMin/2))
-	n.askVoters(Message{
+	// An unsuccessful election is also retried early, within ElectionMin,
+	// because a pre-vote precedes the next one.
+	n.electionDeadline = n.now.Add(n.opts.ElectionMin/2 + n.random(n.opts.ElectionMin/2))
+	n.sendToVoters(Message{
 		Type:    MsgVote,
 		Index:   n.log.last(),
 		LogTerm: n.log.lastTerm(),
@@ -57,16 +62,16 @@
 	})
 }
 
-func (n *Node) askVoters(m Message) {
+func (n *Node) sendToVoters(m Message) {
 	for _, v := range n.members.Voters {
 		if v.Host != n.opts.Self {
-			n.sendSynced(m, v)
+			n.sendAfterSync(m, v)
 		}
 	}
 }
 
-// won reports whether a quorum of the voters has granted its vote.
-func (n *Node) won() bool {
+// hasVoteQuorum reports whether a quorum of the voters has granted its vote.
+func (n *Node) hasVoteQuorum() bool {
 	granted := 0
 	for _, v := range n.members.Voters {
 		if n.campaign.votes[v.Host] {
@@ -79,22 +84,23 @@
 func (n *Node) handlePreVote(m Message) {
 	grant := !n.leaderAlive() && m.Term >= n.hard.Term && n.log.upToDate(m.Index, m.LogTerm)
 	if n.role == RolePreCandidate && grant {
-		grant = n.yields(m)
+		grant = n.yieldPreVote(m)
 	}
-	n.sendSynced(Message{Type: MsgPreVoteReply, Round: m.Round, Reject: !grant, Last: n.log.last()}, sender(m))
+	n.sendAfterSync(Message{Type: MsgPreVoteReply, Round: m.Round, Reject: !grant, Last: n.log.last()}, sender(m))
 }
 
-// yields settles a collision of two pre-votes. Both hosts would go on to vote
-// for themselves in one term, and the group would wait out another election
-// timeout. Of two equal logs the host that comes first goes on.
-func (n *Node) yields(m Message) bool {
+// yieldPreVote resolves two concurrent pre-votes and reports whether this node
+// gives up its own in favour of the sender of m. If both continued, both would
+// vote for themselves in the same term and the group would wait for another
+// election timeout. If the logs are equal, the host that sorts first continues.
+func (n *Node) yieldPreVote(m Message) bool {
 	equal := m.Index == n.log.last() && m.LogTerm == n.log.lastTerm()
 	if equal && n.opts.Self < m.From {
 		return false
 	}
 	n.role = RoleFollower
 	n.campaign.votes = nil
-	n.electionAt = n.now.Add(n.opts.ElectionMin/2 + n.random(n.opts.ElectionMin/2))
+	n.electionDeadline = n.now.Add(n.opts.ElectionMin/2 + n.random(n.opts.ElectionMin/2))
 	return true
 }
 
@@ -112,17 +118,17 @@
 	grant := (free || n.hard.Vote == sender(m)) && n.log.upToDate(m.Index, m.LogTerm)
 	reply := Message{Type: MsgVoteReply, Reject: !grant, Last: n.log.last()}
 	if !grant {
-		n.sendSynced(reply, sender(m))
+		n.sendAfterSync(reply, sender(m))
 		return
 	}
 	n.hard.Vote = sender(m)
 	n.dirty = true
 	n.resetElection()
 	if n.faults.earlyVotes {
-		n.sendNow(reply, sender(m))
+		n.sendImmediate(reply, sender(m))
 		return
 	}
-	n.sendSynced(reply, sender(m))
+	n.sendAfterSync(reply, sender(m))
 }
 
 func (n *Node) handleVoteReply(m Message) {
@@ -134,25 +140,26 @@
 	}
 }
 
-// recordVote counts a granted vote if it comes from the disk that the
-// membership names, and reports whether the campaign is won. A replaced disk
-// has forgotten its earlier votes and entries, so its vote could help elect a
+// recordVote counts a granted vote if it comes from the disk listed in the
+// membership, and reports whether the campaign now has a quorum. A replaced
+// disk has lost its earlier votes and entries, so its vote could help elect a
 // leader that lacks committed entries.
 func (n *Node) recordVote(m Message) bool {
-	if !n.members.isVoter(m.From, m.FromDisk) && !n.faults.anyDisk {
+	if !n.members.isVoter(m.From, m.FromDisk) && !n.faults.ignoreDiskID {
 		return false
 	}
 	n.campaign.votes[m.From] = true
-	return n.won()
+	return n.hasVoteQuorum()
 }
 
-// countOwnVote is called once the vote for itself is synced.
+// countOwnVote counts this node's vote for itself. It is called once the vote
+// is synced.
 func (n *Node) countOwnVote(syncedTerm uint64) {
 	if n.role != RoleCandidate || syncedTerm != n.hard.Term {
 		return
 	}
 	n.campaign.votes[n.opts.Self] = true
-	if n.won() {
+	if n.hasVoteQuorum() {
 		n.becomeLeader()
 	}
 }
--- a/quorum/example_test.go
+++ b/quorum/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// A group of one: the runtime writes and syncs, reports it with Advance, and
-// applies what is committed.
+// A group with a single host: the runtime writes and syncs, calls Advance, and
+// applies the committed entries.
 func ExampleNode() {
 	self := quorum.Member{Host: "hall-north-1", Disk: 42}
 	now := time.Unix(0, 0)
@@ -37,12 +37,12 @@
 	now = now.Add(time.Second)
 	node.Tick(now)
 	drive()
-	if _, _, err := node.Propose(now, []byte("open the clock")); err != nil {
+	if _, _, err := node.Propose(now, []byte("set a=1")); err != nil {
 		panic(err)
 	}
 	drive()
 	fmt.Println(node.Status().Role)
 	// Output:
-	// apply 3: open the clock
+	// apply 3: set a=1
 	// leader
 }
--- a/quorum/follower.go
+++ b/quorum/follower.go
@@ -1,22 +1,23 @@
 package quorum
 
-// hearLeader notes a message from the leader of the current term.
-func (n *Node) hearLeader(m Message) bool {
+// recordLeaderContact records a message from the leader of the current term. It
+// returns false if the message must be ignored.
+func (n *Node) recordLeaderContact(m Message) bool {
 	if n.role == RoleLeader {
-		// Two leaders of one term: only a rolled-back disk can vote twice.
-		n.malformed(m.bad("From", "leads in a term that this host leads"))
+		// Two leaders in one term: only a rolled-back disk can vote twice.
+		n.malformed(m.fieldError("From", "claims leadership of a term that this node leads"))
 		return false
 	}
 	if n.role != RoleFollower || n.leader != sender(m) {
 		n.becomeFollower(m.Term, sender(m))
 	}
-	n.heardLeader = n.now
+	n.lastLeaderContact = n.now
 	n.resetElection()
 	return true
 }
 
 func (n *Node) handleAppend(m Message) {
-	if !n.hearLeader(m) {
+	if !n.recordLeaderContact(m) {
 		return
 	}
 	reply := Message{Type: MsgAppendReply, Round: m.Round}
@@ -29,7 +30,7 @@
 	}
 	switch {
 	case m.Index < n.log.commit:
-		// All up to the commit index is the same in every log.
+		// All logs are identical up to the commit index.
 		n.acceptTail(m)
 		reply.Index = max(n.log.commit, m.Index+uint64(len(m.Entries)))
 	case !n.log.matches(m.Index, m.LogTerm):
@@ -42,15 +43,15 @@
 	}
 	reply.Last = n.log.last()
 	if n.faults.earlyAcks {
-		n.sendNow(reply, sender(m))
+		n.sendImmediate(reply, sender(m))
 		return
 	}
 	n.sendAck(reply, sender(m))
 }
 
-// sendAck queues an answer to an append. An acknowledgement that still waits
-// for the sync is replaced by a later one, so a burst of appends that one sync
-// covers is answered once.
+// sendAck queues the reply to an append. It replaces an acknowledgement that is
+// still waiting for a sync, so a burst of appends covered by one sync gets a
+// single reply.
 func (n *Node) sendAck(reply Message, to Member) {
 	if last := len(n.messages) - 1; last >= 0 && !reply.Reject {
 		waiting := &n.messages[last]
@@ -62,11 +63,11 @@
 			n.messages = n.messages[:last]
 		}
 	}
-	n.sendSynced(reply, to)
+	n.sendAfterSync(reply, to)
 }
 
-// acceptTail takes in what lies beyond the commit index of an append that
-// begins before it.
+// acceptTail appends the entries of m that follow the commit index. The entries
+// of m begin before it.
 func (n *Node) acceptTail(m Message) {
 	skip := n.log.commit - m.Index
 	if skip >= uint64(len(m.Entries)) {
@@ -76,9 +77,10 @@
 	n.followCommit(min(m.Commit, last))
 }
 
-// accept stores entries that follow prev, where the logs agree, and returns
-// the last index known to agree with the leader's log. Entries already held
-// are kept: an append that arrives late must not cut off what followed it.
+// accept appends entries that follow prev, an index at which the logs match,
+// and returns the last index known to match the leader's log. Entries already
+// in the log are kept: a delayed append must not truncate the entries that
+// follow it.
 func (n *Node) accept(entries []Entry, prev uint64) uint64 {
 	changed := false
 	for _, e := range entries {
--- a/quorum/incarnation.go
+++ b/quorum/incarnation.go
@@ -7,53 +7,56 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// maxRecords bounds the peers remembered.
+// maxRecords is the maximum number of peer records kept.
 const maxRecords = 2 * MaxMembers
 
-// recordsEvery is the number of heartbeat rounds between two that carry the
-// records of peers. The first round of a term carries them.
+// recordsEvery is the number of heartbeat rounds from one that includes the
+// peer records to the next. The first round of a term includes them.
 const recordsEvery = 20
 
-// nextIncarnation returns the incarnation that follows old.
+// nextIncarnation returns the incarnation that follows old, with new random
+// lower bits.
 func nextIncarnation(old ident.Incarnation, random *rand.Rand) ident.Incarnation {
-	return ident.Incarnation((startsOf(old)+1)<<32 | uint64(random.Uint32()))
+	return ident.Incarnation((startCount(old)+1)<<32 | uint64(random.Uint32()))
 }
 
-// startsOf returns the counter of starts in an incarnation.
-func startsOf(i ident.Incarnation) uint64 { return uint64(i) >> 32 }
-
-// checkRecord compares a message with what is remembered of its sender's disk
-// and reports whether to take it in. A disk that was rolled back to an older
-// copy has forgotten votes and acknowledgements, so the group would elect a
-// leader without committed entries if it took its word. Four signs prove it:
-// an incarnation that is not later than a known one, a later one with a
-// smaller term, a later one whose log ends before what the disk acknowledged,
-// and acknowledged entries that are gone within a term (detectIndexBack).
-func (n *Node) checkRecord(m Message) bool {
-	if n.faults.trustBack {
+// startCount returns the counter of starts, the upper 32 bits of an
+// incarnation.
+func startCount(i ident.Incarnation) uint64 { return uint64(i) >> 32 }
+
+// verifySender compares a message with the record of its sender's disk and
+// reports whether to process it. A disk that was rolled back to an older copy
+// has lost votes and acknowledgements; counting its replies could elect a
+// leader that lacks committed entries. Four conditions prove a rollback: an
+// incarnation that is not newer than a known one, a newer incarnation with a
+// lower term, a newer incarnation whose log ends before an index that the disk
+// acknowledged, and acknowledged entries that are missing within a term (see
+// detectIndexRegression).
+func (n *Node) verifySender(m Message) bool {
+	if n.faults.trustRolledBack {
 		return true
 	}
 	r := n.record(sender(m))
 	if r == nil {
-		n.remember(PeerRecord{Host: m.From, Disk: m.FromDisk, Incarnation: m.Incarnation, Term: m.Term})
+		n.addRecord(PeerRecord{Host: m.From, Disk: m.FromDisk, Incarnation: m.Incarnation, Term: m.Term})
 		return true
 	}
-	known, now := startsOf(r.Incarnation), startsOf(m.Incarnation)
-	last, tells := lastOf(&m)
+	known, received := startCount(r.Incarnation), startCount(m.Incarnation)
+	last, hasLast := lastLogIndex(&m)
 	switch {
 	case r.Revoked:
 		n.sendRevoke(m, RevokeDuplicateIncarnation)
 		return false
-	case tells && last < r.Acked && now > startsOf(r.AckedBy):
+	case hasLast && last < r.Acked && received > startCount(r.AckedBy):
 		n.revokePeer(m, RevokeIndexRegressed)
 		return false
 	case m.Incarnation == r.Incarnation:
 		r.Term = max(r.Term, m.Term)
 		return true
-	case now == known:
+	case received == known:
 		n.revokePeer(m, RevokeDuplicateIncarnation)
 		return false
-	case now < known:
+	case received < known:
 		n.sendRevoke(m, RevokeEarlierIncarnation)
 		return false
 	case m.Term < r.Term:
@@ -62,60 +65,61 @@
 	}
 	r.Incarnation = m.Incarnation
 	r.Term = m.Term
-	n.recordChanged()
+	n.markRecordsChanged()
 	return true
 }
 
-// mergeRecords takes in what another member remembers, so that a rolled-back
-// disk is recognised by hosts that never met its later incarnation, and by
-// itself.
+// mergeRecords merges the peer records of another member, so that a rolled-back
+// disk is also detected by hosts that have had no contact with its newer
+// incarnation, and by the rolled-back host itself.
 func (n *Node) mergeRecords(m Message) {
-	if n.faults.trustBack {
+	if n.faults.trustRolledBack {
 		return
 	}
-	for _, l := range m.Peers {
-		who := Member{l.Host, l.Disk}
-		if who == (Member{n.opts.Self, n.hard.Disk}) {
-			if l.Revoked || !n.laterThan(l.Incarnation) || n.belowAcked(l) {
+	for _, r := range m.Peers {
+		member := Member{r.Host, r.Disk}
+		if member == (Member{n.opts.Self, n.hard.Disk}) {
+			if r.Revoked || !n.sameOrNewer(r.Incarnation) || n.lostAcked(r) {
 				n.revokeSelf()
 			}
 			continue
 		}
-		n.mergeRecord(who, l)
+		n.mergeRecord(member, r)
 	}
 }
 
-func (n *Node) mergeRecord(who Member, l PeerRecord) {
-	mine := n.record(who)
-	if mine == nil {
-		n.remember(l)
+func (n *Node) mergeRecord(member Member, r PeerRecord) {
+	known := n.record(member)
+	if known == nil {
+		n.addRecord(r)
 		return
 	}
-	split := startsOf(mine.Incarnation) == startsOf(l.Incarnation) && mine.Incarnation != l.Incarnation
-	if (l.Revoked || split) && !mine.Revoked {
-		n.markRevoked(mine)
+	duplicate := startCount(known.Incarnation) == startCount(r.Incarnation) && known.Incarnation != r.Incarnation
+	if (r.Revoked || duplicate) && !known.Revoked {
+		n.markRevoked(known)
 	}
-	if startsOf(l.Incarnation) > startsOf(mine.Incarnation) {
-		mine.Incarnation = l.Incarnation
-		n.recordChanged()
+	if startCount(r.Incarnation) > startCount(known.Incarnation) {
+		known.Incarnation = r.Incarnation
+		n.markRecordsChanged()
 	}
-	mine.Term = max(mine.Term, l.Term)
-	if l.Acked > mine.Acked {
-		mine.Acked = l.Acked
-		mine.AckedBy = l.AckedBy
+	known.Term = max(known.Term, r.Term)
+	if r.Acked > known.Acked {
+		known.Acked = r.Acked
+		known.AckedBy = r.AckedBy
 	}
 }
 
-// recordsFor returns the records to send in a heartbeat round.
+// recordsFor returns the peer records to send in a heartbeat round, nil for
+// most rounds.
 func (n *Node) recordsFor(round uint64) []PeerRecord {
-	if round%recordsEvery != 1 && !n.lead.spread {
+	if round%recordsEvery != 1 && !n.lead.sendRecords {
 		return nil
 	}
 	return n.records()
 }
 
-// records returns what this host remembers of disks, its own included: what
-// a leader has synced itself is known to nobody else.
+// records returns the peer records, including one of this node's own disk: no
+// other host knows what a leader itself has synced.
 func (n *Node) records() []PeerRecord {
 	return append(slices.Clone(n.hard.Peers), PeerRecord{
 		Host:        n.opts.Self,
@@ -127,59 +131,61 @@
 	})
 }
 
-// recordChanged has the records written, and spread in a leader's next round:
-// an incarnation that only one host knows is forgotten when that host is lost.
-func (n *Node) recordChanged() {
+// markRecordsChanged schedules the records to be written and, on a leader, to
+// be sent in the next round. An incarnation known to a single host would be
+// lost together with that host.
+func (n *Node) markRecordsChanged() {
 	n.dirty = true
-	n.lead.spread = true
+	n.lead.sendRecords = true
 }
 
-func (n *Node) record(who Member) *PeerRecord {
+func (n *Node) record(member Member) *PeerRecord {
 	for i := range n.hard.Peers {
-		if l := &n.hard.Peers[i]; l.Host == who.Host && l.Disk == who.Disk {
-			return l
+		if r := &n.hard.Peers[i]; r.Host == member.Host && r.Disk == member.Disk {
+			return r
 		}
 	}
 	return nil
 }
 
-func (n *Node) remember(l PeerRecord) {
-	if _, ok := n.isMember(Member{l.Host, l.Disk}); !ok {
+func (n *Node) addRecord(r PeerRecord) {
+	if _, ok := n.isMember(Member{r.Host, r.Disk}); !ok {
 		return
 	}
 	if len(n.hard.Peers) >= maxRecords {
-		n.forgetRecord()
+		n.evictRecord()
 	}
-	n.hard.Peers = append(n.hard.Peers, l)
-	n.recordChanged()
-	if l.Revoked {
-		n.markRevoked(n.record(Member{l.Host, l.Disk}))
+	n.hard.Peers = append(n.hard.Peers, r)
+	n.markRecordsChanged()
+	if r.Revoked {
+		n.markRevoked(n.record(Member{r.Host, r.Disk}))
 	}
 }
 
-// forgetRecord makes room: a disk that is no longer a member goes, one that was
-// revoked last. There are at most MaxMembers members, so room is always made.
-func (n *Node) forgetRecord() {
-	gone := func(l PeerRecord) bool {
-		_, ok := n.isMember(Member{l.Host, l.Disk})
+// evictRecord removes one record of a disk that is not a member, preferring one
+// that is not revoked. The group has at most MaxMembers members and maxRecords
+// is larger, so there always is such a record.
+func (n *Node) evictRecord() {
+	nonMember := func(r PeerRecord) bool {
+		_, ok := n.isMember(Member{r.Host, r.Disk})
 		return !ok
 	}
-	i := slices.IndexFunc(n.hard.Peers, func(l PeerRecord) bool { return gone(l) && !l.Revoked })
+	i := slices.IndexFunc(n.hard.Peers, func(r PeerRecord) bool { return nonMember(r) && !r.Revoked })
 	if i < 0 {
-		i = slices.IndexFunc(n.hard.Peers, gone)
+		i = slices.IndexFunc(n.hard.Peers, nonMember)
 	}
 	n.hard.Peers = slices.Delete(n.hard.Peers, i, i+1)
 }
 
-func (n *Node) isMember(who Member) (voter, ok bool) {
-	m, voter, ok := n.members.find(who.Host)
-	return voter, ok && m == who
+func (n *Node) isMember(member Member) (voter, ok bool) {
+	m, voter, ok := n.members.find(member.Host)
+	return voter, ok && m == member
 }
 
-// handleWrongDisk notes that a member's host now presents another disk.
+// handleWrongDisk records that a member's host now presents another disk.
 func (n *Node) handleWrongDisk(m Message) {
 	p := n.peer(m.From)
 	if n.role == RoleLeader && p != nil && p.member.Disk != m.FromDisk {
-		p.presented = m.FromDisk
+		p.presentedDisk = m.FromDisk
 	}
 }
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -7,36 +7,39 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// leadership is what a leader keeps for its term.
-type leadership struct {
-	// peers are the other members, sorted by host.
+// leaderState is the state of a leader for the duration of its term.
+type leaderState struct {
+	// peers is the progress of the other members, sorted by host.
 	peers []*progress
-	// noop is the index of the entry that starts the term.
-	noop        uint64
-	uncommitted int
-	heartbeatAt time.Time
+	// noopIndex is the index of the first entry of the term.
+	noopIndex     uint64
+	uncommitted   int
+	nextHeartbeat time.Time
 
 	rounds   rounds
 	reads    []pendingRead
 	leaseEnd time.Time
-	// confirmedAt is when the latest round that a quorum answered began.
-	confirmedAt time.Time
-
-	transferTo    ident.Host
-	transferUntil time.Time
-	// handedOver is set once another host was asked to campaign. Its votes
-	// pass over the lease, so the lease is void for the rest of the term.
-	handedOver bool
-
-	// offer is the snapshot that is being sent to followers; wanted and
-	// askAgain pace the requests for one.
-	offer    *Snapshot
-	offerSum uint32
-	wanted   bool
-	askAgain time.Time
-
-	// spread is set when the next round is to carry the records of peers.
-	spread bool
+	// lastQuorumContact is the start time of the latest heartbeat round
+	// acknowledged by a quorum.
+	lastQuorumContact time.Time
+
+	transferTo       ident.Host
+	transferDeadline time.Time
+	// timeoutNowSent is set once another host was asked to campaign. Voters
+	// grant that host's request in spite of the lease, so the lease is void for
+	// the rest of the term.
+	timeoutNowSent bool
+
+	// offer is the snapshot being sent to followers. snapshotWanted is set if
+	// the next Ready has to request one from the runtime, and snapshotRetryAt
+	// is the earliest time of the next such request.
+	offer           *Snapshot
+	offerChecksum   uint32
+	snapshotWanted  bool
+	snapshotRetryAt time.Time
+
+	// sendRecords is set when the next round has to include the peer records.
+	sendRecords bool
 
 	scratch []uint64
 }
@@ -46,25 +49,25 @@
 	n.counters.Elections++
 	n.leader = Member{n.opts.Self, n.hard.Disk}
 	n.campaign.votes = nil
-	n.lead = leadership{
-		heartbeatAt: n.now,
-		confirmedAt: n.now,
+	n.lead = leaderState{
+		nextHeartbeat:     n.now,
+		lastQuorumContact: n.now,
 	}
 	n.refreshPeers()
-	n.lead.noop = n.appendOwn(Entry{Kind: EntryNoop})
+	n.lead.noopIndex = n.appendEntry(Entry{Kind: EntryNoop})
 	n.tickLeader()
 }
 
-// stopLeading answers what waited on this leadership.
+// stopLeading fails the pending reads and clears the leader's state.
 func (n *Node) stopLeading(next Member) {
 	for _, r := range n.lead.reads {
 		n.failRead(r, next.Host)
 	}
-	n.lead = leadership{}
+	n.lead = leaderState{}
 	n.counters.StepDowns++
 }
 
-// refreshPeers matches the progress records to the membership in force.
+// refreshPeers updates the progress records to the current membership.
 func (n *Node) refreshPeers() {
 	old := n.lead.peers
 	n.lead.peers = nil
@@ -88,7 +91,7 @@
 		if i >= 0 {
 			p = old[i]
 		} else {
-			p = &progress{member: m, next: n.log.last() + 1, revoked: n.knownRevoked(m)}
+			p = &progress{member: m, next: n.log.last() + 1, revoked: n.isRevoked(m)}
 		}
 		p.voter = voter
 		n.lead.peers = append(n.lead.peers, p)
@@ -105,43 +108,44 @@
 }
 
 // peerOf returns the progress of the member that sent m, or nil if the sender
-// is no member or has another disk than the membership names.
+// is not a member or its disk is not the one listed in the membership.
 func (n *Node) peerOf(m Message) *progress {
 	if n.role != RoleLeader {
 		return nil
 	}
 	p := n.peer(m.From)
-	if p == nil || p.member.Disk != m.FromDisk && !n.faults.anyDisk {
+	if p == nil || p.member.Disk != m.FromDisk && !n.faults.ignoreDiskID {
 		return nil
 	}
 	return p
 }
 
 func (n *Node) tickLeader() {
-	if n.lead.transferTo != "" && !n.now.Before(n.lead.transferUntil) {
+	if n.lead.transferTo != "" && !n.now.Before(n.lead.transferDeadline) {
 		n.lead.transferTo = ""
 	}
-	if n.now.Before(n.lead.heartbeatAt) {
+	if n.now.Before(n.lead.nextHeartbeat) {
 		return
 	}
-	n.lead.heartbeatAt = n.now.Add(n.opts.Heartbeat)
-	// Check-quorum: a leader behind a partition must stop claiming to lead,
-	// or callers there would wait on it for ever.
-	if n.now.Sub(n.lead.confirmedAt) > n.opts.ElectionMax && !n.aloneVoter() {
+	n.lead.nextHeartbeat = n.now.Add(n.opts.Heartbeat)
+	// Check-quorum: a leader behind a partition must step down, or callers on
+	// its side of the partition would wait for it indefinitely.
+	if n.now.Sub(n.lead.lastQuorumContact) > n.opts.ElectionMax && !n.soleVoter() {
 		n.counters.QuorumLost++
 		n.becomeFollower(n.hard.Term, Member{})
 		n.resetElection()
 		return
 	}
-	n.dropSilent()
+	n.abortInactiveSnapshots()
 	n.startRound()
 }
 
-func (n *Node) aloneVoter() bool { return n.members.quorum() == 1 && len(n.members.Voters) == 1 }
+func (n *Node) soleVoter() bool { return n.members.quorum() == 1 && len(n.members.Voters) == 1 }
 
-// appendOwn appends an entry of the leader's term. It is sent when the next
-// Ready is built, so that proposals made together travel together.
-func (n *Node) appendOwn(e Entry) uint64 {
+// appendEntry appends an entry in the leader's term and returns its index. The
+// entry is sent when the next Ready is built, so proposals made together are
+// sent together.
+func (n *Node) appendEntry(e Entry) uint64 {
 	e.Term = n.hard.Term
 	e.Index = n.log.last() + 1
 	n.log.append(e)
@@ -152,10 +156,10 @@
 	return e.Index
 }
 
-// updateCommit commits what a quorum of the voters has synced. Only entries of
-// the leader's own term are counted; earlier ones are committed with them,
-// because a later leader could still replace an entry of an earlier term that
-// merely stands on a quorum.
+// updateCommit commits the entries that a quorum of the voters has synced. Only
+// an entry of the leader's own term advances the commit index, and it commits
+// the earlier ones with it: a later leader could still replace an entry of an
+// earlier term even if a quorum has stored it.
 func (n *Node) updateCommit() {
 	index := n.quorumValue(n.log.synced, func(p *progress) uint64 { return p.match })
 	if index <= n.log.commit || !n.log.matches(index, n.hard.Term) {
@@ -185,7 +189,7 @@
 			continue
 		}
 		value := uint64(0)
-		if p.counts() || n.faults.trustBack {
+		if p.eligible() || n.faults.trustRolledBack {
 			value = of(p)
 		}
 		values = append(values, value)
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -1,30 +1,29 @@
 package quorum
 
-// entryLog holds the entries after a base, in memory, and how far they are
-// handed out for writing, synced, committed and applied.
-//
-// Slices of it are handed out in Ready and in messages, so entries are never
-// changed in place: cutting the tail caps the slice, and a later append then
-// copies.
+// entryLog holds in memory the log entries after a base, and the indices up to
+// which they are emitted for writing, synced, committed and applied. Ready and
+// messages share slices of entries, so entries are never modified in place:
+// truncate limits the slice's capacity, which makes a later append copy it.
 type entryLog struct {
-	// base is where the log begins: entries at or before base.Index are gone.
+	// base is the compaction point: entries at or before base.Index have been
+	// dropped.
 	base    SnapshotMeta
 	entries []Entry
 	bytes   int
 
-	// handed is the last index given to the runtime for writing, and synced
-	// the last one that is on disk.
-	handed, synced uint64
-	// syncing is the last index of the write under way.
+	// emitted is the last index returned by Ready for writing, and synced the
+	// last index known to be on disk.
+	emitted, synced uint64
+	// syncing is the last index of the write in progress.
 	syncing uint64
 
 	commit, applied uint64
 
-	// members lists the membership entries after base, oldest first.
-	members []memberPoint
+	// members holds the membership entries after base, oldest first.
+	members []indexedMembership
 }
 
-type memberPoint struct {
+type indexedMembership struct {
 	index   uint64
 	members Membership
 }
@@ -39,7 +38,7 @@
 			l.append(e)
 		}
 	}
-	l.handed = l.last()
+	l.emitted = l.last()
 	l.synced = l.last()
 	return l
 }
@@ -53,8 +52,8 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// term returns the term of the entry at index; ok is false when the log does
-// not reach it or no longer holds it.
+// term returns the term of the entry at index; ok is false if the index is
+// beyond the end of the log or before base.
 func (l *entryLog) term(index uint64) (term uint64, ok bool) {
 	switch {
 	case index == l.base.Index:
@@ -70,8 +69,8 @@
 	return ok && t == term
 }
 
-// upToDate reports whether a log that ends with (index, term) holds at least
-// what this one does.
+// upToDate reports whether a log that ends with (index, term) is at least as up
+// to date as this one.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -79,7 +78,8 @@
 	return index >= l.last()
 }
 
-// from returns entries from index on, up to maxBytes of data but at least one.
+// from returns the entries from index through through, limited to maxBytes but
+// at least one.
 func (l *entryLog) from(index, through uint64, maxBytes int) []Entry {
 	if index <= l.base.Index || index > through {
 		return nil
@@ -95,9 +95,9 @@
 	return window[:len(window):len(window)]
 }
 
-// unwritten returns the entries not yet handed out for writing.
+// unwritten returns the entries that have not yet been emitted for writing.
 func (l *entryLog) unwritten() []Entry {
-	start := l.handed - l.base.Index
+	start := l.emitted - l.base.Index
 	return l.entries[start:len(l.entries):len(l.entries)]
 }
 
@@ -105,35 +105,35 @@
 	l.entries = append(l.entries, e)
 	l.bytes += entryBytes(&e)
 	if e.Kind == EntryMembers && e.Members != nil {
-		l.members = append(l.members, memberPoint{e.Index, *e.Members})
+		l.members = append(l.members, indexedMembership{e.Index, *e.Members})
 	}
 }
 
-// dropsCommitted is the panic of a node that is told to drop an entry which it
-// knows to be committed: going on would lose what was acknowledged.
-const dropsCommitted = "quorum: a committed entry would be dropped"
+// truncatePanic is the panic value used when a node would have to drop an entry
+// that it knows to be committed. Continuing would lose acknowledged data.
+const truncatePanic = "quorum: a committed entry would be dropped"
 
 // truncate drops the entries from index on.
 func (l *entryLog) truncate(index uint64) {
 	if index <= l.commit {
-		panic(dropsCommitted)
+		panic(truncatePanic)
 	}
 	keep := index - l.base.Index - 1
 	for i := keep; i < uint64(len(l.entries)); i++ {
 		l.bytes -= entryBytes(&l.entries[i])
 	}
 	l.entries = l.entries[:keep:keep]
-	l.handed = min(l.handed, index-1)
+	l.emitted = min(l.emitted, index-1)
 	l.synced = min(l.synced, index-1)
-	// A write under way may still put the dropped entries on disk, but the
-	// next write replaces them; they must not count as synced meanwhile.
+	// A write in progress may still put the dropped entries on disk. The next
+	// write replaces them; until then they must not count as synced.
 	l.syncing = min(l.syncing, index-1)
 	for len(l.members) > 0 && l.members[len(l.members)-1].index >= index {
 		l.members = l.members[:len(l.members)-1]
 	}
 }
 
-// compact drops the entries up to meta.Index.
+// compact drops the entries up to and including meta.Index.
 func (l *entryLog) compact(meta SnapshotMeta) {
 	drop := meta.Index - l.base.Index
 	for i := range drop {
@@ -141,26 +141,27 @@
 	}
 	l.entries = append([]Entry(nil), l.entries[drop:]...)
 	l.base = meta
-	l.handed = max(l.handed, meta.Index)
+	l.emitted = max(l.emitted, meta.Index)
 	l.synced = max(l.synced, meta.Index)
-	l.dropMembers(meta.Index)
+	l.compactMembers(meta.Index)
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the whole log with a snapshot.
 func (l *entryLog) reset(meta SnapshotMeta) {
 	*l = entryLog{base: meta, commit: meta.Index, applied: meta.Index}
-	l.handed = meta.Index
+	l.emitted = meta.Index
 }
 
-func (l *entryLog) dropMembers(through uint64) {
+func (l *entryLog) compactMembers(through uint64) {
 	keep := 0
 	for keep < len(l.members) && l.members[keep].index <= through {
 		keep++
 	}
-	l.members = append([]memberPoint(nil), l.members[keep:]...)
+	l.members = append([]indexedMembership(nil), l.members[keep:]...)
 }
 
-// membersAt returns the membership in force once index is appended.
+// membersAt returns the membership in force once the entry at index is
+// appended.
 func (l *entryLog) membersAt(index uint64) Membership {
 	for i := len(l.members) - 1; i >= 0; i-- {
 		if l.members[i].index <= index {
@@ -176,7 +177,8 @@
 }
 
 // probePoint returns the last index at or before limit whose term is at most
-// term: the furthest point at which two logs can still agree.
+// term, and its actual term. It is the highest index at which the two logs can
+// still match.
 func (l *entryLog) probePoint(limit, term uint64) (index, atTerm uint64) {
 	index = min(limit, l.last())
 	for index > l.base.Index {
@@ -192,8 +194,8 @@
 	return index, t
 }
 
-// entryOverhead is what an entry costs in memory and on the wire besides its
-// data, in bytes, roughly.
+// entryOverhead is the approximate cost of an entry in memory and on the wire,
+// in bytes, excluding its data.
 const entryOverhead = 32
 
 func entryBytes(e *Entry) int { return entryOverhead + len(e.Data) }
--- a/quorum/membership.go
+++ b/quorum/membership.go
@@ -8,10 +8,10 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// MaxMembers bounds the voters and learners of one group together.
+// MaxMembers is the maximum number of voters and learners in a group.
 const MaxMembers = 32
 
-// find returns the host's member record.
+// find returns the member on the given host.
 func (m *Membership) find(host ident.Host) (member Member, voter, ok bool) {
 	if i := indexOf(m.Voters, host); i >= 0 {
 		return m.Voters[i], true, true
@@ -22,15 +22,16 @@
 	return Member{}, false, false
 }
 
-// isVoter reports whether this very disk is a voter.
+// isVoter reports whether host is a voter with exactly this disk.
 func (m *Membership) isVoter(host ident.Host, disk DiskID) bool {
 	return slices.Contains(m.Voters, Member{host, disk})
 }
 
-// quorum is the number of voters in a majority.
+// quorum returns the number of voters in a majority.
 func (m *Membership) quorum() int { return len(m.Voters)/2 + 1 }
 
-// valid reports whether the lists can be a membership.
+// valid reports whether m has a voter, at most MaxMembers members, and no
+// incomplete or duplicate member.
 func (m *Membership) valid() bool {
 	count := len(m.Voters) + len(m.Learners)
 	if len(m.Voters) == 0 || count > MaxMembers {
@@ -48,7 +49,7 @@
 	return true
 }
 
-// apply returns the membership after one change.
+// apply returns the membership that results from one change.
 func (m *Membership) apply(c MemberChange) (Membership, error) {
 	next := Membership{Voters: slices.Clone(m.Voters), Learners: slices.Clone(m.Learners)}
 	_, voter, member := m.find(c.Host)
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// Node is one member of a group. It is driven by one goroutine.
+// Node is one member of a group. It is not safe for concurrent use.
 type Node struct {
 	opts  Options
 	now   time.Time
 	hard  HardState
-	dirty bool // hard differs from what was handed out for writing
+	dirty bool // hard differs from the last HardState returned by Ready
 	log   entryLog
-	// members is the membership in force: that of the last entry.
+	// members is the membership in force, that of the last membership entry in
+	// the log.
 	members Membership
 
 	role Role
-	// leader is the known leader of the current term, empty when unknown.
+	// leader is the known leader of the current term, empty if unknown.
 	leader Member
-	// heardLeader is when a leader was last heard; a start counts as well,
-	// for an earlier incarnation may have promised a leader its lease.
-	heardLeader time.Time
-	electionAt  time.Time
+	// lastLeaderContact is the time of the last message from a leader. It is
+	// initially the start time of the node, because an earlier incarnation may
+	// have granted a leader its lease.
+	lastLeaderContact time.Time
+	electionDeadline  time.Time
 
 	campaign campaign
-	lead     leadership
-	incoming assembly
-
-	// What the next Ready returns.
-	immediate []Message
-	messages  []Message
-	reads     []Read
-	install   *Snapshot
-	// syncing is set between a persistent Ready and its Advance.
+	lead     leaderState
+	incoming incomingSnapshot
+
+	// Effects that the next Ready returns.
+	immediate       []Message
+	messages        []Message
+	reads           []Read
+	pendingSnapshot *Snapshot
+	// syncing is set from a persistent Ready to its Advance.
 	syncing     bool
 	syncingTerm uint64
-	// restoring is set while that Ready's snapshot is being restored.
+	// restoring is set while the snapshot of that Ready is being restored.
 	restoring bool
 
 	counters      Counters
@@ -44,8 +46,9 @@
 	faults        faults
 }
 
-// NewNode starts a node from what its disk holds. Stored.HardState must carry a
-// DiskID. The first Ready holds the HardState with the new incarnation.
+// NewNode starts a node from the state stored on its disk. stored.HardState
+// must have a DiskID. The first Ready contains the HardState with the new
+// incarnation.
 func NewNode(opts Options, stored StoredState, now time.Time) (*Node, error) {
 	if err := opts.Validate(); err != nil {
 		return nil, err
@@ -62,12 +65,12 @@
 	n.dirty = true
 	n.members = n.log.membersAt(n.log.last())
 	n.campaign.round = opts.Rand.Uint64()
-	n.heardLeader = now
+	n.lastLeaderContact = now
 	n.resetElection()
 	return n, nil
 }
 
-// checkStored refuses a log with gaps, which would break the log's indexing.
+// checkStored rejects a log with gaps, because the log is indexed by position.
 func (n *Node) checkStored(stored StoredState) error {
 	next := stored.Snapshot.Index
 	for _, e := range stored.Entries {
@@ -82,14 +85,15 @@
 	return nil
 }
 
-// Tick moves time on. The runtime calls it at least every Heartbeat/4.
+// Tick advances the node's clock to now. The runtime must call it at least
+// every Heartbeat/4.
 func (n *Node) Tick(now time.Time) {
 	n.now = now
 	if n.role == RoleLeader {
 		n.tickLeader()
 		return
 	}
-	if now.Before(n.electionAt) {
+	if now.Before(n.electionDeadline) {
 		return
 	}
 	n.resetElection()
@@ -99,21 +103,22 @@
 	}
 }
 
-// mayCampaign reports whether this disk is a voter in good standing.
+// mayCampaign reports whether this disk is a voter and is not revoked.
 func (n *Node) mayCampaign() bool {
 	return !n.hard.Revoked && n.members.isVoter(n.opts.Self, n.hard.Disk)
 }
 
 func (n *Node) resetElection() {
-	n.electionAt = n.now.Add(n.opts.ElectionMin + n.random(n.opts.ElectionMax-n.opts.ElectionMin))
+	n.electionDeadline = n.now.Add(n.opts.ElectionMin + n.random(n.opts.ElectionMax-n.opts.ElectionMin))
 }
 
-// random draws a duration below limit.
+// random returns a random duration in [0, limit).
 func (n *Node) random(limit time.Duration) time.Duration {
 	return time.Duration(n.opts.Rand.Int64N(int64(limit)))
 }
 
-// becomeFollower enters a term, or stays in the present one, without leading.
+// becomeFollower makes the node a follower in the given term, which is the
+// current one or a later one.
 func (n *Node) becomeFollower(term uint64, leader Member) {
 	if term > n.hard.Term {
 		n.hard.Term = term
@@ -128,7 +133,7 @@
 	n.campaign.votes = nil
 }
 
-// header fills in what all messages carry.
+// header sets the fields common to all messages.
 func (n *Node) header(m Message, to Member) Message {
 	m.From = n.opts.Self
 	m.FromDisk = n.hard.Disk
@@ -139,30 +144,30 @@
 	return m
 }
 
-// sendNow queues a message that promises nothing about this disk.
-func (n *Node) sendNow(m Message, to Member) {
+// sendImmediate queues a message that may be sent before the next sync.
+func (n *Node) sendImmediate(m Message, to Member) {
 	n.immediate = append(n.immediate, n.header(m, to))
 }
 
-// maxWaiting bounds the messages that wait for a sync. A disk that hangs would
-// otherwise gather answers for as long; what is dropped counts as lost on the
-// way and is asked for again.
-const maxWaiting = 4096
+// maxPendingMessages is the maximum number of messages waiting for a sync. It
+// limits the replies that accumulate while a disk hangs. Dropping one is
+// equivalent to its loss by the network: the peer repeats its request.
+const maxPendingMessages = 4096
 
-// sendSynced queues a message that must wait for the next sync.
-func (n *Node) sendSynced(m Message, to Member) {
-	if len(n.messages) >= maxWaiting {
+// sendAfterSync queues a message that must not be sent before the next sync.
+func (n *Node) sendAfterSync(m Message, to Member) {
+	if len(n.messages) >= maxPendingMessages {
 		n.counters.Dropped++
 		return
 	}
 	n.messages = append(n.messages, n.header(m, to))
 }
 
-// Propose appends a command on the leader and returns its position. The
-// command is committed once an entry with this index and term comes out of
-// Ready.Committed; an entry of another term there means it was lost. Errors
-// (*NotLeaderError, ErrBusy, ErrTransferring, ErrTooLarge) mean that nothing
-// was appended. The node keeps data.
+// Propose appends a command on the leader and returns its index and term. The
+// command is committed once an entry with this index and term is returned in
+// Ready.Committed; an entry with another term at this index means that the
+// command was lost. On an error (*NotLeaderError, ErrBusy, ErrTransferring,
+// ErrTooLarge, ErrRevoked) nothing was appended. The node retains data.
 func (n *Node) Propose(now time.Time, data []byte) (index, term uint64, err error) {
 	n.now = now
 	if err := n.mayPropose(); err != nil {
@@ -174,7 +179,7 @@
 	if n.lead.uncommitted+len(data)+entryOverhead > n.opts.MaxUncommitted {
 		return 0, 0, ErrBusy
 	}
-	index = n.appendOwn(Entry{Kind: EntryCommand, Data: data})
+	index = n.appendEntry(Entry{Kind: EntryCommand, Data: data})
 	return index, n.hard.Term, nil
 }
 
--- a/quorum/options.go
+++ b/quorum/options.go
@@ -10,7 +10,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Defaults of Options, for links of about 1.5 ms one way.
+// Default values of Options, for a network latency of about 1.5 ms one way.
 const (
 	DefaultHeartbeat          = 50 * time.Millisecond
 	DefaultElectionMin        = 200 * time.Millisecond
@@ -26,45 +26,48 @@
 	DefaultMaxSnapshotBytes   = 1 << 30
 )
 
-// Options configure a Node. Zero values take the defaults above.
+// Options configures a Node. Zero values select the defaults above.
 type Options struct {
-	// Self is this host.
+	// Self is the name of this host.
 	Self ident.Host
-	// Rand draws election timeouts and the random part of the incarnation.
-	// Its seed must differ between hosts and between starts.
+	// Rand is the source of election timeouts and of the random part of the
+	// incarnation. Its seed must differ between hosts and between starts.
 	Rand *rand.Rand
-	// Heartbeat is the time between two heartbeats of a leader.
+	// Heartbeat is the interval between the heartbeats of a leader.
 	Heartbeat time.Duration
-	// A follower campaigns after a silence drawn from ElectionMin to
-	// ElectionMax, and refuses to elect another leader for ElectionMin after
-	// it last heard from one. All hosts of a group must use the same values:
-	// the leader's lease counts on every voter's ElectionMin.
+	// A follower starts an election after a random time between ElectionMin and
+	// ElectionMax without contact with a leader, and does not vote for another
+	// leader until ElectionMin after the last contact. All hosts of a group
+	// must use the same values: the leader's lease depends on the ElectionMin
+	// of every voter.
 	ElectionMin, ElectionMax time.Duration
-	// ClockDrift bounds how far each host's clock rate is from true time: a
-	// clock that shows d has run between d/(1+ClockDrift) and
-	// d/(1-ClockDrift). The leader's lease is ElectionMin shortened by it.
+	// ClockDrift is the maximum error of each host's clock rate: a clock that
+	// measures d has run for between d/(1+ClockDrift) and d/(1-ClockDrift). The
+	// leader's lease is ElectionMin shortened accordingly.
 	ClockDrift float64
-	// NoLeaseReads makes every linearizable read take a round of heartbeats. It is for
-	// hosts whose clock stands still while the machine is suspended.
+	// NoLeaseReads makes every linearizable read wait for a heartbeat round. It
+	// is intended for hosts whose clock stops while the machine is suspended.
 	NoLeaseReads bool
-	// MaxCommandBytes bounds one command.
+	// MaxCommandBytes is the maximum size of a command.
 	MaxCommandBytes int
-	// MaxAppendBytes bounds the entries of one append; a single larger entry
-	// still travels alone.
+	// MaxAppendBytes is the maximum size of the entries in one append. A single
+	// larger entry is sent alone.
 	MaxAppendBytes int
-	// MaxInflightAppends and MaxInflightBytes bound the appends on their way
-	// to one follower.
+	// MaxInflightAppends and MaxInflightBytes limit the unacknowledged appends
+	// to one follower. MaxInflightBytes also limits unacknowledged snapshot
+	// data.
 	MaxInflightAppends, MaxInflightBytes int
-	// MaxUncommitted bounds the bytes proposed and not yet committed.
+	// MaxUncommitted is the maximum size of proposed but uncommitted entries,
+	// in bytes.
 	MaxUncommitted int
-	// MaxReads bounds the reads that wait for a round.
+	// MaxReads is the maximum number of reads waiting for a heartbeat round.
 	MaxReads int
-	// SnapshotChunk is the size of a chunk; MaxSnapshotBytes bounds what a
-	// follower takes in.
+	// SnapshotChunk is the size of a snapshot chunk and MaxSnapshotBytes the
+	// maximum size of a snapshot that a follower accepts, both in bytes.
 	SnapshotChunk, MaxSnapshotBytes int
 }
 
-// Validate reports what is wrong with the options after defaults are filled.
+// Validate fills in the defaults and returns an error for an invalid option.
 func (o *Options) Validate() error {
 	o.fill()
 	switch {
@@ -99,11 +102,11 @@
 	o.MaxSnapshotBytes = cmp.Or(o.MaxSnapshotBytes, DefaultMaxSnapshotBytes)
 }
 
-// lease is how long after the start of a heartbeat round that a quorum
-// acknowledged no other leader can have been elected. Each voter of that
-// quorum refuses other candidates for ElectionMin on its own clock; that is at
-// least ElectionMin/(1+d) of true time, in which the leader's own clock shows
-// at least (1-d) as much.
+// lease returns the duration, from the start of a heartbeat round acknowledged
+// by a quorum, within which no other leader can be elected. Each voter of that
+// quorum rejects other candidates for ElectionMin on its own clock. That is at
+// least ElectionMin/(1+d) of real time, during which the leader's clock
+// advances by at least (1-d) times as much.
 func (o *Options) lease() time.Duration {
 	d := o.ClockDrift
 	return time.Duration(float64(o.ElectionMin) * (1 - d) / (1 + d))
--- a/quorum/progress.go
+++ b/quorum/progress.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// progressState is how a leader sends to one follower.
+// progressState is the mode in which a leader sends to one follower.
 type progressState uint8
 
 const (
-	// stateProbe: where the logs agree is not known; one append at a time.
+	// stateProbe: the index at which the logs match is unknown; one append is
+	// sent at a time.
 	stateProbe progressState = iota
-	// stateReplicate: appends are sent ahead of their acknowledgement.
+	// stateReplicate: appends are sent without waiting for acknowledgements.
 	stateReplicate
-	// stateSnapshot: the entries needed next are compacted away.
+	// stateSnapshot: the next entries needed have been compacted.
 	stateSnapshot
 )
 
@@ -18,42 +19,43 @@
 	return [...]string{"probe", "replicate", "snapshot"}[s]
 }
 
-// progress is what a leader knows of one other member.
+// progress is the leader's view of one other member.
 type progress struct {
 	member Member
 	voter  bool
 	state  progressState
 
-	// match is the last index known to be synced there and equal to ours.
-	// seenRound is the round that was current when match last grew: an answer
-	// to a later round was surely made after it.
-	match, seenRound uint64
-	// next is the index to send next.
+	// match is the last index known to be synced on the member and identical to
+	// the leader's log. matchRound is the current round at the time match last
+	// increased: a reply to a later round was certainly sent after that.
+	match, matchRound uint64
+	// next is the index of the next entry to send.
 	next uint64
-	// probing is set in stateProbe while an append is under way.
+	// probing is set in stateProbe while an append is unacknowledged.
 	probing bool
 	window  inflights
 
-	// ackedRound is the latest heartbeat round answered.
+	// ackedRound is the latest heartbeat round that the member acknowledged.
 	ackedRound uint64
-	activeAt   time.Time
-
-	// presented is the identity of a replaced disk, and revoked is set for a
-	// disk that went back in time. Such a member does not count.
-	presented DiskID
-	revoked   bool
-
-	// A snapshot is sent up to sentOffset and received up to ackedOffset.
-	// wantedOffset is what the follower asked for last; it is smaller than
-	// ackedOffset when the follower started again.
-	sentOffset, ackedOffset, wantedOffset uint64
-	chunkAt                               time.Time
-	// repeats counts the answers that named ackedOffset again.
-	repeats int
+	lastActive time.Time
+
+	// presentedDisk is the identity of a replacement disk, zero if the disk was
+	// not replaced. revoked is set if the disk was rolled back. In either case
+	// the member does not count towards a quorum.
+	presentedDisk DiskID
+	revoked       bool
+
+	// Byte offsets into the snapshot: sent, acknowledged and last requested by
+	// the follower. requestedOffset is smaller than ackedOffset if the follower
+	// has restarted its reception.
+	sentOffset, ackedOffset, requestedOffset uint64
+	lastChunkAt                              time.Time
+	// duplicateAcks is the number of repeated replies with ackedOffset.
+	duplicateAcks int
 }
 
-// counts reports whether the member's answers may count.
-func (p *progress) counts() bool { return !p.revoked && p.presented == 0 }
+// eligible reports whether the member's replies may count towards a quorum.
+func (p *progress) eligible() bool { return !p.revoked && p.presentedDisk == 0 }
 
 func (p *progress) becomeProbe() {
 	p.state = stateProbe
@@ -77,12 +79,12 @@
 func (p *progress) restartChunks() {
 	p.sentOffset = 0
 	p.ackedOffset = 0
-	p.wantedOffset = 0
-	p.repeats = 0
-	p.chunkAt = time.Time{}
+	p.requestedOffset = 0
+	p.duplicateAcks = 0
+	p.lastChunkAt = time.Time{}
 }
 
-// inflights bounds the appends on their way to one follower.
+// inflights is the window of unacknowledged appends to one follower.
 type inflights struct {
 	sent  []inflight
 	bytes int
@@ -103,7 +105,7 @@
 	w.bytes += bytes
 }
 
-// free drops the appends acknowledged by index.
+// free removes the appends acknowledged by index.
 func (w *inflights) free(index uint64) {
 	done := 0
 	for done < len(w.sent) && w.sent[done].last <= index {
--- a/quorum/random_test.go
+++ b/quorum/random_test.go
@@ -11,20 +11,22 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-var longRuns = flag.Int("quorum.runs", 0, "random runs in place of the default number")
+var longRuns = flag.Int("quorum.runs", 0, "number of random runs, in place of the default")
 
 const (
 	randomRuns = 160
 	randomTime = 5 * time.Second
 )
 
-// foundSeeds are random runs that long runs found to fail. A refused vote that
-// did not tell the end of the log was taken for a shorter log, so a sound disk
-// was revoked; in 10374 two were, and no leader was left.
-var foundSeeds = []uint64{986, 6664, 10374}
+// regressionSeeds are seeds at which a run failed once: a rejected vote reply
+// without the end of the sender's log was treated as evidence of a shorter log,
+// so an intact disk was revoked. With seed 10374 two disks were revoked and no
+// leader could be elected.
+var regressionSeeds = []uint64{986, 6664, 10374}
 
-// chaos does one random thing to the group.
-func (s *sim) chaos(changeMembers bool) {
+// injectFault injects one random fault or repair, and a membership change if
+// changeMembers is set.
+func (s *sim) injectFault(changeMembers bool) {
 	h := s.hosts[s.rand.IntN(len(s.hosts))]
 	switch s.rand.IntN(10) {
 	case 0, 1:
@@ -37,7 +39,7 @@
 		}
 	case 5:
 		cut := 1 + s.rand.IntN(len(s.hosts)-1)
-		s.part(s.hosts[:cut], s.hosts[cut:])
+		s.partition(s.hosts[:cut], s.hosts[cut:])
 	case 6:
 		other := s.hosts[s.rand.IntN(len(s.hosts))]
 		s.blocked[[2]ident.Host{h.host, other.host}] = true
@@ -51,14 +53,15 @@
 		}
 	}
 	if changeMembers {
-		s.changeRandomly(h)
+		s.changeMembersRandomly(h)
 	}
 }
 
-// changeRandomly proposes a change of membership, towards repair if a voter's
-// disk was lost, or loses a disk if the last loss is repaired.
-func (s *sim) changeRandomly(h *simHost) {
-	if s.settled() {
+// changeMembersRandomly loses a voter's disk if the group can tolerate that,
+// and otherwise proposes a membership change: the removal of a voter whose disk
+// was lost, if there is one, else a random change.
+func (s *sim) changeMembersRandomly(h *simHost) {
+	if s.canLoseDisk() {
 		lost := s.host(s.members.Voters[s.rand.IntN(len(s.members.Voters))].Host)
 		s.crash(lost)
 		lost.wipe(DiskID(s.rand.Uint32()))
@@ -79,9 +82,10 @@
 	_, _, _ = l.node.ProposeMembers(s.local(l), MemberChange{kind, h.host, h.disk.HardState.Disk})
 }
 
-// settled reports whether three voters or more stand with the disks that the
-// membership names and no change is under way: one disk may then be lost.
-func (s *sim) settled() bool {
+// canLoseDisk reports whether there are three or more voters, all with the
+// disks listed in the membership, every host is running and no change of voters
+// is pending. One disk may then be lost.
+func (s *sim) canLoseDisk() bool {
 	for _, v := range s.members.Voters {
 		if s.host(v.Host).disk.HardState.Disk != v.Disk {
 			return false
@@ -95,9 +99,8 @@
 	return len(s.members.Voters) >= 3
 }
 
-// randomRun drives a group through random faults, then heals it and expects
-// that it works again.
-func randomRun(t testing.TB, seed uint64, change func(*sim)) *sim {
+// randomRun runs a group with random faults.
+func randomRun(t testing.TB, seed uint64, configure func(*sim)) *sim {
 	hosts, voters := 3+2*int(seed%2), 3+2*int(seed%2)
 	changeMembers := seed%3 == 0
 	if changeMembers {
@@ -109,23 +112,23 @@
 		s.compactAt = 24
 		s.opts.SnapshotChunk = 16
 		s.opts.NoLeaseReads = seed%4 == 3
-		if change != nil {
-			change(s)
+		if configure != nil {
+			configure(s)
 		}
 	})
 	for _, h := range s.hosts {
 		h.drift = (s.rand.Float64()*2 - 1) * DefaultClockDrift
-		h.slow = time.Duration(s.rand.IntN(20)) * time.Millisecond
+		h.syncDelay = time.Duration(s.rand.IntN(20)) * time.Millisecond
 	}
 	newClients(s)
 	for end := s.now.Add(randomTime); s.now.Before(end) && len(s.failures) == 0; {
 		s.run(time.Duration(30+s.rand.IntN(200)) * time.Millisecond)
-		s.chaos(changeMembers)
+		s.injectFault(changeMembers)
 	}
 	return s
 }
 
-// healAll ends partitions and pauses and starts every host.
+// healAll ends partitions and pauses and starts every stopped host.
 func (s *sim) healAll() {
 	s.heal()
 	for _, h := range s.hosts {
@@ -136,7 +139,8 @@
 	}
 }
 
-// recover heals everything and expects a leader and equal states.
+// recover removes all faults and requires a leader and a successful
+// operation.
 func (s *sim) recover() {
 	s.t.Helper()
 	s.healAll()
@@ -146,18 +150,19 @@
 	s.awaitLeader()
 	s.clients = c
 	before := c.done
-	// The leader found may be one that was cut off until now: it steps down
-	// after ElectionMax, elections follow, and clients may first wait out
-	// what they asked of it.
-	if !s.until(3*time.Second, func() bool { return c.done > before }) {
-		s.fail("liveness: no operation succeeds after the faults end")
+	// The leader may have been partitioned until now. It then steps down after
+	// ElectionMax, elections follow, and clients may first have to wait for the
+	// timeout of the operations sent to it.
+	if !s.runUntil(3*time.Second, func() bool { return c.done > before }) {
+		s.fail("liveness: no operation succeeds within 3 s after the faults end")
 	}
 	c.s.run(clientTimeout)
 }
 
-// Clients use a group whose hosts crash, pause, are parted and change. They
-// must see one register that never loses an acknowledged write: every
-// invariant is checked after every event, the history with porcupine.
+// Clients use a group whose hosts crash, pause, are partitioned and change
+// membership. Every acknowledged write must be kept and the history of the
+// registers must be linearizable. All invariants are checked after every event,
+// and the history with porcupine.
 func TestRandomFaults(t *testing.T) {
 	runs := randomRuns
 	if *longRuns > 0 {
@@ -166,7 +171,7 @@
 	if testing.Short() {
 		runs = 40
 	}
-	seeds := slices.Clone(foundSeeds)
+	seeds := slices.Clone(regressionSeeds)
 	for seed := range uint64(runs) {
 		seeds = append(seeds, seed)
 	}
@@ -175,7 +180,7 @@
 			t.Parallel()
 			s := randomRun(t, seed, nil)
 			s.recover()
-			s.requireSound()
+			s.requireInvariants()
 			if result := s.clients.linearizable(); result != porcupine.Ok {
 				t.Fatalf("history of %d operations: %v", len(s.clients.history), result)
 			}
--- a/quorum/read.go
+++ b/quorum/read.go
@@ -6,13 +6,14 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// maxRounds bounds the heartbeat rounds whose start is remembered. A leader
-// steps down long before that many go unanswered.
+// maxRounds is the maximum number of unconfirmed heartbeat rounds whose start
+// time is kept. A leader steps down long before that many rounds remain
+// unacknowledged.
 const maxRounds = 256
 
-// rounds are a leader's heartbeat rounds. An answer to round r was given after
-// the round began; once a quorum has answered r, no other leader had been
-// elected when r began.
+// rounds tracks a leader's heartbeat rounds. A reply to round r was sent after
+// the round started, so once a quorum has replied to r, no other leader had
+// been elected when r started.
 type rounds struct {
 	current   uint64
 	confirmed uint64
@@ -24,8 +25,9 @@
 	at    time.Time
 }
 
-// confirm marks the rounds up to round as answered by a quorum and returns
-// when the last of them began; ok is false when that is nothing new.
+// confirm marks the rounds up to round as acknowledged by a quorum and returns
+// the start time of the last of them. ok is false if all of them were already
+// confirmed.
 func (r *rounds) confirm(round uint64) (at time.Time, ok bool) {
 	done := 0
 	for done < len(r.started) && r.started[done].round <= round {
@@ -37,17 +39,17 @@
 	return at, done > 0
 }
 
-// pendingRead is a read that waits for a round.
+// pendingRead is a read waiting for a heartbeat round.
 type pendingRead struct {
 	from Member
 	id   uint64
-	// incarnation is the asker's, repeated in the answer.
+	// incarnation is that of the requesting node, repeated in the reply.
 	incarnation uint64
-	// round is zero until a round begins after the read arrived.
+	// round is zero until a heartbeat round starts after the read arrived.
 	round uint64
 }
 
-// startRound begins a heartbeat round. All reads that wait take part in it.
+// startRound starts a heartbeat round and assigns all waiting reads to it.
 func (n *Node) startRound() {
 	r := &n.lead.rounds
 	r.current++
@@ -77,26 +79,27 @@
 		return
 	}
 	if at, ok := r.confirm(round); ok {
-		n.lead.confirmedAt = at
+		n.lead.lastQuorumContact = at
 		n.lead.leaseEnd = at.Add(n.opts.lease())
 	}
 	n.serveReads()
 }
 
-// leased reports whether the leader may read alone: the voters that answered
-// its latest confirmed round still refuse every other candidate, and it knows
-// all that earlier leaders committed.
-func (n *Node) leased() bool {
-	if n.role != RoleLeader || n.opts.NoLeaseReads || n.lead.handedOver || n.log.commit < n.lead.noop {
+// hasLease reports whether the leader may serve reads without a heartbeat
+// round: the voters that acknowledged its latest confirmed round still reject
+// every other candidate, and the leader knows all entries that earlier leaders
+// committed.
+func (n *Node) hasLease() bool {
+	if n.role != RoleLeader || n.opts.NoLeaseReads || n.lead.timeoutNowSent || n.log.commit < n.lead.noopIndex {
 		return false
 	}
-	return n.now.Before(n.lead.leaseEnd) || n.faults.endlessLease
+	return n.now.Before(n.lead.leaseEnd) || n.faults.ignoreLeaseExpiry
 }
 
-// ReadIndex asks for a linearizable read. The answer with the same id comes
-// out of Ready.Reads; on a follower it is fetched from the leader and may be
-// lost, so the caller bounds its wait. An error means that no answer follows.
-// Ids must not repeat while a Node exists.
+// ReadIndex requests a linearizable read. The result with the same id is
+// returned in Ready.Reads. A follower forwards the request to the leader and
+// the reply may be lost, so the caller must use a timeout. On an error no
+// result follows. Ids must be unique for the lifetime of the Node.
 func (n *Node) ReadIndex(now time.Time, id uint64) error {
 	n.now = now
 	switch {
@@ -107,12 +110,12 @@
 	case n.leader == Member{}:
 		return &NotLeaderError{}
 	}
-	n.sendSynced(Message{Type: MsgReadIndex, ReadID: id, Round: uint64(n.hard.Incarnation)}, n.leader)
+	n.sendAfterSync(Message{Type: MsgReadIndex, ReadID: id, Round: uint64(n.hard.Incarnation)}, n.leader)
 	return nil
 }
 
 func (n *Node) addRead(r pendingRead) error {
-	if n.leased() {
+	if n.hasLease() {
 		n.counters.LeaseReads++
 		n.answerRead(r)
 		return nil
@@ -124,8 +127,9 @@
 	return nil
 }
 
-// flushReads starts a round for waiting reads. While one is under way later
-// reads gather for the next, so that a burst of reads costs few rounds.
+// flushReads starts a heartbeat round for waiting reads. While a round is in
+// progress, new reads wait for the next one, so a burst of reads needs few
+// rounds.
 func (n *Node) flushReads() {
 	reads := n.lead.reads
 	if len(reads) == 0 || reads[len(reads)-1].round != 0 {
@@ -137,7 +141,7 @@
 }
 
 func (n *Node) serveReads() {
-	if n.role != RoleLeader || n.log.commit < n.lead.noop {
+	if n.role != RoleLeader || n.log.commit < n.lead.noopIndex {
 		return
 	}
 	done := 0
@@ -157,7 +161,7 @@
 		n.reads = append(n.reads, Read{ID: r.id, Index: n.log.commit})
 		return
 	}
-	n.sendNow(Message{Type: MsgReadIndexReply, ReadID: r.id, Round: r.incarnation, Index: n.log.commit}, r.from)
+	n.sendImmediate(Message{Type: MsgReadIndexReply, ReadID: r.id, Round: r.incarnation, Index: n.log.commit}, r.from)
 }
 
 func (n *Node) failRead(r pendingRead, leader ident.Host) {
@@ -165,7 +169,7 @@
 		n.reads = append(n.reads, Read{ID: r.id, Err: &NotLeaderError{Leader: leader}})
 		return
 	}
-	n.sendSynced(Message{Type: MsgReadIndexReply, ReadID: r.id, Round: r.incarnation, Reject: true}, r.from)
+	n.sendAfterSync(Message{Type: MsgReadIndexReply, ReadID: r.id, Round: r.incarnation, Reject: true}, r.from)
 }
 
 func (n *Node) handleReadIndex(m Message) {
@@ -176,7 +180,7 @@
 }
 
 func (n *Node) handleReadIndexReply(m Message) {
-	// An answer to an earlier incarnation carries an index from before this read.
+	// A reply to an earlier incarnation has an index from before this read.
 	if m.Round != uint64(n.hard.Incarnation) {
 		return
 	}
--- a/quorum/ready.go
+++ b/quorum/ready.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// maxApplyBytes bounds the committed entries of one Ready.
+// maxApplyBytes is the maximum size of the committed entries in one Ready.
 const maxApplyBytes = 4 << 20
 
-// Ready returns the effects that have become due. See the package comment.
+// Ready returns the pending effects. See the package comment for their order.
 func (n *Node) Ready() Ready {
 	if n.role == RoleLeader {
 		n.flushReads()
 		n.sendAppends()
 	}
-	rd := Ready{Immediate: n.immediate, Reads: n.reads, SnapshotWanted: n.lead.wanted}
+	rd := Ready{Immediate: n.immediate, Reads: n.reads, SnapshotWanted: n.lead.snapshotWanted}
 	n.immediate = nil
 	n.reads = nil
-	n.lead.wanted = false
+	n.lead.snapshotWanted = false
 	if !n.syncing {
 		n.fillPersistent(&rd)
 	}
-	// Entries that follow a snapshot wait until it is restored.
-	if n.install == nil && !n.restoring {
+	// Entries after a snapshot are withheld until it has been restored.
+	if n.pendingSnapshot == nil && !n.restoring {
 		rd.Committed = n.log.from(n.log.applied+1, n.log.commit, maxApplyBytes)
 		n.log.applied += uint64(len(rd.Committed))
 	}
@@ -35,24 +35,24 @@
 		hard.Peers = slices.Clone(n.hard.Peers)
 		rd.HardState = &hard
 	}
-	rd.Snapshot = n.install
+	rd.Snapshot = n.pendingSnapshot
 	rd.Entries = n.log.unwritten()
 	rd.Messages = n.messages
 	if !rd.Persistent() {
 		return
 	}
 	n.dirty = false
-	n.restoring = n.install != nil
-	n.install = nil
+	n.restoring = n.pendingSnapshot != nil
+	n.pendingSnapshot = nil
 	n.messages = nil
 	n.syncing = true
 	n.syncingTerm = n.hard.Term
-	n.log.handed = n.log.last()
+	n.log.emitted = n.log.last()
 	n.log.syncing = n.log.last()
 }
 
-// Advance reports that the persistent part of the last Ready is synced and its
-// messages are sent.
+// Advance must be called once the persistent part of the last Ready is synced
+// and its messages are sent.
 func (n *Node) Advance(now time.Time) {
 	n.now = now
 	n.syncing = false
@@ -65,7 +65,7 @@
 	}
 }
 
-// Status describes the node.
+// Status returns the current status of the node.
 func (n *Node) Status() Status {
 	s := Status{
 		Self:          n.opts.Self,
@@ -82,7 +82,7 @@
 		LogBytes:      n.log.bytes,
 		Members:       n.members,
 		Revoked:       n.hard.Revoked,
-		HasLease:      n.leased(),
+		HasLease:      n.hasLease(),
 		Transferring:  n.lead.transferTo,
 		Counters:      n.counters,
 		LastMalformed: n.lastMalformed,
@@ -97,7 +97,7 @@
 			State:         p.state.String(),
 			Synced:        p.match,
 			Active:        n.active(p),
-			PresentedDisk: p.presented,
+			PresentedDisk: p.presentedDisk,
 			Revoked:       p.revoked,
 		})
 	}
--- a/quorum/replication.go
+++ b/quorum/replication.go
@@ -1,6 +1,6 @@
 package quorum
 
-// sendAppends sends every follower what it may get now.
+// sendAppends sends each follower the entries or snapshot chunks that are due.
 func (n *Node) sendAppends() {
 	for _, p := range n.lead.peers {
 		n.sendTo(p)
@@ -8,12 +8,12 @@
 }
 
 func (n *Node) sendTo(p *progress) {
-	if p.revoked || p.presented != 0 {
+	if p.revoked || p.presentedDisk != 0 {
 		return
 	}
 	if p.state != stateSnapshot && p.next <= n.log.base.Index {
 		if !n.active(p) {
-			// A snapshot for a member that is away would hold up compaction.
+			// Sending a snapshot to an inactive member would block compaction.
 			return
 		}
 		p.becomeSnapshot()
@@ -40,34 +40,35 @@
 	}
 }
 
-// sendAppend sends entries that follow p.next-1, or none as a heartbeat.
+// sendAppend sends the entries that follow p.next-1, or an empty append as a
+// heartbeat.
 func (n *Node) sendAppend(p *progress, entries []Entry) {
 	m := Message{Type: MsgAppend, Round: n.lead.rounds.current, Commit: n.log.commit, Entries: entries}
-	// A follower that waits for a snapshot can't check any position; position
-	// zero matches every log and says nothing.
+	// A follower waiting for a snapshot can't check any index. Index zero
+	// matches every log and acknowledges nothing.
 	if term, ok := n.log.term(p.next - 1); ok && p.state != stateSnapshot {
 		m.Index = p.next - 1
 		m.LogTerm = term
 	}
 	n.counters.Appends++
 	n.counters.Entries += uint64(len(entries))
-	n.sendNow(m, p.member)
+	n.sendImmediate(m, p.member)
 }
 
-// broadcastHeartbeat sends an append without entries to every member. It names
-// the position up to which entries were sent, so that a follower which lost
-// the last append refuses it and the leader learns of the loss.
+// broadcastHeartbeat sends an empty append to every member. It refers to the
+// last entry sent, so a follower that lost the last append rejects the
+// heartbeat and the leader detects the loss.
 func (n *Node) broadcastHeartbeat() {
 	for _, p := range n.lead.peers {
-		// A member whose disk was replaced or rolled back is still called, so
-		// that it learns why it does not count.
+		// A member whose disk was replaced or rolled back also gets heartbeats,
+		// so that it learns why it does not count.
 		if p.state == stateProbe {
 			p.probing = true
 		}
 		n.sendAppend(p, nil)
 		n.immediate[len(n.immediate)-1].Peers = n.recordsFor(n.lead.rounds.current)
 	}
-	n.lead.spread = false
+	n.lead.sendRecords = false
 }
 
 func (n *Node) handleAppendReply(m Message) {
@@ -75,15 +76,15 @@
 	if p == nil || m.Round > n.lead.rounds.current {
 		return
 	}
-	if n.detectIndexBack(p, m) || p.revoked {
+	if n.detectIndexRegression(p, m) || p.revoked {
 		return
 	}
 	n.mergeRecords(m)
 	if n.role != RoleLeader || p.revoked {
 		return
 	}
-	p.presented = 0
-	p.activeAt = n.now
+	p.presentedDisk = 0
+	p.lastActive = n.now
 	n.ackRound(p, m.Round)
 	if m.Reject {
 		n.handleReject(p, m)
@@ -92,14 +93,14 @@
 	}
 }
 
-// active reports whether the member has answered lately.
+// active reports whether the member has replied within the last ElectionMax.
 func (n *Node) active(p *progress) bool {
-	return n.now.Sub(p.activeAt) <= n.opts.ElectionMax
+	return n.now.Sub(p.lastActive) <= n.opts.ElectionMax
 }
 
 func (n *Node) handleReject(p *progress, m Message) {
-	// A refusal of a position that the follower has since acknowledged, or
-	// that is no longer being probed, came late.
+	// A rejection is stale if the follower has acknowledged that index since,
+	// or if the index is no longer being probed.
 	stale := m.Refused <= p.match || p.state == stateProbe && m.Refused != p.next-1
 	if stale || p.state == stateSnapshot {
 		return
@@ -113,18 +114,18 @@
 func (n *Node) handleAck(p *progress, m Message) {
 	index := m.Index
 	if index > n.log.last() {
-		n.malformed(m.bad("Index", "acknowledges what was never sent"))
+		n.malformed(m.fieldError("Index", "acknowledges an index that was never sent"))
 		return
 	}
 	if index > p.match {
 		p.match = index
-		p.seenRound = n.lead.rounds.current
+		p.matchRound = n.lead.rounds.current
 	}
 	p.next = max(p.next, p.match+1)
 	p.window.free(p.match)
 	switch p.state {
 	case stateProbe:
-		// Index zero answers a heartbeat that checked no position.
+		// Index zero acknowledges a heartbeat that checked no index.
 		if index > 0 {
 			p.becomeReplicate()
 		}
@@ -135,6 +136,6 @@
 		}
 	}
 	n.updateCommit()
-	n.raiseAcked(p)
+	n.recordAcked(p)
 	n.continueTransfer()
 }
--- a/quorum/revoke.go
+++ b/quorum/revoke.go
@@ -2,51 +2,52 @@
 
 import "github.com/lovagereach/lovagereach/ident"
 
-// markRevoked ends the part of a disk in this node's eyes.
-func (n *Node) markRevoked(l *PeerRecord) {
-	l.Revoked = true
+// markRevoked records that a disk was rolled back. It no longer counts.
+func (n *Node) markRevoked(r *PeerRecord) {
+	r.Revoked = true
 	n.counters.Revoked++
-	n.recordChanged()
-	if p := n.peer(l.Host); p != nil && p.member.Disk == l.Disk {
+	n.markRecordsChanged()
+	if p := n.peer(r.Host); p != nil && p.member.Disk == r.Disk {
 		p.revoked = true
 	}
 }
 
-func (n *Node) knownRevoked(who Member) bool {
-	l := n.record(who)
-	return l != nil && l.Revoked
+func (n *Node) isRevoked(member Member) bool {
+	r := n.record(member)
+	return r != nil && r.Revoked
 }
 
-// revokePeer records that the sender's disk went back in time and tells it.
+// revokePeer records that the sender's disk was rolled back and notifies it.
 func (n *Node) revokePeer(m Message, reason RevokeReason) {
-	if l := n.record(sender(m)); l != nil {
-		n.markRevoked(l)
+	if r := n.record(sender(m)); r != nil {
+		n.markRevoked(r)
 	}
 	n.sendRevoke(m, reason)
 }
 
 func (n *Node) sendRevoke(m Message, reason RevokeReason) {
 	if m.Type == MsgRevoke {
-		// Two hosts that distrust each other would answer for ever.
+		// Two hosts that revoke each other would exchange revocations
+		// endlessly.
 		return
 	}
 	revoke := Message{Type: MsgRevoke, Index: uint64(reason)}
-	if l := n.record(sender(m)); l != nil {
-		revoke.Round = uint64(l.Incarnation)
+	if r := n.record(sender(m)); r != nil {
+		revoke.Round = uint64(r.Incarnation)
 	}
-	n.sendSynced(revoke, sender(m))
+	n.sendAfterSync(revoke, sender(m))
 }
 
-// handleRevoke takes in that this disk went back in time.
+// handleRevoke handles the notification that this node's disk was rolled back.
 func (n *Node) handleRevoke(m Message) {
-	if RevokeReason(m.Index) == RevokeEarlierIncarnation && n.laterThan(ident.Incarnation(m.Round)) {
+	if RevokeReason(m.Index) == RevokeEarlierIncarnation && n.sameOrNewer(ident.Incarnation(m.Round)) {
 		return
 	}
 	n.revokeSelf()
 }
 
-// revokeSelf ends this disk's part in the group. Nothing that waits to be
-// sent leaves any more.
+// revokeSelf permanently ends this disk's participation in the group and
+// discards the messages waiting to be sent.
 func (n *Node) revokeSelf() {
 	n.hard.Revoked = true
 	n.dirty = true
@@ -54,29 +55,31 @@
 	n.messages = nil
 }
 
-// laterThan reports whether this incarnation is other or later.
-func (n *Node) laterThan(other ident.Incarnation) bool {
-	return n.hard.Incarnation == other || startsOf(n.hard.Incarnation) > startsOf(other)
+// sameOrNewer reports whether this node's incarnation is other or a newer one.
+func (n *Node) sameOrNewer(other ident.Incarnation) bool {
+	return n.hard.Incarnation == other || startCount(n.hard.Incarnation) > startCount(other)
 }
 
-// raiseAcked notes what a follower holds for good: what it has acknowledged
-// and is committed. Its log can never again be shorter, under any leader.
-func (n *Node) raiseAcked(p *progress) {
+// recordAcked records the highest index that a follower has acknowledged and
+// that is committed. Under any leader, the follower's log can't become shorter
+// than that.
+func (n *Node) recordAcked(p *progress) {
 	acked := min(p.match, n.log.commit)
-	if l := n.record(p.member); l != nil && acked > l.Acked {
-		l.Acked = acked
-		l.AckedBy = l.Incarnation
+	if r := n.record(p.member); r != nil && acked > r.Acked {
+		r.Acked = acked
+		r.AckedBy = r.Incarnation
 	}
 }
 
-// belowAcked reports whether this disk has lost what an earlier incarnation
-// acknowledged.
-func (n *Node) belowAcked(l PeerRecord) bool {
-	return n.log.last() < l.Acked && startsOf(n.hard.Incarnation) > startsOf(l.AckedBy)
+// lostAcked reports whether this disk has lost entries that an earlier
+// incarnation acknowledged.
+func (n *Node) lostAcked(r PeerRecord) bool {
+	return n.log.last() < r.Acked && startCount(n.hard.Incarnation) > startCount(r.AckedBy)
 }
 
-// lastOf returns the end of the sender's log if the message tells it.
-func lastOf(m *Message) (last uint64, ok bool) {
+// lastLogIndex returns the last index of the sender's log if the message
+// contains it.
+func lastLogIndex(m *Message) (last uint64, ok bool) {
 	switch m.Type {
 	case MsgPreVote, MsgVote:
 		return m.Index, true
@@ -86,11 +89,12 @@
 	return 0, false
 }
 
-// detectIndexBack reports whether a follower's log is shorter than what the
-// same disk has acknowledged as synced in this term. Only answers to rounds
-// that began after the acknowledgement count, because answers may be late.
-func (n *Node) detectIndexBack(p *progress, m Message) bool {
-	if m.Round <= p.seenRound || m.Last >= p.match || n.faults.trustBack {
+// detectIndexRegression reports whether a follower's log is shorter than what
+// the same disk has acknowledged as synced in this term. Only replies to rounds
+// that started after the acknowledgement are considered, because replies may be
+// delayed.
+func (n *Node) detectIndexRegression(p *progress, m Message) bool {
+	if m.Round <= p.matchRound || m.Last >= p.match || n.faults.trustRolledBack {
 		return false
 	}
 	n.revokePeer(m, RevokeIndexRegressed)
--- a/quorum/rollback_test.go
+++ b/quorum/rollback_test.go
@@ -7,37 +7,38 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// One disk goes back to an older copy in the middle of random faults: a
-// restored image from an earlier incarnation, or a disk that confirmed syncs
-// which it did not make. Callers then lose acknowledged writes where only hosts
-// that are away know what the disk forgot. This measures how often, with the
-// disk trusted and with detection, for the design note; what detection must
-// always find is in TestSeededBugsOnStage and TestRolledBackDiskIsRevoked.
+// One disk is rolled back to an older copy during random faults: an image from
+// an earlier incarnation, or a disk that confirmed syncs that it did not
+// perform. Acknowledged writes can then be lost if the only hosts that know
+// what the disk has lost are down or partitioned. The test requires that fewer
+// runs lose writes with rollback detection than without, and logs both numbers
+// for the design document. TestSeededBugsInScenarios and
+// TestRolledBackDiskIsRevoked cover what detection must always find.
 func TestRollbackInRandomRuns(t *testing.T) {
 	t.Parallel()
 	runs := 100
 	if *longRuns > 0 {
 		runs = *longRuns
 	}
-	allTrusted, allDetected := 0, 0
+	totalTrusted, totalDetected := 0, 0
 	for name, restart := range map[string]bool{"earlier incarnation": true, "same incarnation": false} {
-		trusted, _ := rollbackRuns(t, runs, restart, faults{trustBack: true})
+		trusted, _ := rollbackRuns(t, runs, restart, faults{trustRolledBack: true})
 		detected, revoked := rollbackRuns(t, runs, restart, faults{})
-		t.Logf("%s: of %d runs %d broken if trusted, %d with detection; %d disks revoked",
+		t.Logf("%s: of %d runs, %d are incorrect without detection and %d with detection; %d disks revoked",
 			name, runs, trusted, detected, revoked)
-		allTrusted += trusted
-		allDetected += detected
+		totalTrusted += trusted
+		totalDetected += detected
 	}
-	if allDetected >= allTrusted {
-		t.Errorf("%d runs broken with detection, %d if trusted", allDetected, allTrusted)
+	if totalDetected >= totalTrusted {
+		t.Errorf("%d runs are incorrect with detection, %d without", totalDetected, totalTrusted)
 	}
 }
 
-func rollbackRuns(t *testing.T, runs int, restart bool, bug faults) (broken, revoked int) {
+func rollbackRuns(t *testing.T, runs int, restart bool, bug faults) (incorrect, revoked int) {
 	for seed := range uint64(runs) {
 		s := rollbackRun(t, seed, restart, bug)
 		if len(s.failures) > 0 || s.clients.linearizable() == porcupine.Illegal {
-			broken++
+			incorrect++
 		}
 		for _, h := range s.hosts {
 			if h.node != nil && h.node.hard.Revoked {
@@ -45,31 +46,31 @@
 			}
 		}
 	}
-	return broken, revoked
+	return incorrect, revoked
 }
 
 func rollbackRun(t testing.TB, seed uint64, restart bool, bug faults) *sim {
 	s := newSim(t, seed, 3, 3, func(s *sim) {
-		s.faults, s.rollbacks, s.contract = bug, true, false
+		s.faults, s.expectRollbacks, s.syncOrder = bug, true, false
 		s.drop, s.compactAt = 0.02, 24
 	})
 	newClients(s)
-	disturb := func(times int) {
+	injectFaults := func(times int) {
 		for range times {
 			s.run(time.Duration(30+s.rand.IntN(200)) * time.Millisecond)
-			s.chaos(false)
+			s.injectFault(false)
 		}
 	}
-	disturb(8)
+	injectFaults(8)
 	victim := s.hosts[s.rand.IntN(3)]
-	back := victim.diskCopy()
+	restore := victim.diskCopy()
 	if restart {
 		s.restart(victim)
 	}
-	disturb(6)
+	injectFaults(6)
 	s.crash(victim)
-	back()
+	restore()
 	s.boot(victim)
-	disturb(12)
+	injectFaults(12)
 	return s
 }
--- a/quorum/sim_test.go
+++ b/quorum/sim_test.go
@@ -10,14 +10,15 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// simStep is the grain of virtual time, and simTick how often hosts tick.
+// simStep is the resolution of virtual time, and simTick the interval between
+// ticks of a host.
 const (
 	simStep = 500 * time.Microsecond
 	simTick = 10 * time.Millisecond
 )
 
 // sim runs a group in virtual time over an in-memory network and in-memory
-// disks that lose what was not synced.
+// disks, which lose unsynced data on a crash.
 type sim struct {
 	t     testing.TB
 	rand  *rand.Rand
@@ -26,7 +27,7 @@
 	hosts []*simHost
 	queue []delivery
 
-	// The network.
+	// Network settings.
 	delay, jitter time.Duration
 	drop, dup     float64
 	blocked       map[[2]ident.Host]bool
@@ -35,36 +36,38 @@
 	syncTime time.Duration
 	faults   faults
 	opts     Options
-	// contract checks that answers leave after the sync; a test of a seeded
-	// bug switches it off to show that the effects are found as well.
-	contract bool
-	// rollbacks is set where disks go back, so that revocations are expected.
-	rollbacks bool
+	// syncOrder enables checkSyncOrder. Tests of seeded bugs disable it to
+	// verify that the effects of a bug are detected on their own.
+	syncOrder bool
+	// expectRollbacks is set if disks are rolled back, so that revocations are
+	// expected.
+	expectRollbacks bool
 	// compactAt is the log length at which hosts take a snapshot.
 	compactAt uint64
 
 	leaders   map[uint64]Member
-	votes     map[voteOf]ident.Host
+	votes     map[voteKey]ident.Host
 	committed map[uint64]Entry
-	// committedIn is the term in which an entry was first applied.
-	committedIn map[uint64]uint64
-	top         uint64
-	members     Membership // the latest committed
-	failures    []string
-	wipes       int
-	clients     *clients
+	// committedTerm is the term of the node that first applied an entry, by
+	// index.
+	committedTerm map[uint64]uint64
+	lastCommitted uint64
+	members       Membership // the latest committed membership
+	failures      []string
+	wipes         int
+	clients       *clients
 }
 
-// newSim makes hosts h1 to hN; the first voters of them form the group.
-func newSim(t testing.TB, seed uint64, hosts, voters int, change func(*sim)) *sim {
+// newSim returns a group of hosts h1 to hN, the first of which are its voters.
+func newSim(t testing.TB, seed uint64, hosts, voters int, configure func(*sim)) *sim {
 	s := &sim{
 		t: t, rand: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(1000, 0), now: time.Unix(1000, 0),
 		delay: 1500 * time.Microsecond, jitter: 500 * time.Microsecond, syncTime: time.Millisecond,
 		blocked: map[[2]ident.Host]bool{}, counts: map[MessageType]int{},
-		leaders: map[uint64]Member{}, votes: map[voteOf]ident.Host{}, committed: map[uint64]Entry{}, committedIn: map[uint64]uint64{}, contract: true, compactAt: 1 << 40,
+		leaders: map[uint64]Member{}, votes: map[voteKey]ident.Host{}, committed: map[uint64]Entry{}, committedTerm: map[uint64]uint64{}, syncOrder: true, compactAt: 1 << 40,
 	}
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
 	var members Membership
 	for i := range hosts {
@@ -83,10 +86,10 @@
 	return s
 }
 
-// local is the time on the host's own clock.
+// local returns the time on the host's own clock.
 func (s *sim) local(h *simHost) time.Time { return s.start.Add(h.clock) }
 
-func (s *sim) up(h *simHost) bool { return h.node != nil && !s.now.Before(h.paused) }
+func (s *sim) running(h *simHost) bool { return h.node != nil && !s.now.Before(h.paused) }
 
 func (s *sim) host(name ident.Host) *simHost {
 	i := slices.IndexFunc(s.hosts, func(h *simHost) bool { return h.host == name })
@@ -94,11 +97,12 @@
 }
 
 func (s *sim) run(d time.Duration) {
-	s.until(d, func() bool { return false })
+	s.runUntil(d, func() bool { return false })
 }
 
-// until runs until done holds or d has passed, and reports whether it holds.
-func (s *sim) until(d time.Duration, done func() bool) bool {
+// runUntil runs until done returns true or d has passed, and returns the last
+// result of done.
+func (s *sim) runUntil(d time.Duration, done func() bool) bool {
 	for end := s.now.Add(d); s.now.Before(end); {
 		if done() {
 			return true
@@ -119,7 +123,7 @@
 		s.deliver(m)
 	}
 	for _, h := range s.hosts {
-		if !s.up(h) {
+		if !s.running(h) {
 			continue
 		}
 		if h.writing != nil && !s.now.Before(h.syncAt) {
@@ -140,7 +144,7 @@
 	}
 }
 
-// drain carries out effects as the package comment asks.
+// drain performs the host's effects in the order given in the package comment.
 func (s *sim) drain(h *simHost) {
 	for {
 		rd := h.node.Ready()
@@ -159,7 +163,7 @@
 		switch {
 		case rd.MustSync():
 			h.writing = &rd
-			h.syncAt = s.now.Add(s.syncTime + h.slow)
+			h.syncAt = s.now.Add(s.syncTime + h.syncDelay)
 		case rd.Persistent():
 			s.send(h, rd.Messages)
 			h.node.Advance(s.local(h))
@@ -176,7 +180,7 @@
 	h.store(rd)
 	s.send(h, rd.Messages)
 	if rd.Snapshot != nil {
-		h.state = newMachine()
+		h.state = newStateMachine()
 		h.state.restore(rd.Snapshot.Data)
 		h.state.applied = rd.Snapshot.Meta.Index
 	}
@@ -197,11 +201,11 @@
 	})
 }
 
-// leader returns the host that leads in the highest term, or nil.
+// leader returns the running leader with the highest term, or nil.
 func (s *sim) leader() *simHost {
 	var best *simHost
 	for _, h := range s.hosts {
-		if !s.up(h) || h.node.role != RoleLeader {
+		if !s.running(h) || h.node.role != RoleLeader {
 			continue
 		}
 		if best == nil || h.node.hard.Term > best.node.hard.Term {
@@ -211,14 +215,14 @@
 	return best
 }
 
-// awaitLeader runs until a leader has committed the entry of its term.
+// awaitLeader runs until a leader has committed the first entry of its term.
 func (s *sim) awaitLeader() *simHost {
 	s.t.Helper()
 	ready := func() bool {
 		h := s.leader()
-		return h != nil && h.node.log.commit >= h.node.lead.noop && h.node.lead.noop > 0
+		return h != nil && h.node.log.commit >= h.node.lead.noopIndex && h.node.lead.noopIndex > 0
 	}
-	if !s.until(5*time.Second, ready) {
+	if !s.runUntil(5*time.Second, ready) {
 		s.t.Fatal("no leader within 5 s")
 	}
 	return s.leader()
--- a/quorum/simhost_test.go
+++ b/quorum/simhost_test.go
@@ -9,23 +9,23 @@
 )
 
 type simHost struct {
-	host    ident.Host
-	node    *Node
-	disk    StoredState
-	lost    []StoredState // disks replaced by wipe
-	data    []byte        // snapshot data on disk
-	drift   float64
-	clock   time.Duration // shown since the start
-	paused  time.Time
-	tickAt  time.Time
-	writing *Ready
-	syncAt  time.Time
-	slow    time.Duration // added to each sync
-	state   machine
-	reads   []Read // confirmed, waiting to be applied
-	results []Read
-	starts  uint64
-	tracked uint64 // last term in which this host was seen leading
+	host        ident.Host
+	node        *Node
+	disk        StoredState
+	wipedDisks  []StoredState // disks replaced by wipe
+	data        []byte        // snapshot data on disk
+	drift       float64
+	clock       time.Duration // time elapsed on the host's clock
+	paused      time.Time
+	tickAt      time.Time
+	writing     *Ready
+	syncAt      time.Time
+	syncDelay   time.Duration // added to the duration of each sync
+	state       stateMachine
+	reads       []Read // confirmed, waiting for the state machine
+	results     []Read
+	starts      uint64
+	lastLedTerm uint64 // last term in which this host led
 }
 
 func (s *sim) boot(h *simHost) {
@@ -41,7 +41,7 @@
 	node.faults = s.faults
 	h.node, h.writing, h.reads, h.paused = node, nil, nil, time.Time{}
 	h.starts++
-	h.state = newMachine()
+	h.state = newStateMachine()
 	if len(h.data) > 0 {
 		h.state.restore(h.data)
 	}
@@ -49,27 +49,28 @@
 	s.drain(h)
 }
 
-// crash stops a host; of a write under way any prefix may reach the disk.
+// crash stops a host. If a write is in progress, any prefix of it may reach the
+// disk.
 func (s *sim) crash(h *simHost) {
 	if h.node == nil {
 		return
 	}
 	h.node = nil
 	if rd := h.writing; rd != nil && rd.Snapshot == nil && s.rand.IntN(2) == 0 {
-		part := Ready{HardState: rd.HardState}
-		part.Entries = rd.Entries[:s.rand.IntN(len(rd.Entries)+1)]
-		h.store(&part)
+		prefix := Ready{HardState: rd.HardState}
+		prefix.Entries = rd.Entries[:s.rand.IntN(len(rd.Entries)+1)]
+		h.store(&prefix)
 	}
 	h.writing = nil
 }
 
-// wipe replaces the disk of a stopped host by an empty one.
+// wipe replaces the disk of a stopped host with an empty one.
 func (h *simHost) wipe(disk DiskID) {
-	h.lost = append(h.lost, h.disk)
+	h.wipedDisks = append(h.wipedDisks, h.disk)
 	h.disk, h.data = StoredState{HardState: HardState{Disk: disk}}, nil
 }
 
-// diskCopy returns a function that puts the disk back to what it is now.
+// diskCopy copies the disk and returns a function that restores the copy.
 func (h *simHost) diskCopy() func() {
 	disk, data := h.disk, h.data
 	disk.Entries = slices.Clone(disk.Entries)
@@ -94,10 +95,10 @@
 	}
 }
 
-// held reports whether the member's disk holds the entry, in the log or a
-// snapshot, or held it when the disk was lost.
-func (h *simHost) held(disk DiskID, e Entry) bool {
-	for _, d := range append(h.lost, h.disk) {
+// hasHeld reports whether the disk has the entry in its log or snapshot, or had
+// it when it was wiped.
+func (h *simHost) hasHeld(disk DiskID, e Entry) bool {
+	for _, d := range append(h.wipedDisks, h.disk) {
 		if d.HardState.Disk != disk {
 			continue
 		}
@@ -109,7 +110,7 @@
 	return false
 }
 
-// snapshot is the state of the state machine as the runtime would offer it.
+// snapshot returns a snapshot of the host's state machine.
 func (s *sim) snapshot(h *simHost) Snapshot {
 	meta, err := h.node.SnapshotMeta(h.state.applied)
 	if err != nil {
@@ -118,7 +119,8 @@
 	return Snapshot{Meta: meta, Data: h.state.snapshot()}
 }
 
-// compact takes a synced snapshot when the log is long and keeps a few entries.
+// compact takes a synced snapshot once the log is long and compacts the log,
+// keeping a few entries before the snapshot.
 func (s *sim) compact(h *simHost) {
 	log := &h.node.log
 	if h.writing != nil || uint64(len(log.entries)) < s.compactAt || h.state.applied <= log.base.Index+s.compactAt/2 {
--- a/quorum/simnetwork_test.go
+++ b/quorum/simnetwork_test.go
@@ -12,8 +12,9 @@
 	m  Message
 }
 
-// post puts a message in order of delivery; equal times keep their order.
-func (s *sim) post(at time.Time, m Message) {
+// enqueue inserts a message in order of delivery time. Messages with the same
+// time keep their order.
+func (s *sim) enqueue(at time.Time, m Message) {
 	i, _ := slices.BinarySearchFunc(s.queue, at, func(d delivery, at time.Time) int {
 		if d.at.After(at) {
 			return 1
@@ -27,8 +28,8 @@
 	h := s.host(m.To)
 	switch {
 	case h.node == nil || s.blocked[[2]ident.Host{m.From, m.To}]:
-	case !s.up(h):
-		s.post(h.paused, m)
+	case !s.running(h):
+		s.enqueue(h.paused, m)
 	default:
 		h.node.Step(s.local(h), m)
 		s.drain(h)
@@ -37,7 +38,7 @@
 
 func (s *sim) send(h *simHost, list []Message) {
 	for _, m := range list {
-		s.checkContract(h, m)
+		s.checkSyncOrder(h, m)
 		s.checkVote(m)
 		s.counts[m.Type]++
 		copies := 1
@@ -48,13 +49,13 @@
 			copies = 0
 		}
 		for range copies {
-			s.post(s.now.Add(s.delay+time.Duration(s.rand.Int64N(int64(s.jitter)+1))), m)
+			s.enqueue(s.now.Add(s.delay+time.Duration(s.rand.Int64N(int64(s.jitter)+1))), m)
 		}
 	}
 }
 
-// part cuts the network into groups that can't reach one another.
-func (s *sim) part(groups ...[]*simHost) {
+// partition splits the network into groups that can't reach one another.
+func (s *sim) partition(groups ...[]*simHost) {
 	s.heal()
 	in := map[ident.Host]int{}
 	for i, g := range groups {
--- a/quorum/snapshot.go
+++ b/quorum/snapshot.go
@@ -7,27 +7,28 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// resendAfter is the number of heartbeats after which chunks that were not
-// answered are sent again.
+// resendAfter is the number of heartbeat intervals after which unacknowledged
+// chunks are sent again.
 const resendAfter = 4
 
-// resendRepeats is the number of answers that name the same offset after
-// which the chunks from there on are sent again at once.
-const resendRepeats = 2
+// resendDuplicateAcks is the number of duplicate acknowledgements of an offset
+// after which the chunks from that offset on are sent again without waiting for
+// resendAfter.
+const resendDuplicateAcks = 2
 
-// assembly is a snapshot that is being received.
-type assembly struct {
-	head Chunk // its Offset and Data are not used
+// incomingSnapshot is a snapshot being received.
+type incomingSnapshot struct {
+	head Chunk // Offset and Data are not used
 	data []byte
 }
 
-func (a *assembly) fits(c *Chunk) bool {
+func (a *incomingSnapshot) includes(c *Chunk) bool {
 	return a.head.Meta.Index == c.Meta.Index && a.head.Meta.Term == c.Meta.Term &&
 		a.head.Size == c.Size && a.head.Sum == c.Sum
 }
 
-// SnapshotMeta describes a snapshot of the state after applying index, which
-// must be in the log and applied.
+// SnapshotMeta returns the description of a snapshot of the state after
+// applying index, which must be in the log and applied.
 func (n *Node) SnapshotMeta(index uint64) (SnapshotMeta, error) {
 	term, ok := n.log.term(index)
 	if !ok || index > n.log.applied {
@@ -37,14 +38,14 @@
 	return SnapshotMeta{Index: index, Term: term, Members: n.log.membersAt(index)}, nil
 }
 
-// Compact drops the log up to meta.Index. meta comes from SnapshotMeta, and
-// the runtime holds a synced snapshot at or after it, taken once this host had
-// synced the entries that it covers: entries of an older term could otherwise
-// still stand behind it on the disk. Keeping some entries before the snapshot
-// saves slow followers from needing it.
+// Compact drops the log entries up to and including meta.Index. meta must come
+// from SnapshotMeta. The runtime must hold a synced snapshot at or after meta,
+// taken once this host had synced the entries that it covers: otherwise entries
+// of an older term could still follow it on disk. Retaining some entries before
+// the snapshot lets slow followers catch up without one.
 func (n *Node) Compact(meta SnapshotMeta) error {
 	if offer := n.lead.offer; offer != nil && meta.Index > offer.Meta.Index {
-		// What follows a snapshot that is being sent is needed right after.
+		// The entries after a snapshot in transfer are needed right after it.
 		meta = offer.Meta
 	}
 	if meta.Index <= n.log.base.Index {
@@ -57,21 +58,21 @@
 	return nil
 }
 
-// OfferSnapshot answers Ready.SnapshotWanted. The node keeps the data until no
-// follower needs it.
+// OfferSnapshot supplies the snapshot requested by Ready.SnapshotWanted. The
+// node retains its data until no follower needs it.
 func (n *Node) OfferSnapshot(s Snapshot) {
 	usable := s.Meta.Index >= n.log.base.Index && s.Meta.Index <= n.log.commit
 	if n.role != RoleLeader || !usable {
 		return
 	}
 	n.lead.offer = &s
-	n.lead.offerSum = crc32.Checksum(s.Data, castagnoli)
+	n.lead.offerChecksum = crc32.Checksum(s.Data, castagnoli)
 	for _, p := range n.lead.peers {
 		p.restartChunks()
 	}
 }
 
-// releaseOffer frees the snapshot when no follower needs it any more.
+// releaseOffer releases the snapshot if no follower needs it any more.
 func (n *Node) releaseOffer() {
 	for _, p := range n.lead.peers {
 		if p.state == stateSnapshot {
@@ -81,9 +82,9 @@
 	n.lead.offer = nil
 }
 
-// dropSilent stops sending a snapshot to followers that no longer answer, so
-// that they don't hold up compaction.
-func (n *Node) dropSilent() {
+// abortInactiveSnapshots stops sending snapshots to inactive followers, so that
+// they don't block compaction.
+func (n *Node) abortInactiveSnapshots() {
 	for _, p := range n.lead.peers {
 		if p.state == stateSnapshot && !n.active(p) {
 			p.becomeProbe()
@@ -96,21 +97,21 @@
 func (n *Node) sendChunks(p *progress) {
 	offer := n.lead.offer
 	if offer == nil || offer.Meta.Index < n.log.base.Index {
-		n.wantSnapshot()
+		n.requestSnapshot()
 		return
 	}
-	if !p.chunkAt.IsZero() && n.now.Sub(p.chunkAt) > resendAfter*n.opts.Heartbeat {
-		p.ackedOffset = p.wantedOffset
-		p.sentOffset = p.wantedOffset
-		p.repeats = 0
-		p.chunkAt = n.now
+	if !p.lastChunkAt.IsZero() && n.now.Sub(p.lastChunkAt) > resendAfter*n.opts.Heartbeat {
+		p.ackedOffset = p.requestedOffset
+		p.sentOffset = p.requestedOffset
+		p.duplicateAcks = 0
+		p.lastChunkAt = n.now
 		n.counters.Resent++
 		n.sendChunk(p)
 		return
 	}
 	size := uint64(len(offer.Data))
-	for p.chunkAt.IsZero() || p.sentOffset < size && p.sentOffset-p.ackedOffset < uint64(n.opts.MaxInflightBytes) {
-		p.chunkAt = n.now
+	for p.lastChunkAt.IsZero() || p.sentOffset < size && p.sentOffset-p.ackedOffset < uint64(n.opts.MaxInflightBytes) {
+		p.lastChunkAt = n.now
 		n.sendChunk(p)
 	}
 }
@@ -122,32 +123,32 @@
 	chunk := &Chunk{
 		Meta:   offer.Meta,
 		Size:   size,
-		Sum:    n.lead.offerSum,
+		Sum:    n.lead.offerChecksum,
 		Offset: p.sentOffset,
 		Data:   offer.Data[p.sentOffset:end:end],
 	}
 	p.sentOffset = end
 	n.counters.Chunks++
-	n.sendNow(Message{Type: MsgSnapshot, Round: n.lead.rounds.current, Chunk: chunk}, p.member)
+	n.sendImmediate(Message{Type: MsgSnapshot, Round: n.lead.rounds.current, Chunk: chunk}, p.member)
 }
 
-// wantSnapshot asks the runtime for a snapshot, again after a while if it does
-// not answer.
-func (n *Node) wantSnapshot() {
-	if n.now.Before(n.lead.askAgain) {
+// requestSnapshot requests a snapshot from the runtime, at most once per
+// ElectionMax.
+func (n *Node) requestSnapshot() {
+	if n.now.Before(n.lead.snapshotRetryAt) {
 		return
 	}
-	n.lead.askAgain = n.now.Add(n.opts.ElectionMax)
-	n.lead.wanted = true
+	n.lead.snapshotRetryAt = n.now.Add(n.opts.ElectionMax)
+	n.lead.snapshotWanted = true
 }
 
 func (n *Node) handleChunk(m Message) {
 	c := m.Chunk
 	if c.Size > uint64(n.opts.MaxSnapshotBytes) {
-		n.malformed(m.bad("Chunk", "belongs to a snapshot above Options.MaxSnapshotBytes"))
+		n.malformed(m.fieldError("Chunk", "belongs to a snapshot above Options.MaxSnapshotBytes"))
 		return
 	}
-	if !n.hearLeader(m) {
+	if !n.recordLeaderContact(m) {
 		return
 	}
 	if c.Meta.Index <= n.log.commit || n.log.matches(c.Meta.Index, c.Meta.Term) {
@@ -156,38 +157,39 @@
 		return
 	}
 	a := &n.incoming
-	if !a.fits(c) {
-		*a = assembly{head: *c}
+	if !a.includes(c) {
+		*a = incomingSnapshot{head: *c}
 	}
 	if c.Offset == uint64(len(a.data)) {
 		a.data = append(a.data, c.Data...)
 	}
 	if uint64(len(a.data)) == c.Size {
-		n.finishAssembly(m)
+		n.finishSnapshot(m)
 		return
 	}
-	n.wantOffset(m, uint64(len(a.data)))
+	n.requestOffset(m, uint64(len(a.data)))
 }
 
-func (n *Node) finishAssembly(m Message) {
+func (n *Node) finishSnapshot(m Message) {
 	data := n.incoming.data
-	n.incoming = assembly{}
+	n.incoming = incomingSnapshot{}
 	if crc32.Checksum(data, castagnoli) != m.Chunk.Sum {
-		n.malformed(m.bad("Chunk", "completes a snapshot with another checksum"))
-		n.wantOffset(m, 0)
+		n.malformed(m.fieldError("Chunk", "completes a snapshot with another checksum"))
+		n.requestOffset(m, 0)
 		return
 	}
 	meta := m.Chunk.Meta
 	n.log.reset(meta)
 	n.members = meta.Members
 	n.counters.Installs++
-	n.install = &Snapshot{Meta: meta, Data: data}
+	n.pendingSnapshot = &Snapshot{Meta: meta, Data: data}
 	n.acknowledge(m, meta.Index)
 }
 
-// acknowledge tells the leader that this disk holds all up to index.
+// acknowledge reports to the leader that this disk holds all entries up to
+// index.
 func (n *Node) acknowledge(m Message, index uint64) {
-	n.sendSynced(Message{
+	n.sendAfterSync(Message{
 		Type:  MsgAppendReply,
 		Round: m.Round,
 		Index: index,
@@ -195,8 +197,8 @@
 	}, sender(m))
 }
 
-func (n *Node) wantOffset(m Message, offset uint64) {
-	n.sendSynced(Message{
+func (n *Node) requestOffset(m Message, offset uint64) {
+	n.sendAfterSync(Message{
 		Type:   MsgSnapshotReply,
 		Round:  m.Round,
 		Index:  m.Chunk.Meta.Index,
@@ -206,26 +208,26 @@
 
 func (n *Node) handleChunkReply(m Message) {
 	p := n.peerOf(m)
-	if p == nil || !p.counts() || m.Round > n.lead.rounds.current {
+	if p == nil || !p.eligible() || m.Round > n.lead.rounds.current {
 		return
 	}
-	p.activeAt = n.now
+	p.lastActive = n.now
 	n.ackRound(p, m.Round)
 	offer := n.lead.offer
 	if p.state != stateSnapshot || offer == nil || m.Index != offer.Meta.Index || m.Offset > uint64(len(offer.Data)) {
 		return
 	}
-	p.wantedOffset = m.Offset
+	p.requestedOffset = m.Offset
 	switch {
 	case m.Offset > p.ackedOffset:
 		p.ackedOffset = m.Offset
 		p.sentOffset = max(p.sentOffset, p.ackedOffset)
-		p.chunkAt = n.now
-		p.repeats = 0
+		p.lastChunkAt = n.now
+		p.duplicateAcks = 0
 	case m.Offset == p.ackedOffset && p.sentOffset > p.ackedOffset:
-		// A chunk was lost or overtaken; the follower drops what follows.
-		p.repeats++
-		if p.repeats == resendRepeats {
+		// A chunk was lost or reordered; the follower drops the later ones.
+		p.duplicateAcks++
+		if p.duplicateAcks == resendDuplicateAcks {
 			p.sentOffset = p.ackedOffset
 			n.counters.Resent++
 		}
--- a/quorum/status.go
+++ b/quorum/status.go
@@ -6,43 +6,46 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Status describes a node at one moment.
+// Status is the status of a node at one point in time.
 type Status struct {
 	Self ident.Host
-	// Disk is the identity of this host's disk, by which it counts in quorums.
+	// Disk is the identity of this host's disk, which is part of its identity
+	// as a voter.
 	Disk DiskID
 	Role Role
-	// Leader is the leader of Term, empty while none is known.
+	// Leader is the leader of Term, empty if unknown.
 	Leader ident.Host
 	Term   uint64
-	// First and Last bound the log held; Synced is what this disk holds.
+	// First and Last are the first and last index of the log held in memory.
+	// Synced is the last index synced to this host's disk.
 	First, Last, Synced uint64
-	// Commit is the highest index known to be committed, Applied the highest
-	// that the runtime has been given.
+	// Commit is the highest index known to be committed. Applied is the highest
+	// index returned to the runtime for applying.
 	Commit, Applied uint64
-	// LogEntries and LogBytes are what the log holds in memory.
+	// LogEntries and LogBytes are the size of the log in memory.
 	LogEntries int
 	LogBytes   int
 	Members    Membership
-	// Revoked is set when this disk went back in time and must be replaced.
+	// Revoked is set when this disk was rolled back and must be replaced.
 	Revoked bool
-	// HasLease is set while a leader may answer reads without a round.
+	// HasLease is set while a leader may serve reads without a heartbeat round.
 	HasLease bool
-	// LeaseEnd is until when no other host can be elected, as far as this leader knows,
-	// zero without a lease. It is on the host's clock: whoever reads the status of a node
-	// that has not been stepped for a while compares it with the time.
+	// LeaseEnd is the time until which, as far as this leader knows, no other
+	// host can be elected. It is zero without a lease. It is in terms of the
+	// host's clock: if the node has not been stepped recently, compare it with
+	// the current time.
 	LeaseEnd time.Time
-	// Transferring is the host that leadership is being handed to, empty for
-	// none.
+	// Transferring is the host to which leadership is being transferred, empty
+	// if none.
 	Transferring ident.Host
 	Counters     Counters
-	// LastMalformed is what was wrong with the latest malformed message.
+	// LastMalformed describes the latest malformed message.
 	LastMalformed error
-	// Peers are what a leader knows of the other members.
+	// Peers is a leader's view of the other members.
 	Peers []PeerStatus
 }
 
-// PeerStatus is what a leader knows of one member.
+// PeerStatus is a leader's view of one member.
 type PeerStatus struct {
 	Member Member
 	Voter  bool
@@ -50,12 +53,11 @@
 	State string
 	// Synced is the last index that the member acknowledged as synced.
 	Synced uint64
-	// Active is set while the member has answered within the last election
-	// timeout.
+	// Active is set if the member has replied within the last ElectionMax.
 	Active bool
-	// PresentedDisk is the identity that the host presents when it differs from
-	// the member's: the disk was replaced.
+	// PresentedDisk is the disk identity that the host presents if it differs
+	// from the member's, that is if the disk was replaced; else zero.
 	PresentedDisk DiskID
-	// Revoked is set when the member's disk went back in time.
+	// Revoked is set when the member's disk was rolled back.
 	Revoked bool
 }
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Step takes in a message from another node. Messages that are malformed, not
-// meant for this disk, or from a disk known to have gone back in time have no
-// effect but an answer that says so.
+// Step processes a message from another node. A malformed message, one that is
+// addressed to another disk, or one from a disk known to have been rolled back
+// has no effect other than, in some cases, a reply that reports the reason.
 func (n *Node) Step(now time.Time, m Message) {
 	n.now = now
 	if err := m.Validate(); err != nil {
@@ -14,14 +14,14 @@
 	if m.To != n.opts.Self || m.From == n.opts.Self || n.hard.Revoked {
 		return
 	}
-	if !n.forThisDisk(m) || !n.checkRecord(m) {
+	if !n.forThisDisk(m) || !n.verifySender(m) {
 		return
 	}
-	if n.stepBeforeTerm(m) {
+	if n.stepAnyTerm(m) {
 		return
 	}
 	if m.Term < n.hard.Term {
-		n.refuseOldTerm(m)
+		n.rejectStaleTerm(m)
 		return
 	}
 	if m.Term > n.hard.Term {
@@ -30,10 +30,10 @@
 	n.dispatch(m)
 }
 
-// stepBeforeTerm handles the messages that count whatever their term is, and
-// drops the votes that a living leader rules out. It reports whether nothing is
-// left to do.
-func (n *Node) stepBeforeTerm(m Message) bool {
+// stepAnyTerm handles the messages that are valid in any term, and drops vote
+// requests while a leader is alive. It reports whether the message is fully
+// handled.
+func (n *Node) stepAnyTerm(m Message) bool {
 	switch m.Type {
 	case MsgWrongDisk:
 		n.handleWrongDisk(m)
@@ -42,45 +42,48 @@
 		n.handleRevoke(m)
 		return true
 	case MsgPreVote:
-		// A pre-vote raises no term, or a host that comes back from a
+		// A pre-vote does not raise the term. Otherwise a host returning from a
 		// partition with a higher term would depose a healthy leader.
 		n.handlePreVote(m)
 		return true
 	case MsgPreVoteReply:
-		// The round identifies the campaign; a voter may be at a lower term.
+		// The round identifies the campaign; the voter may have a lower term.
 		if m.Term <= n.hard.Term {
 			n.handlePreVoteReply(m)
 			return true
 		}
 	case MsgVote:
-		// The same host must not get through with a vote either, and a
-		// leader's lease rests on this refusal.
+		// A host returning from a partition must not depose the leader with a
+		// vote request either, and the leader's lease depends on this
+		// rejection.
 		return !m.Force && n.leaderAlive()
 	}
 	return false
 }
 
-// forThisDisk answers messages that are meant for another disk of this host.
+// forThisDisk reports whether the message is addressed to this disk. It replies
+// with MsgWrongDisk to messages for another disk of this host.
 func (n *Node) forThisDisk(m Message) bool {
-	if m.ToDisk == n.hard.Disk || n.faults.anyDisk {
+	if m.ToDisk == n.hard.Disk || n.faults.ignoreDiskID {
 		return true
 	}
 	n.counters.WrongDisk++
 	if m.Type != MsgWrongDisk && m.Type != MsgRevoke {
-		n.sendSynced(Message{Type: MsgWrongDisk}, sender(m))
+		n.sendAfterSync(Message{Type: MsgWrongDisk}, sender(m))
 	}
 	return false
 }
 
 func sender(m Message) Member { return Member{m.From, m.FromDisk} }
 
-// refuseOldTerm tells a leader or candidate of an earlier term about this one.
-func (n *Node) refuseOldTerm(m Message) {
+// rejectStaleTerm rejects a message from a leader or candidate of an earlier
+// term. The reply contains the current term.
+func (n *Node) rejectStaleTerm(m Message) {
 	switch m.Type {
 	case MsgAppend, MsgSnapshot:
-		n.sendSynced(Message{Type: MsgAppendReply, Reject: true, Last: n.log.last()}, sender(m))
+		n.sendAfterSync(Message{Type: MsgAppendReply, Reject: true, Last: n.log.last()}, sender(m))
 	case MsgVote:
-		n.sendSynced(Message{Type: MsgVoteReply, Reject: true, Last: n.log.last()}, sender(m))
+		n.sendAfterSync(Message{Type: MsgVoteReply, Reject: true, Last: n.log.last()}, sender(m))
 	}
 }
 
@@ -89,7 +92,7 @@
 	case MsgVote:
 		n.handleVote(m)
 	case MsgPreVoteReply:
-		// It came with a later term, which ended the campaign.
+		// The message has a newer term, which ended the campaign.
 	case MsgVoteReply:
 		n.handleVoteReply(m)
 	case MsgAppend:
@@ -109,7 +112,7 @@
 	}
 }
 
-// malformed notes a message that no correct node sends.
+// malformed records the error of a message that no correct node sends.
 func (n *Node) malformed(err error) {
 	n.counters.Malformed++
 	n.lastMalformed = err
--- a/quorum/transfer.go
+++ b/quorum/transfer.go
@@ -6,9 +6,10 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// TransferLeader hands leadership to a voter, or to the most caught-up voter
-// when to is empty. Proposals are refused until it is done or given up after
-// ElectionMax; Status tells when.
+// TransferLeader transfers leadership to the given voter, or to the most
+// caught-up voter if to is empty. Proposals are rejected until the transfer
+// completes or is abandoned after ElectionMax; Status.Transferring shows
+// whether it is in progress.
 func (n *Node) TransferLeader(now time.Time, to ident.Host) error {
 	n.now = now
 	if err := n.mayPropose(); err != nil {
@@ -18,20 +19,21 @@
 		to = n.bestSuccessor()
 	}
 	p := n.peer(to)
-	if p == nil || !p.voter || !p.counts() {
+	if p == nil || !p.voter || !p.eligible() {
 		return ErrInvalidChange
 	}
 	n.lead.transferTo = to
-	n.lead.transferUntil = now.Add(n.opts.ElectionMax)
+	n.lead.transferDeadline = now.Add(n.opts.ElectionMax)
 	n.continueTransfer()
 	return nil
 }
 
-// bestSuccessor returns the active voter that has synced the most.
+// bestSuccessor returns the active voter with the highest synced index, or ""
+// if there is none.
 func (n *Node) bestSuccessor() ident.Host {
 	var best *progress
 	for _, p := range n.lead.peers {
-		if !p.voter || !p.counts() || !n.active(p) {
+		if !p.voter || !p.eligible() || !n.active(p) {
 			continue
 		}
 		if best == nil || p.match > best.match {
@@ -44,7 +46,8 @@
 	return best.member.Host
 }
 
-// continueTransfer asks the successor to campaign once it holds the whole log.
+// continueTransfer instructs the successor to start an election once it has
+// synced the whole log.
 func (n *Node) continueTransfer() {
 	if n.lead.transferTo == "" {
 		return
@@ -53,8 +56,8 @@
 	if p == nil || p.match < n.log.last() {
 		return
 	}
-	n.lead.handedOver = true
-	n.sendNow(Message{Type: MsgTimeoutNow}, p.member)
+	n.lead.timeoutNowSent = true
+	n.sendImmediate(Message{Type: MsgTimeoutNow}, p.member)
 }
 
 func (n *Node) handleTimeoutNow(m Message) {
