--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -10,25 +10,26 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// applyItem is a step for the state machine. Steps run in order.
+// applyItem is a unit of work for the state machine. Items are processed in order.
 type applyItem struct {
 	entries []quorum.Entry
 	restore *quorum.Snapshot
-	// snapshot asks for a snapshot of the state at this point.
+	// snapshot requests a snapshot of the state after the preceding items.
 	snapshot *quorum.SnapshotMeta
-	reads    []readAt
+	reads    []indexedReads
 }
 
-// readAt is a set of reads that wait until index is applied.
-type readAt struct {
+// indexedReads are reads that wait until index is applied.
+type indexedReads struct {
 	index uint64
 	reads []*read
 }
 
-// applier feeds a group's state machine. A goroutine runs while items wait.
+// applier applies committed entries to a group's state machine. Its goroutine
+// exists only while items are queued.
 type applier struct {
 	group *group
-	// machineMu excludes View from Apply.
+	// machineMu serializes all calls to machine, including View.
 	machineMu sync.Mutex
 	machine   port.StateMachine
 	applied   atomic.Uint64
@@ -36,18 +37,19 @@
 	mu      sync.Mutex
 	items   []applyItem
 	running bool
-	// backlog counts the entries that wait.
+	// backlog is the number of committed entries not applied yet.
 	backlog int
-	waiters map[uint64]*proposal
-	waiting []readAt
-	// gone is set once the group answers no more.
-	gone string
+	// waiters are the pending proposals by log index.
+	waiters      map[uint64]*proposal
+	waitingReads []indexedReads
+	// stopReason is set once the group is suspended or its state machine failed.
+	stopReason string
 }
 
 func (a *applier) add(item applyItem) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.gone != "" {
+	if a.stopReason != "" {
 		return
 	}
 	a.items = append(a.items, item)
@@ -58,19 +60,21 @@
 	}
 }
 
-// full reports whether the state machine is too far behind for proposals.
+// full reports whether the backlog has reached MaxBacklog, so that proposals are
+// refused.
 func (a *applier) full() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.backlog >= a.group.manager.options.MaxBacklog
 }
 
-// expect registers a proposal under its position.
-func (a *applier) expect(index uint64, p *proposal) {
+// addWaiter registers a proposal at its log index. An earlier proposal at that
+// index was replaced and fails.
+func (a *applier) addWaiter(index uint64, p *proposal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if earlier, ok := a.waiters[index]; ok {
-		earlier.answer(nil, &port.NotLeaderError{})
+		earlier.resolve(nil, &port.NotLeaderError{})
 	}
 	a.waiters[index] = p
 }
@@ -91,16 +95,16 @@
 		}
 		a.mu.Lock()
 		a.backlog -= len(item.entries)
-		a.waiting = append(a.waiting, item.reads...)
+		a.waitingReads = append(a.waitingReads, item.reads...)
 		a.mu.Unlock()
-		a.answerReads()
+		a.resolveReads()
 	}
 }
 
 func (a *applier) next() (applyItem, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.items) == 0 || a.gone != "" {
+	if len(a.items) == 0 || a.stopReason != "" {
 		a.running = false
 		return applyItem{}, false
 	}
@@ -121,13 +125,13 @@
 	a.applied.Store(entries[len(entries)-1].Index)
 	a.machineMu.Unlock()
 	a.group.manager.stats.applied.Add(len(entries))
-	a.answer(entries, results)
+	a.resolve(entries, results)
 }
 
-// answer settles the proposals that wait at the positions of entries. Another
-// term at a position means that the proposal was replaced and will never be
+// resolve completes the proposals that wait at the indexes of entries. A different
+// term at an index means that the proposal was replaced and will never be
 // committed.
-func (a *applier) answer(entries []quorum.Entry, results [][]byte) {
+func (a *applier) resolve(entries []quorum.Entry, results [][]byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := range entries {
@@ -137,9 +141,9 @@
 		}
 		delete(a.waiters, entries[i].Index)
 		if p.term == entries[i].Term {
-			p.answer(results[i], nil)
+			p.resolve(results[i], nil)
 		} else {
-			p.answer(nil, &port.NotLeaderError{})
+			p.resolve(nil, &port.NotLeaderError{})
 		}
 	}
 }
@@ -154,20 +158,20 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		a.gone = "the state machine refuses a snapshot"
-		a.group.fail(eris.Wrap(err, a.gone))
+		a.stopReason = "the state machine refuses a snapshot"
+		a.group.fail(eris.Wrap(err, a.stopReason))
 		return
 	}
 	for index, p := range a.waiters {
 		if index <= snapshot.Meta.Index {
 			delete(a.waiters, index)
-			p.answer(nil, uncertain("a snapshot has passed the proposal's position"))
+			p.resolve(nil, uncertain("a snapshot has passed the proposal's position"))
 		}
 	}
 }
 
-// restoreMachine fills a state machine. The snapshot of a newly formed group
-// has no data and stands for the empty state.
+// restoreMachine restores a state machine from a snapshot. Empty data is the
+// snapshot of a newly bootstrapped group and represents the empty state.
 func restoreMachine(machine port.StateMachine, data []byte) error {
 	if len(data) == 0 {
 		return nil
@@ -182,28 +186,29 @@
 	g := a.group
 	if err != nil {
 		g.manager.options.Log.Error("snapshot failed", "group", uint32(g.id), "cause", err)
-		// The next one is tried once as many entries again are committed.
+		// Index 0 means that no snapshot was stored. The next attempt follows after as
+		// many committed entries or bytes again.
 		g.worker.inbox.post(event{group: g, stored: &quorum.SnapshotMeta{}})
 		return
 	}
-	taken := &quorum.Snapshot{Meta: meta, Data: data}
-	g.worker.inbox.post(event{group: g, taken: taken})
+	captured := &quorum.Snapshot{Meta: meta, Data: data}
+	g.worker.inbox.post(event{group: g, captured: captured})
 }
 
-// busy reports whether callers wait for a result.
-func (a *applier) busy() bool {
+// hasPendingProposals reports whether proposals are pending.
+func (a *applier) hasPendingProposals() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.waiters) > 0
 }
 
-// answerReads settles the reads whose index is applied.
-func (a *applier) answerReads() {
+// resolveReads completes the reads whose index is applied.
+func (a *applier) resolveReads() {
 	applied := a.applied.Load()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	kept := a.waiting[:0]
-	for _, at := range a.waiting {
+	kept := a.waitingReads[:0]
+	for _, at := range a.waitingReads {
 		if at.index > applied {
 			kept = append(kept, at)
 			continue
@@ -212,25 +217,26 @@
 			r.result <- nil
 		}
 	}
-	clear(a.waiting[len(kept):])
-	a.waiting = kept
+	clear(a.waitingReads[len(kept):])
+	a.waitingReads = kept
 }
 
-// abandon answers all that waits after the group has ended.
+// abandon drops queued items and fails all pending proposals and reads of a
+// suspended group.
 func (a *applier) abandon(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gone = reason
+	a.stopReason = reason
 	a.items = nil
 	for index, p := range a.waiters {
 		delete(a.waiters, index)
 		a.group.manager.stats.uncertain.Inc()
-		p.answer(nil, uncertain(reason))
+		p.resolve(nil, uncertain(reason))
 	}
-	for _, at := range a.waiting {
+	for _, at := range a.waitingReads {
 		for _, r := range at.reads {
 			r.result <- &SuspendedError{Group: a.group.id, Reason: reason}
 		}
 	}
-	a.waiting = nil
+	a.waitingReads = nil
 }
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -19,9 +19,9 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-const benchCommand = 256
+const benchCommandBytes = 256
 
-// countMachine applies without keeping anything.
+// countMachine counts commands without storing them.
 type countMachine struct{ count uint64 }
 
 func (c *countMachine) Apply(uint64, []byte) []byte { c.count++; return nil }
@@ -30,7 +30,7 @@
 
 func (c *countMachine) Restore([]byte) error { return nil }
 
-// benchHost is a host with a real folder and real connections on loopback.
+// benchHost is a host with a data folder on disk and connections on loopback.
 type benchHost struct {
 	transport *peer.Transport
 	folder    *disk.Folder
@@ -67,7 +67,7 @@
 		for _, host := range c.hosts[1:] {
 			host.open(b, port.GroupID(id))
 		}
-		replica, err := c.hosts[0].manager.Bootstrap(limit(5*time.Second), port.GroupID(id), &countMachine{}, c.names)
+		replica, err := c.hosts[0].manager.Bootstrap(timeoutContext(5*time.Second), port.GroupID(id), &countMachine{}, c.names)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -82,12 +82,12 @@
 	return c
 }
 
-// join asks each host in turn, because a busy machine may move the leadership.
+// join tries each host in turn, because the leadership may change on a busy machine.
 func (c *benchCluster) join(b *testing.B, id port.GroupID) {
 	var err error
 	for range 20 {
 		for _, host := range c.hosts {
-			if err = host.manager.Join(limit(20*time.Second), id, c.names); err == nil {
+			if err = host.manager.Join(timeoutContext(20*time.Second), id, c.names); err == nil {
 				return
 			}
 		}
@@ -137,13 +137,13 @@
 func (c *benchCluster) close() {
 	for _, host := range c.hosts {
 		host.cancel()
-		_ = host.transport.Close(limit(time.Second))
+		_ = host.transport.Close(timeoutContext(time.Second))
 		_ = host.folder.Close()
 	}
 }
 
-// BenchmarkCommit compares commits with a bare append and sync on the same
-// disk, measured right before in the same run.
+// BenchmarkCommit compares the latency of commits with that of a bare append and sync
+// on the same disk, measured directly before in the same run.
 func BenchmarkCommit(b *testing.B) {
 	for _, members := range []int{3, 5} {
 		for _, writers := range []int{1, 64} {
@@ -157,30 +157,30 @@
 func benchmarkCommit(b *testing.B, members, writers int) {
 	bare, together := bareSync(b, 1), bareSync(b, members)
 	c := newBenchCluster(b, members, 1)
-	command := make([]byte, benchCommand)
-	var moved atomic.Int64
+	command := make([]byte, benchCommandBytes)
+	var retries atomic.Int64
 	latency := hdrhistogram.New(1, int64(time.Minute), 3)
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	b.ResetTimer()
 	for range writers {
 		group.Go(func() {
-			own := hdrhistogram.New(1, int64(time.Minute), 3)
+			local := hdrhistogram.New(1, int64(time.Minute), 3)
 			for range b.N/writers + 1 {
-				began := time.Now()
+				start := time.Now()
 				for at := 0; ; at++ {
 					leader := c.hosts[at%members].groups[0]
-					if _, err := leader.Propose(limit(10*time.Second), command); err == nil {
+					if _, err := leader.Propose(timeoutContext(10*time.Second), command); err == nil {
 						break
 					}
-					moved.Add(1)
+					retries.Add(1)
 					time.Sleep(time.Millisecond)
 				}
-				_ = own.RecordValue(time.Since(began).Nanoseconds())
+				_ = local.RecordValue(time.Since(start).Nanoseconds())
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			latency.Merge(own)
+			latency.Merge(local)
 		})
 	}
 	group.Wait()
@@ -188,15 +188,15 @@
 	b.ReportMetric(float64(latency.TotalCount())/b.Elapsed().Seconds(), "commits/s")
 	b.ReportMetric(float64(latency.ValueAtQuantile(50))/1e3, "p50-us")
 	b.ReportMetric(float64(latency.ValueAtQuantile(99))/1e3, "p99-us")
-	b.ReportMetric(float64(moved.Load()), "refused")
+	b.ReportMetric(float64(retries.Load()), "refused")
 	b.ReportMetric(float64(bare.Microseconds()), "bare-us")
 	b.ReportMetric(float64(together.Microseconds()), "bare-together-us")
 	b.ReportMetric(float64(latency.ValueAtQuantile(50))/float64(bare.Nanoseconds()), "p50/bare")
 	b.ReportMetric(float64(latency.ValueAtQuantile(50))/float64(together.Nanoseconds()), "p50/together")
 }
 
-// bareSync is the median of one append with one sync while so many files are
-// written at once, as the members of a group in one process do.
+// bareSync returns the median time of one append and sync while the given number of
+// files is written concurrently, as by the members of a group in one process.
 func bareSync(b *testing.B, files int) time.Duration {
 	times := hdrhistogram.New(1, int64(time.Minute), 3)
 	var mu sync.Mutex
@@ -204,14 +204,14 @@
 	for range files {
 		name := filepath.Join(b.TempDir(), "bare")
 		group.Go(func() {
-			own, err := appendAndSync(name)
+			local, err := appendAndSync(name)
 			if err != nil {
 				b.Error(err)
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			times.Merge(own)
+			times.Merge(local)
 		})
 	}
 	group.Wait()
@@ -225,22 +225,22 @@
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	data := make([]byte, benchCommand)
+	data := make([]byte, benchCommandBytes)
 	for range 500 {
-		began := time.Now()
+		start := time.Now()
 		if _, err := file.Write(data); err != nil {
 			return nil, err
 		}
 		if err := file.Sync(); err != nil {
 			return nil, err
 		}
-		_ = times.RecordValue(time.Since(began).Nanoseconds())
+		_ = times.RecordValue(time.Since(start).Nanoseconds())
 	}
 	return times, nil
 }
 
-// BenchmarkRestart is from opening a folder with count entries since the last
-// snapshot until a group of one host leads and has applied them.
+// BenchmarkRestart measures the time from opening a folder with count entries since
+// the last snapshot until a group of one host leads and has applied them.
 func BenchmarkRestart(b *testing.B) {
 	for _, count := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) { benchmarkRestart(b, count) })
@@ -252,32 +252,32 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	life := func(work func(m *Manager)) {
+	runIncarnation := func(work func(m *Manager)) {
 		folder, err := disk.Open(disk.Options{FS: fs, Cluster: "bench", Host: "h0"})
 		if err != nil {
 			b.Fatal(err)
 		}
-		alone := &endpoint{net: &testNet{}, self: "h0", handlers: make(map[port.Method]port.PeerHandler)}
+		network := &endpoint{net: &testNet{}, self: "h0", handlers: make(map[port.Method]port.PeerHandler)}
 		m, err := New(Options{
-			Self: "h0", Storage: folder, Peers: alone, Registry: alone, SnapshotEntries: 1 << 30,
+			Self: "h0", Storage: folder, Peers: network, Registry: network, SnapshotEntries: 1 << 30,
 			Address: func(ident.Host) string { return "" },
 		})
 		if err != nil {
 			b.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			m.Run(ctx)
 		}()
 		work(m)
 		cancel()
-		<-ended
+		<-done
 		_ = folder.Close()
 	}
-	life(func(m *Manager) {
-		replica, err := m.Bootstrap(limit(time.Second), 0, &countMachine{}, nil)
+	runIncarnation(func(m *Manager) {
+		replica, err := m.Bootstrap(timeoutContext(time.Second), 0, &countMachine{}, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -285,7 +285,7 @@
 	})
 	b.ResetTimer()
 	for range b.N {
-		life(func(m *Manager) {
+		runIncarnation(func(m *Manager) {
 			replica, err := m.Open(0, &countMachine{})
 			if err != nil {
 				b.Fatal(err)
@@ -301,7 +301,7 @@
 	for range 100 {
 		group.Go(func() {
 			for range count / 100 {
-				if _, err := replica.Propose(limit(10*time.Second), make([]byte, benchCommand)); err != nil {
+				if _, err := replica.Propose(timeoutContext(10*time.Second), make([]byte, benchCommandBytes)); err != nil {
 					b.Error(err)
 				}
 			}
@@ -312,7 +312,7 @@
 
 func waitBarrier(b *testing.B, replica port.Replica) {
 	for range 10000 {
-		if replica.ReadBarrier(limit(time.Second)) == nil {
+		if replica.ReadBarrier(timeoutContext(time.Second)) == nil {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -320,8 +320,8 @@
 	b.Fatal("no leader")
 }
 
-// BenchmarkIdleGroups is the processor time of a second of idle groups on
-// three hosts in one process.
+// BenchmarkIdleGroups measures the CPU time that idle groups on three hosts in one
+// process use per second.
 func BenchmarkIdleGroups(b *testing.B) {
 	for _, groups := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -18,14 +18,15 @@
 
 const (
 	testLatency = 1500 * time.Microsecond
-	// testSyncTime is longer than a round trip, so that an answer before the
-	// sync would leave before any disk holds the command.
+	// testSyncTime is longer than a round trip, so that a result returned before the
+	// sync would be sent before any disk holds the command.
 	testSyncTime = 5 * time.Millisecond
-	// testReserve is small, so that a full disk shows soon.
+	// testReserve is small, so that a full disk takes effect soon.
 	testReserve = 64
 )
 
-// listMachine keeps its commands in order. A command's result is its place.
+// listMachine records the applied commands in order. A command's result is its
+// position, counted from 1.
 type listMachine struct{ commands []string }
 
 func (l *listMachine) Apply(_ uint64, command []byte) []byte {
@@ -40,17 +41,18 @@
 	return wire.Unmarshal(data, &l.commands)
 }
 
-// testNet carries messages between managers in virtual time. Addresses are
-// host names.
+// testNet delivers messages between managers in virtual time. Addresses are host
+// names.
 type testNet struct {
 	mu       sync.Mutex
 	handlers map[ident.Host]map[port.Method]port.PeerHandler
-	// side parts the network: hosts on different sides don't reach each other.
-	side map[ident.Host]int
-	sent int
+	// partition is the number of each host's partition. Hosts in different partitions
+	// can't reach each other.
+	partition map[ident.Host]int
+	sent      int
 }
 
-// endpoint is one life of a host on the network.
+// endpoint is the network endpoint of one incarnation of a host.
 type endpoint struct {
 	net      *testNet
 	self     ident.Host
@@ -61,14 +63,14 @@
 	e.handlers[method] = handler
 }
 
-// handler returns where a message ends up, nil when it is lost.
+// handler returns the handler that receives a message, nil if the message is lost.
 func (e *endpoint) handler(to string, method port.Method) port.PeerHandler {
 	e.net.mu.Lock()
 	defer e.net.mu.Unlock()
 	host := ident.Host(to)
 	current := e.net.handlers[e.self]
-	alive := current != nil && current[MethodMessages] == e.handlers[MethodMessages]
-	if e.net.side[e.self] != e.net.side[host] || !alive {
+	running := current != nil && current[MethodMessages] == e.handlers[MethodMessages]
+	if e.net.partition[e.self] != e.net.partition[host] || !running {
 		return nil
 	}
 	return e.net.handlers[host][method]
@@ -96,7 +98,7 @@
 	return handler.HandlePeer(ctx, port.Peer{Host: e.self, Role: RoleControl}, method, body)
 }
 
-// testHost is one host with its disk, across lives.
+// testHost is one host with its disk, across incarnations.
 type testHost struct {
 	cluster  *testCluster
 	name     ident.Host
@@ -105,24 +107,25 @@
 	manager  *Manager
 	replicas []port.Replica
 	stop     context.CancelFunc
-	ended    chan struct{}
+	doneCh   chan struct{}
 }
 
-// testCluster is some hosts with the same groups.
+// testCluster is a set of hosts with the same groups.
 type testCluster struct {
 	t      *testing.T
 	net    *testNet
 	hosts  []*testHost
 	groups int
-	change func(o *Options)
+	// configure changes the options of a host before its manager is created.
+	configure func(o *Options)
 }
 
-func newCluster(t *testing.T, size, groups int, change func(o *Options)) *testCluster {
+func newCluster(t *testing.T, size, groups int, configure func(o *Options)) *testCluster {
 	t.Helper()
-	c := &testCluster{t: t, groups: groups, change: change}
+	c := &testCluster{t: t, groups: groups, configure: configure}
 	c.net = &testNet{
-		handlers: make(map[ident.Host]map[port.Method]port.PeerHandler),
-		side:     make(map[ident.Host]int),
+		handlers:  make(map[ident.Host]map[port.Method]port.PeerHandler),
+		partition: make(map[ident.Host]int),
 	}
 	for i := range size {
 		host := &testHost{cluster: c, name: ident.Host(fmt.Sprintf("h%d", i)), fs: disktest.New()}
@@ -131,7 +134,7 @@
 	}
 	t.Cleanup(func() {
 		for _, host := range c.hosts {
-			host.end()
+			host.shutDown()
 		}
 	})
 	for _, host := range c.hosts[1:] {
@@ -139,7 +142,7 @@
 	}
 	c.hosts[0].prepare()
 	for id := range groups {
-		c.hosts[0].form(port.GroupID(id))
+		c.hosts[0].bootstrap(port.GroupID(id))
 	}
 	c.hosts[0].run()
 	for id := range groups {
@@ -158,18 +161,18 @@
 
 func (c *testCluster) join(leader *testHost, id port.GroupID) {
 	c.t.Helper()
-	if err := leader.manager.Join(limit(20*time.Second), id, c.names()); err != nil {
+	if err := leader.manager.Join(timeoutContext(20*time.Second), id, c.names()); err != nil {
 		c.t.Fatalf("join: %v", err)
 	}
 }
 
-func limit(d time.Duration) context.Context {
+func timeoutContext(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	context.AfterFunc(ctx, cancel)
 	return ctx
 }
 
-// prepare opens the disk and makes a manager without groups.
+// prepare opens the disk and creates a manager without groups.
 func (h *testHost) prepare() {
 	h.cluster.t.Helper()
 	folder, err := disk.Open(disk.Options{FS: h.fs, Cluster: "hall", Host: h.name, ReserveBytes: testReserve})
@@ -177,33 +180,34 @@
 		h.cluster.t.Fatal(err)
 	}
 	h.folder = folder
-	end := &endpoint{net: h.cluster.net, self: h.name, handlers: make(map[port.Method]port.PeerHandler)}
+	network := &endpoint{net: h.cluster.net, self: h.name, handlers: make(map[port.Method]port.PeerHandler)}
 	options := Options{
 		Self:     h.name,
 		Storage:  folder,
-		Peers:    end,
-		Registry: end,
+		Peers:    network,
+		Registry: network,
 		Address:  func(host ident.Host) string { return string(host) },
 	}
-	if h.cluster.change != nil {
-		h.cluster.change(&options)
+	if h.cluster.configure != nil {
+		h.cluster.configure(&options)
 	}
 	if h.manager, err = New(options); err != nil {
 		h.cluster.t.Fatal(err)
 	}
 	h.replicas = make([]port.Replica, h.cluster.groups)
-	// Function values can't be compared, so each life gets a handler of its own.
-	end.handlers[MethodMessages] = &lifeHandler{end.handlers[MethodMessages]}
+	// Function values can't be compared, so each incarnation gets its own handler.
+	network.handlers[MethodMessages] = &incarnationHandler{network.handlers[MethodMessages]}
 	h.cluster.net.mu.Lock()
 	defer h.cluster.net.mu.Unlock()
-	h.cluster.net.handlers[h.name] = end.handlers
+	h.cluster.net.handlers[h.name] = network.handlers
 }
 
-type lifeHandler struct{ port.PeerHandler }
+// incarnationHandler identifies an incarnation of a host by its pointer.
+type incarnationHandler struct{ port.PeerHandler }
 
-func (h *testHost) form(id port.GroupID) {
+func (h *testHost) bootstrap(id port.GroupID) {
 	h.cluster.t.Helper()
-	replica, err := h.manager.Bootstrap(limit(time.Second), id, &listMachine{}, h.cluster.names())
+	replica, err := h.manager.Bootstrap(timeoutContext(time.Second), id, &listMachine{}, h.cluster.names())
 	if err != nil {
 		h.cluster.t.Fatal(err)
 	}
@@ -213,14 +217,14 @@
 func (h *testHost) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop = cancel
-	h.ended = make(chan struct{})
+	h.doneCh = make(chan struct{})
 	go func() {
-		defer close(h.ended)
+		defer close(h.doneCh)
 		h.manager.Run(ctx)
 	}()
 }
 
-// start begins a life of a host whose groups exist or will be joined.
+// start starts a new incarnation of a host whose groups exist or will add it.
 func (h *testHost) start() {
 	h.cluster.t.Helper()
 	h.prepare()
@@ -234,43 +238,43 @@
 	h.run()
 }
 
-// crash ends a life: unsynced writes are lost but for torn bytes, nothing is
-// sent any more.
+// crash ends an incarnation: unsynced writes are lost except for torn bytes, and no
+// message is sent any more.
 func (h *testHost) crash(torn int) {
 	h.cluster.net.mu.Lock()
 	delete(h.cluster.net.handlers, h.name)
 	h.cluster.net.mu.Unlock()
 	next := h.fs.Crash(torn)
-	h.end()
+	h.shutDown()
 	h.fs = next
 }
 
-func (h *testHost) end() {
+func (h *testHost) shutDown() {
 	if h.manager == nil {
 		return
 	}
 	h.stop()
-	<-h.ended
+	<-h.doneCh
 	_ = h.folder.Close()
 	h.manager = nil
 }
 
-// wipe replaces the disk of a host that is down.
+// wipe replaces the disk of a stopped host with an empty one.
 func (h *testHost) wipe() {
 	h.fs = disktest.New()
 	h.fs.SlowSync(testSyncTime)
 }
 
-func (c *testCluster) setSide(side int, hosts ...*testHost) {
+func (c *testCluster) setPartition(partition int, hosts ...*testHost) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	for _, host := range hosts {
-		c.net.side[host.name] = side
+		c.net.partition[host.name] = partition
 	}
 }
 
-// leader waits for a host, not among without, that leads group 0 and can
-// prove it.
+// leader waits for a host, other than those in without, that leads group 0 and
+// confirms it by a read barrier.
 func (c *testCluster) leader(without ...*testHost) *testHost {
 	c.t.Helper()
 	for range 2000 {
@@ -278,7 +282,7 @@
 			if host.manager == nil || slices.Contains(without, host) || !host.replicas[0].Status().IsLeader {
 				continue
 			}
-			if host.replicas[0].ReadBarrier(limit(50*time.Millisecond)) == nil {
+			if host.replicas[0].ReadBarrier(timeoutContext(50*time.Millisecond)) == nil {
 				return host
 			}
 		}
@@ -290,7 +294,7 @@
 
 func propose(t *testing.T, host *testHost, command string) {
 	t.Helper()
-	if _, err := host.replicas[0].Propose(limit(2*time.Second), []byte(command)); err != nil {
+	if _, err := host.replicas[0].Propose(timeoutContext(2*time.Second), []byte(command)); err != nil {
 		t.Fatalf("propose %s: %v", command, err)
 	}
 }
@@ -300,8 +304,9 @@
 	return list
 }
 
-// settle waits until all running hosts have applied the same.
-func (c *testCluster) settle() []string {
+// checkEqualState fails the test unless all running hosts have applied the same
+// commands, and returns these.
+func (c *testCluster) checkEqualState() []string {
 	c.t.Helper()
 	applied, differs := c.compare()
 	if differs != "" {
@@ -310,8 +315,8 @@
 	return applied
 }
 
-// compare returns what the leader has applied once all has settled, and how a
-// host differs from it, empty when none does.
+// compare waits 5 s and returns the commands that the leader has applied, and how a
+// host differs from it, empty if none does.
 func (c *testCluster) compare() (applied []string, differs string) {
 	c.t.Helper()
 	leader := c.leader()
@@ -323,23 +328,23 @@
 			continue
 		}
 		if got := commands(host.replicas[0]); !slices.Equal(got, want) {
-			return want, fmt.Sprintf("host %s applied %d commands, the leader %d: %v and %v",
+			return want, fmt.Sprintf("host %s has applied %d commands, the leader %d: %v and %v",
 				host.name, len(got), len(want), got, want)
 		}
 	}
 	return want, ""
 }
 
-// proposeAnywhere tries hosts until one takes the command, and returns whether
-// it was acknowledged.
-func (c *testCluster) proposeAnywhere(command string, patience time.Duration) bool {
-	deadline := time.Now().Add(patience)
+// proposeAnywhere tries hosts until one accepts the command, and returns whether it
+// was acknowledged.
+func (c *testCluster) proposeAnywhere(command string, timeout time.Duration) bool {
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		for _, host := range c.hosts {
 			if host.manager == nil {
 				continue
 			}
-			_, err := host.replicas[0].Propose(limit(300*time.Millisecond), []byte(command))
+			_, err := host.replicas[0].Propose(timeoutContext(300*time.Millisecond), []byte(command))
 			if err == nil {
 				return true
 			}
--- a/internal/replica/cpu_test.go
+++ b/internal/replica/cpu_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime(tb testing.TB) time.Duration {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -13,20 +13,21 @@
 
 // Errors of the manager and of proposals.
 var (
-	// ErrBusy reports that a bound is reached. Nothing was appended.
+	// ErrBusy reports that a queue is full. Nothing was appended.
 	ErrBusy = errors.New("replica: too much is waiting, nothing was appended")
 	// ErrStopped reports that the manager is not running.
 	ErrStopped = errors.New("replica: stopped")
-	// ErrGroupExists reports that a group to be formed exists already.
+	// ErrGroupExists reports that a group to be bootstrapped exists already.
 	ErrGroupExists = errors.New("replica: the group exists already")
-	// ErrUnknownGroup reports a group that this host does not hold.
+	// ErrUnknownGroup reports a group that is not open on this host.
 	ErrUnknownGroup = errors.New("replica: no such group on this host")
-	// ErrReadBarrier reports a read that could not be proved up to date in time.
+	// ErrReadBarrier reports that the state could not be confirmed to be up to date
+	// before the deadline.
 	ErrReadBarrier = errors.New("replica: no proof of an up-to-date state in time")
 )
 
-// SuspendedError reports a group that can't answer on this host until an
-// operator acts. It matches *port.NotLeaderError, so that callers turn to
+// SuspendedError reports a group that stays unavailable on this host until an
+// operator intervenes. It matches *port.NotLeaderError, so that callers try
 // another host.
 type SuspendedError struct {
 	Group  port.GroupID
@@ -41,8 +42,9 @@
 // Unwrap makes the error match *port.NotLeaderError.
 func (e *SuspendedError) Unwrap() error { return &port.NotLeaderError{} }
 
-// translate turns errors of package quorum into those of package port.
-func translate(err error) error {
+// toPortError converts an error of package quorum to one of package port or of
+// this package.
+func toPortError(err error) error {
 	var notLeader *quorum.NotLeaderError
 	if errors.As(err, &notLeader) {
 		return &port.NotLeaderError{Leader: notLeader.Leader}
@@ -56,6 +58,6 @@
 	return err
 }
 
-func uncertain(why string) error {
-	return eris.Wrap(port.ErrUncertain, why)
+func uncertain(cause string) error {
+	return eris.Wrap(port.ErrUncertain, cause)
 }
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -10,41 +10,45 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// group is one group on this host. The fields of the first part belong to the
-// worker and are guarded by its lock.
+// group is one group on this host. The fields from node to ticks are owned by the
+// worker and guarded by its lock.
 type group struct {
 	manager *Manager
 	worker  *worker
 	id      port.GroupID
 
-	node    *quorum.Node
-	touched bool
-	// heldBack are the messages of the outstanding Ready, which wait for its
-	// sync.
-	heldBack []quorum.Message
-	reads    pendingReads
-	// sinceEntries and sinceBytes count what was committed since the last
-	// snapshot was asked for; committed is the last entry handed out.
-	sinceEntries int
-	sinceBytes   int
-	committed    uint64
-	// snapshotBytes is the size of the latest snapshot.
+	node *quorum.Node
+	// active is set while the group is listed in worker.active.
+	active bool
+	// awaitingSync are the messages of the outstanding Ready that are sent after
+	// its sync.
+	awaitingSync []quorum.Message
+	reads        pendingReads
+	// entriesSinceSnapshot and bytesSinceSnapshot count what was committed since the
+	// last snapshot was requested. lastCommitted is the index of the last entry or
+	// snapshot passed to the applier.
+	entriesSinceSnapshot int
+	bytesSinceSnapshot   int
+	lastCommitted        uint64
+	// snapshotBytes is the size of the data of the latest snapshot.
 	snapshotBytes int
-	// snapshotting is set from asking the applier until the snapshot is
-	// stored; taken holds it until its entries are synced here.
+	// snapshotting is set from the request to the applier until the snapshot is
+	// stored. captured holds the snapshot until the entries it covers are synced on
+	// this host.
 	snapshotting bool
-	taken        *quorum.Snapshot
-	// previous is the stored snapshot before the latest one. The log is kept
-	// from there, so that a follower a little behind needs no snapshot.
-	previous  quorum.SnapshotMeta
-	offering  bool
-	transfers []*transfer
-	// leader is the last one seen, for the log and the counters.
-	leader ident.Host
-	ticks  int
-
-	// suspended holds the reason why the group does no more, empty while it
-	// works.
+	captured     *quorum.Snapshot
+	// previousSnapshot is the latest stored snapshot. Once the next one is stored,
+	// the log is compacted up to this one and not up to the newer one, so that a
+	// follower that is slightly behind needs no snapshot.
+	previousSnapshot quorum.SnapshotMeta
+	// offeringSnapshot is set while the stored snapshot is being loaded for a follower.
+	offeringSnapshot bool
+	transfers        []*transfer
+	// lastLeader is the leader last logged and counted.
+	lastLeader ident.Host
+	ticks      int
+
+	// suspended is the reason why the group is suspended, nil while it runs.
 	suspended atomic.Pointer[string]
 
 	applier applier
@@ -52,9 +56,9 @@
 
 var _ port.Replica = (*group)(nil)
 
-// handle feeds one event to the node. drive follows in the same turn.
+// handle passes one event to the node. drive follows in the same iteration.
 func (g *group) handle(now time.Time, e *event) {
-	if g.stopped() {
+	if g.isSuspended() {
 		g.refuse(e)
 		return
 	}
@@ -64,27 +68,27 @@
 	case e.proposal != nil:
 		g.propose(now, e.proposal)
 	case e.read != nil:
-		g.reads.fresh = append(g.reads.fresh, e.read)
+		g.reads.queued = append(g.reads.queued, e.read)
 	case e.synced != nil:
 		g.finishSync(now, e.synced.err)
-	case e.taken != nil:
-		g.taken = e.taken
+	case e.captured != nil:
+		g.captured = e.captured
 	case e.stored != nil:
 		g.compact(*e.stored)
 	case e.offered != nil:
-		g.offering = false
+		g.offeringSnapshot = false
 		g.node.OfferSnapshot(*e.offered)
 	case e.transfer != nil:
 		g.startTransfer(now, e.transfer)
 	}
 }
 
-// refuse answers an event of a suspended group.
+// refuse fails the request of an event of a suspended group.
 func (g *group) refuse(e *event) {
-	err := &SuspendedError{Group: g.id, Reason: g.reason()}
+	err := &SuspendedError{Group: g.id, Reason: g.suspendReason()}
 	switch {
 	case e.proposal != nil:
-		e.proposal.answer(nil, err)
+		e.proposal.resolve(nil, err)
 	case e.read != nil:
 		e.read.result <- err
 	case e.transfer != nil:
@@ -92,25 +96,25 @@
 	}
 }
 
-func (g *group) stopped() bool { return g.suspended.Load() != nil }
+func (g *group) isSuspended() bool { return g.suspended.Load() != nil }
 
-func (g *group) reason() string {
-	if reason := g.suspended.Load(); reason != nil {
-		return *reason
+func (g *group) suspendReason() string {
+	if suspendReason := g.suspended.Load(); suspendReason != nil {
+		return *suspendReason
 	}
 	return ""
 }
 
-// suspend ends the group's part on this host. After a failed write or sync
-// nothing may be sent or answered any more: the peers would count on state
-// that the disk does not hold.
+// suspend stops the group on this host permanently. After a failed write or sync
+// no message or result may leave this host: peers would rely on state that is not
+// on its disk.
 func (g *group) suspend(reason string) {
 	if !g.suspended.CompareAndSwap(nil, &reason) {
 		return
 	}
 	g.manager.options.Log.Error("group suspended", "group", uint32(g.id), "reason", reason)
 	err := &SuspendedError{Group: g.id, Reason: reason}
-	g.heldBack = nil
+	g.awaitingSync = nil
 	g.reads.fail(err)
 	for _, t := range g.transfers {
 		t.result <- err
@@ -120,7 +124,7 @@
 }
 
 func (g *group) tick(now time.Time) {
-	if g.stopped() {
+	if g.isSuspended() {
 		return
 	}
 	if err := g.manager.options.Storage.Err(); err != nil {
@@ -128,41 +132,42 @@
 		return
 	}
 	g.node.Tick(now)
-	// The deadlines are those of contexts.
+	// The deadlines come from contexts, which use time.Now and not Options.Clock.
 	g.reads.expire(time.Now())
-	g.settleTransfers(now)
+	g.resolveTransfers(now)
 	if g.ticks++; g.ticks%ticksPerHeartbeat == 0 {
-		g.noteLeader()
+		g.recordLeader()
 	}
 }
 
-func (g *group) noteLeader() {
+func (g *group) recordLeader() {
 	status := g.node.Status()
-	if status.Leader == g.leader {
+	if status.Leader == g.lastLeader {
 		return
 	}
-	g.leader = status.Leader
+	g.lastLeader = status.Leader
 	g.manager.stats.leaderChanges.Inc()
-	g.manager.options.Log.Info("leader changed", "group", uint32(g.id), "leader", g.leader, "term", status.Term)
+	g.manager.options.Log.Info("leader changed", "group", uint32(g.id), "leader", g.lastLeader, "term", status.Term)
 }
 
-// fail suspends the group at the worker's next turn.
+// fail suspends the group in the worker's next iteration. It may be called from
+// any goroutine.
 func (g *group) fail(err error) {
 	g.worker.inbox.post(event{group: g, synced: &syncResult{err: err}})
 }
 
-// drive carries out what the node wants after the events of a turn.
+// drive processes the node's Ready batches after the events of an iteration.
 func (g *group) drive(now time.Time, out *outbox) {
-	if g.stopped() {
+	if g.isSuspended() {
 		return
 	}
 	g.startReads(now)
 	for {
 		ready := g.node.Ready()
-		if ready.Empty() || (g.offering && onlyWantsSnapshot(&ready)) {
+		if ready.Empty() || (g.offeringSnapshot && onlyWantsSnapshot(&ready)) {
 			break
 		}
-		g.carryOut(now, &ready, out)
+		g.handleReady(now, &ready, out)
 	}
 	g.storeSnapshot()
 }
@@ -173,10 +178,10 @@
 	return rest.Empty()
 }
 
-// carryOut follows the order that package quorum asks for. Committed entries
-// and snapshots go to the state machine before this host's own sync: a quorum
-// holds them already.
-func (g *group) carryOut(now time.Time, ready *quorum.Ready, out *outbox) {
+// handleReady processes one Ready in the order that package quorum requires.
+// Committed entries and snapshots are passed to the state machine before this
+// host's own sync, because a quorum has stored them already.
+func (g *group) handleReady(now time.Time, ready *quorum.Ready, out *outbox) {
 	out.add(g.id, ready.Immediate)
 	if ready.Snapshot != nil {
 		g.restore(ready.Snapshot)
@@ -195,12 +200,12 @@
 		}
 		return
 	}
-	g.heldBack = ready.Messages
+	g.awaitingSync = ready.Messages
 	g.write(ready)
 }
 
-// write starts the write of a Ready. The node gives out no other one before
-// finishSync.
+// write starts writing a Ready to disk. The node returns no further Ready that
+// needs a sync until finishSync.
 func (g *group) write(ready *quorum.Ready) {
 	update := disk.Update{
 		Group:      g.id,
@@ -215,7 +220,7 @@
 		})
 	}
 	if update.Snapshot != nil {
-		// Writing the snapshot's file takes long; other groups go on.
+		// Writing the snapshot file is slow and must not block other groups.
 		g.manager.spawn(start)
 		return
 	}
@@ -227,8 +232,8 @@
 		g.suspend(err.Error())
 		return
 	}
-	g.worker.outbox.add(g.id, g.heldBack)
-	g.heldBack = nil
+	g.worker.outbox.add(g.id, g.awaitingSync)
+	g.awaitingSync = nil
 	g.node.Advance(now)
 	if g.node.Status().Revoked {
 		g.suspend(quorum.ErrRevoked.Error())
--- a/internal/replica/inbox.go
+++ b/internal/replica/inbox.go
@@ -6,27 +6,28 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// event is something that happened to a group. Exactly one of the fields
-// beside group is set.
+// event is an input of a group. Exactly one field other than group is set.
 type event struct {
 	group    *group
 	message  *quorum.Message
 	proposal *proposal
 	read     *read
-	// synced reports the end of the group's outstanding write.
+	// synced is the result of the group's outstanding write, or the error by which
+	// fail suspends the group.
 	synced *syncResult
-	// taken is a snapshot of the state machine, to be stored.
-	taken *quorum.Snapshot
-	// stored is a snapshot that is synced; offered one for a follower.
+	// captured is a snapshot of the state machine that has to be stored.
+	captured *quorum.Snapshot
+	// stored is the snapshot that was stored and synced, with index 0 if none was.
+	// offered is a snapshot loaded for a follower.
 	stored  *quorum.SnapshotMeta
 	offered *quorum.Snapshot
-	// transfer asks the group to hand leadership over.
+	// transfer is a request to transfer leadership.
 	transfer *transfer
 }
 
 type syncResult struct{ err error }
 
-// inbox holds the events that wait for a worker.
+// inbox is the event queue of a worker.
 type inbox struct {
 	mu     sync.Mutex
 	events []event
@@ -38,7 +39,7 @@
 	return &inbox{limit: limit, wake: make(chan struct{}, 1)}
 }
 
-// offer adds an event from outside unless the inbox is full.
+// offer adds an event from a caller or peer. It returns false if the inbox is full.
 func (b *inbox) offer(e event) bool {
 	b.mu.Lock()
 	full := len(b.events) >= b.limit
@@ -50,8 +51,8 @@
 	return !full
 }
 
-// post adds an event of the runtime's own. Each group has at most a few under
-// way, so these are bounded by the number of groups.
+// post adds an internal event, regardless of the limit. Each group has at most a
+// few of them outstanding, so their number is bounded by the number of groups.
 func (b *inbox) post(e event) {
 	b.mu.Lock()
 	b.events = append(b.events, e)
@@ -66,8 +67,9 @@
 	}
 }
 
-// take returns all events; spare is reused for the next ones.
-func (b *inbox) take(spare []event) []event {
+// takeAll removes and returns all events. The array of spare is reused for the
+// next ones.
+func (b *inbox) takeAll(spare []event) []event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	events := b.events
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -19,13 +19,13 @@
 
 type groupID = port.GroupID
 
-// RoleControl is the peer role of the hosts that run managers.
+// RoleControl is the peer role of the hosts that run a Manager.
 const RoleControl = "control"
 
-// settlePoll is how often Stop looks for proposals under way.
-const settlePoll = 5 * time.Millisecond
+// pendingPoll is the interval at which Stop checks for pending proposals.
+const pendingPoll = 5 * time.Millisecond
 
-// maxMessages bounds the messages in one body.
+// maxMessages is the maximum number of messages in one body.
 const maxMessages = 1 << 16
 
 // Manager runs the groups of one host.
@@ -36,16 +36,16 @@
 
 	mu     sync.Mutex
 	groups map[groupID]*group
-	// done is closed when the manager has stopped.
+	// done is closed when the manager stops.
 	done     chan struct{}
 	stopOnce sync.Once
 	stopped  bool
-	// spawned counts the short-lived goroutines.
+	// spawned tracks the goroutines started by spawn.
 	spawned sync.WaitGroup
 }
 
-// New returns a manager and registers its handlers. Groups are opened before
-// or while Run is under way.
+// New returns a manager and registers its handlers. Groups can be opened before
+// Run and while it runs.
 func New(options Options) (*Manager, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	}
 	m.stats.set.NewGauge("lovagereach_replica_groups", func() float64 { return m.count(nil) })
 	m.stats.set.NewGauge("lovagereach_replica_suspended_groups", func() float64 {
-		return m.count((*group).stopped)
+		return m.count((*group).isSuspended)
 	})
 	m.stats.set.NewGauge("lovagereach_replica_led_groups", func() float64 {
 		return m.count(func(g *group) bool { return g.worker.status(g).Role == quorum.RoleLeader })
@@ -71,8 +71,9 @@
 	return m, nil
 }
 
-// registerMessages saves a change of goroutine for each message where the
-// registry offers it; handleMessages only decodes and queues.
+// registerMessages registers handler to run inline if the registry supports it,
+// which saves a goroutine switch per body. handleMessages is fast enough for
+// that: it only decodes and queues.
 func registerMessages(registry port.PeerRegistry, handler port.PeerHandler) {
 	type inlineRegistry interface {
 		HandleInline(method port.Method, handler port.PeerHandler)
@@ -84,11 +85,12 @@
 	registry.Handle(MethodMessages, handler)
 }
 
-// Metrics returns the set of the manager's counters.
+// Metrics returns the manager's metrics.
 func (m *Manager) Metrics() *metrics.Set { return m.stats.set }
 
-// Run drives the groups until ctx ends. What waits then is answered as
-// uncertain, as after a crash; call Stop first for a graceful end.
+// Run runs the groups until ctx ends. The outcome of proposals pending at that
+// time is reported as uncertain, as after a crash; call Stop first for a graceful
+// shutdown.
 func (m *Manager) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -104,33 +106,33 @@
 		running.Go(func() { w.run(ctx) })
 	}
 	running.Wait()
-	m.end()
+	m.shutDown()
 	m.spawned.Wait()
 }
 
-// Stop hands the leadership of every group over, as far as ctx allows, and
-// ends Run. A follower that takes over at once spares callers an election. The
-// peer transport is closed after it and the data folder last.
+// Stop transfers the leadership of every group, within the deadline of ctx, and
+// ends Run. The transfer saves callers an election. Close the peer transport
+// after Stop, and the data folder last.
 func (m *Manager) Stop(ctx context.Context) {
 	var leaving sync.WaitGroup
 	for _, id := range m.Groups() {
 		leaving.Go(func() {
 			if err := m.TransferLeader(ctx, id, ""); err != nil {
-				m.options.Log.Warn("leadership not handed over", "group", uint32(id), "cause", err)
+				m.options.Log.Warn("leadership transfer failed", "group", uint32(id), "cause", err)
 			}
 		})
 	}
 	leaving.Wait()
-	m.settle(ctx)
-	m.end()
+	m.waitForProposals(ctx)
+	m.shutDown()
 }
 
-// settle waits until the proposals under way have their answer: the new leader
-// commits them, and this host learns it as a follower.
-func (m *Manager) settle(ctx context.Context) {
-	ticker := time.NewTicker(settlePoll)
+// waitForProposals waits until pending proposals are resolved or ctx ends: the
+// new leader commits them, and this host learns of it as a follower.
+func (m *Manager) waitForProposals(ctx context.Context) {
+	ticker := time.NewTicker(pendingPoll)
 	defer ticker.Stop()
-	for m.busy() {
+	for m.hasPendingProposals() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -139,16 +141,16 @@
 	}
 }
 
-func (m *Manager) busy() bool {
+func (m *Manager) hasPendingProposals() bool {
 	for _, id := range m.Groups() {
-		if g, err := m.find(id); err == nil && g.applier.busy() {
+		if g, err := m.find(id); err == nil && g.applier.hasPendingProposals() {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Manager) end() {
+func (m *Manager) shutDown() {
 	m.stopOnce.Do(func() {
 		m.mu.Lock()
 		m.stopped = true
@@ -166,17 +168,17 @@
 	}
 }
 
-// bound gives a context without a deadline the default one.
-func (m *Manager) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDefaultTimeout adds CallTimeout to a context that has no deadline.
+func (m *Manager) withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, m.options.CallTimeout)
 }
 
-// Open starts a group from what the disk holds. A host whose disk holds
-// nothing of the group draws a new disk identity and waits, without a vote,
-// until the group adds it as a learner.
+// Open starts a group from its stored state. If nothing is stored, the host
+// generates a new disk identity and waits, without a vote, until the group adds
+// it as a learner.
 func (m *Manager) Open(id groupID, machine port.StateMachine) (port.Replica, error) {
 	stored, data, ok, err := m.options.Storage.Load(id)
 	if err != nil {
@@ -203,12 +205,12 @@
 		return nil, eris.Wrapf(err, "replica: group %d", id)
 	}
 	g := &group{
-		manager:   m,
-		worker:    m.workers[int(id)%len(m.workers)],
-		id:        id,
-		node:      node,
-		committed: stored.Snapshot.Index,
-		reads:     pendingReads{started: make(map[uint64]startedReads)},
+		manager:       m,
+		worker:        m.workers[int(id)%len(m.workers)],
+		id:            id,
+		node:          node,
+		lastCommitted: stored.Snapshot.Index,
+		reads:         pendingReads{started: make(map[uint64]startedReads)},
 	}
 	g.applier = applier{group: g, machine: machine, waiters: make(map[uint64]*proposal)}
 	g.applier.applied.Store(stored.Snapshot.Index)
@@ -219,8 +221,8 @@
 	return g, nil
 }
 
-// register reports false if a group of the same number is open. It must not be called by
-// a worker, nor call one: workers take the manager's lock within their own.
+// register returns false if a group with the same ID is open. It must not be called
+// by a worker, nor call one: workers acquire the manager's lock while holding theirs.
 func (m *Manager) register(g *group) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -231,7 +233,7 @@
 	return true
 }
 
-// Groups lists the open groups.
+// Groups returns the IDs of the open groups, in no particular order.
 func (m *Manager) Groups() []groupID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -242,11 +244,11 @@
 	return ids
 }
 
-// count returns how many open groups satisfy is; nil stands for all.
-func (m *Manager) count(is func(*group) bool) float64 {
+// count returns the number of open groups that match; nil matches all.
+func (m *Manager) count(match func(*group) bool) float64 {
 	counted := 0
 	for _, id := range m.Groups() {
-		if g, err := m.find(id); err == nil && (is == nil || is(g)) {
+		if g, err := m.find(id); err == nil && (match == nil || match(g)) {
 			counted++
 		}
 	}
@@ -263,7 +265,8 @@
 	return g, nil
 }
 
-// checkRole keeps processes other than control hosts out of the groups.
+// checkRole returns an error unless the peer is a control host; no other process
+// may take part in the groups.
 func checkRole(from port.Peer) error {
 	if from.Role != RoleControl {
 		return eris.Errorf("replica: host %q has role %q, not %q", from.Host, from.Role, RoleControl)
@@ -271,8 +274,8 @@
 	return nil
 }
 
-// handleMessages takes in the messages of another manager. The sender named in
-// a message must be the authenticated peer: otherwise one host could vote in
+// handleMessages queues the messages of another manager. Messages whose From is
+// not the authenticated peer are dropped: otherwise one host could vote in
 // another's name.
 func (m *Manager) handleMessages(_ context.Context, from port.Peer, _ port.Method, body []byte) ([]byte, error) {
 	if err := checkRole(from); err != nil {
@@ -302,7 +305,8 @@
 	return nil, nil
 }
 
-// newDiskID draws the identity of a disk that is used for the first time.
+// newDiskID returns a random, non-zero identity for a disk that is used for the
+// first time.
 func newDiskID() quorum.DiskID {
 	for {
 		if id := quorum.DiskID(randomUint64()); id != 0 {
@@ -318,7 +322,7 @@
 func randomUint64() uint64 {
 	var buffer [8]byte
 	if _, err := crand.Read(buffer[:]); err != nil {
-		panic(eris.Wrap(err, "replica: no randomness"))
+		panic(eris.Wrap(err, "replica: reading random bytes failed"))
 	}
 	return binary.BigEndian.Uint64(buffer[:])
 }
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -15,16 +15,17 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// promotePoll is how often a promotion is tried while the learner catches up.
+// promotePoll is the interval between attempts to commit a membership change,
+// for example a promotion while the learner catches up.
 const promotePoll = 20 * time.Millisecond
 
 type identifyRequest struct {
 	Group groupID `cbor:"1,keyasint"`
 }
 
-type identifyAnswer struct {
+type identifyResponse struct {
 	Disk quorum.DiskID `cbor:"1,keyasint"`
-	// Member is set when the host knows a membership of the group.
+	// Member is set if the host has a stored membership of the group.
 	Member bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -41,29 +42,29 @@
 		return nil, err
 	}
 	status := g.worker.status(g)
-	return wire.Marshal(identifyAnswer{Disk: status.Disk, Member: len(status.Members.Voters) > 0})
+	return wire.Marshal(identifyResponse{Disk: status.Disk, Member: len(status.Members.Voters) > 0})
 }
 
-func (m *Manager) identify(ctx context.Context, id groupID, host ident.Host) (identifyAnswer, error) {
-	var answer identifyAnswer
+func (m *Manager) identify(ctx context.Context, id groupID, host ident.Host) (identifyResponse, error) {
+	var response identifyResponse
 	address := m.options.Address(host)
 	if address == "" {
-		return answer, eris.Errorf("replica: no address of host %q", host)
+		return response, eris.Errorf("replica: no address of host %q", host)
 	}
-	ctx, cancel := m.bound(ctx)
+	ctx, cancel := m.withDefaultTimeout(ctx)
 	defer cancel()
 	body, err := m.options.Peers.Call(ctx, address, MethodIdentify, wire.MustMarshal(identifyRequest{Group: id}))
 	if err != nil {
-		return answer, eris.Wrapf(err, "replica: identify host %q", host)
+		return response, eris.Wrapf(err, "replica: identify host %q", host)
 	}
-	return answer, eris.Wrap(wire.Unmarshal(body, &answer), "replica: identify")
+	return response, eris.Wrap(wire.Unmarshal(body, &response), "replica: identify")
 }
 
-// Bootstrap creates a group whose only voter is this host and opens it. It asks all
-// hosts that are meant to take part and refuses when one does not answer or
-// knows the group: a host whose disk was wiped must not form the group a
-// second time. Only the first of hosts in order may form, so that two can't do
-// it at once.
+// Bootstrap creates a group whose only voter is this host and opens it. It first
+// queries all hosts of the future group and fails if one does not respond or is a
+// member already: a host whose disk was wiped must not bootstrap the group a
+// second time. Only the first of hosts by name may bootstrap, so that two hosts
+// can't do it concurrently.
 func (m *Manager) Bootstrap(ctx context.Context, id groupID, machine port.StateMachine, hosts []ident.Host) (port.Replica, error) {
 	if first := slices.Min(append(slices.Clone(hosts), m.options.Self)); first != m.options.Self {
 		return nil, eris.Errorf("replica: group %d is formed by host %q", id, first)
@@ -75,11 +76,11 @@
 		if host == m.options.Self {
 			continue
 		}
-		answer, err := m.identify(ctx, id, host)
+		response, err := m.identify(ctx, id, host)
 		if err != nil {
 			return nil, err
 		}
-		if answer.Member {
+		if response.Member {
 			return nil, eris.Wrapf(ErrGroupExists, "host %q is a member", host)
 		}
 	}
@@ -98,27 +99,28 @@
 
 // AddLearner makes host a learner of a group that this host leads.
 func (m *Manager) AddLearner(ctx context.Context, id groupID, host ident.Host) error {
-	answer, err := m.identify(ctx, id, host)
+	response, err := m.identify(ctx, id, host)
 	if err != nil {
 		return err
 	}
-	return m.change(ctx, id, quorum.MemberChange{Kind: quorum.AddLearner, Host: host, Disk: answer.Disk})
+	return m.change(ctx, id, quorum.MemberChange{Kind: quorum.AddLearner, Host: host, Disk: response.Disk})
 }
 
-// Promote makes a learner a voter. It waits until the learner has caught up.
+// Promote makes a learner a voter. It retries until the learner has caught up or
+// ctx ends.
 func (m *Manager) Promote(ctx context.Context, id groupID, host ident.Host) error {
 	return m.change(ctx, id, quorum.MemberChange{Kind: quorum.Promote, Host: host})
 }
 
-// Remove takes a host out of a group.
+// Remove removes a host from a group.
 func (m *Manager) Remove(ctx context.Context, id groupID, host ident.Host) error {
 	return m.change(ctx, id, quorum.MemberChange{Kind: quorum.Remove, Host: host})
 }
 
-// Join makes hosts voters, one after the other. Those that are voters with
-// their present disk already are left alone; one whose disk was replaced is
-// removed first and comes back as a learner. Hosts that can't be joined don't
-// keep it from the others.
+// Join makes hosts voters, one after the other. Hosts that are voters with their
+// current disk are skipped; a host whose disk was replaced is removed first and
+// added again as a learner. A host that fails to join does not stop the others;
+// the errors are joined.
 func (m *Manager) Join(ctx context.Context, id groupID, hosts []ident.Host) error {
 	var failed []error
 	for _, host := range hosts {
@@ -137,24 +139,24 @@
 	if err != nil {
 		return err
 	}
-	answer, err := m.identify(ctx, id, host)
+	response, err := m.identify(ctx, id, host)
 	if err != nil {
 		return err
 	}
 	members := g.worker.status(g).Members
 	voter, isVoter := diskOf(members.Voters, host)
 	learner, isLearner := diskOf(members.Learners, host)
-	if isVoter && voter == answer.Disk {
+	if isVoter && voter == response.Disk {
 		return nil
 	}
-	if (isVoter && voter != answer.Disk) || (isLearner && learner != answer.Disk) {
+	if (isVoter && voter != response.Disk) || (isLearner && learner != response.Disk) {
 		if err := m.Remove(ctx, id, host); err != nil {
 			return err
 		}
 		isLearner = false
 	}
 	if !isLearner {
-		change := quorum.MemberChange{Kind: quorum.AddLearner, Host: host, Disk: answer.Disk}
+		change := quorum.MemberChange{Kind: quorum.AddLearner, Host: host, Disk: response.Disk}
 		if err := m.change(ctx, id, change); err != nil {
 			return err
 		}
@@ -171,14 +173,14 @@
 	return 0, false
 }
 
-// change commits a change of membership, trying again while an earlier one is
-// pending, the learner is behind or nobody leads yet.
+// change commits a membership change. It retries while an earlier change is
+// pending, the learner is behind, the group has no leader or a queue is full.
 func (m *Manager) change(ctx context.Context, id groupID, change quorum.MemberChange) error {
 	g, err := m.find(id)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := m.bound(ctx)
+	ctx, cancel := m.withDefaultTimeout(ctx)
 	defer cancel()
 	for {
 		_, err := g.submit(ctx, newProposal(nil, &change))
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -18,15 +18,15 @@
 	DefaultWorkers         = 2
 	DefaultSnapshotEntries = 4096
 	DefaultSnapshotBytes   = 16 << 20
-	DefaultMaxWaiting      = 16384
+	DefaultMaxQueuedEvents = 16384
 	DefaultMaxBacklog      = 16384
 	DefaultCallTimeout     = 5 * time.Second
 )
 
-// ticksPerHeartbeat is how often a node is told the time.
+// ticksPerHeartbeat is the number of Tick calls to a node per heartbeat interval.
 const ticksPerHeartbeat = 4
 
-// Storage is what a manager needs of a data folder; *disk.Folder is one.
+// Storage is the data folder that a manager uses; *disk.Folder implements it.
 type Storage interface {
 	Load(group port.GroupID) (stored quorum.StoredState, data []byte, ok bool, err error)
 	Save(update disk.Update) error
@@ -35,40 +35,41 @@
 }
 
 // Options configures a Manager. Self, Storage, Peers, Registry and Address are
-// required; a zero value elsewhere takes the default of the same name.
+// required; any other field that is zero takes the default of the same name.
 type Options struct {
 	Self     ident.Host
 	Storage  Storage
 	Peers    port.PeerClient
 	Registry port.PeerRegistry
-	// Address returns where a control host listens, empty when unknown.
+	// Address returns the peer address of a control host, empty if unknown.
 	Address func(ident.Host) string
-	// Quorum is the template of every group's options. Self and Rand are
-	// filled in.
+	// Quorum is the template of every group's options. The manager sets Self
+	// and Rand.
 	Quorum quorum.Options
 	// Workers is the number of goroutines that own groups.
 	Workers int
-	// A group takes a snapshot once SnapshotEntries entries or SnapshotBytes
-	// bytes were committed since the last one.
+	// SnapshotEntries and SnapshotBytes are the entries and bytes committed since
+	// the last snapshot, either of which makes a group take the next one.
 	SnapshotEntries int
 	SnapshotBytes   int
-	// MaxQueuedEvents bounds the events that wait for one worker, MaxBacklog the
-	// committed entries that wait for one state machine before proposals are
-	// refused.
+	// MaxQueuedEvents is the maximum number of events queued for one worker.
+	// MaxBacklog is the number of committed entries queued for one state machine
+	// from which on proposals are refused.
 	MaxQueuedEvents int
 	MaxBacklog      int
-	// CallTimeout bounds proposals and reads whose context has no deadline,
-	// and the messages to other hosts about membership.
+	// CallTimeout is the timeout of calls whose context has no deadline:
+	// proposals, reads, leadership transfers, membership changes and the requests
+	// to other hosts that these need.
 	CallTimeout time.Duration
-	// Clock tells the time by which groups count leases and elections, nil means
-	// time.Now. It must be steady and go on while this process, or the machine as a
-	// whole, stands still. ReplicaStatus.LeaseEnd is on it.
+	// Clock returns the time that leases and elections are measured by; nil means
+	// time.Now. It must be monotonic and keep advancing while this process is paused
+	// or the machine is suspended. ReplicaStatus.LeaseEnd is a time of this clock.
 	Clock func() time.Time
-	// Log receives one line for each event; nil discards them.
+	// Log receives the log lines; nil discards them.
 	Log *log.Logger
 }
 
-// Validate reports the first option that cannot work.
+// Validate returns an error for the first invalid option.
 func (o Options) Validate() error {
 	switch {
 	case o.Self == "":
@@ -78,7 +79,7 @@
 	case o.Peers == nil || o.Registry == nil || o.Address == nil:
 		return eris.New("replica: peers, registry, address: must be set")
 	case o.Workers < 0 || o.SnapshotEntries < 0 || o.MaxQueuedEvents < 0 || o.MaxBacklog < 0:
-		return eris.New("replica: workers, snapshot entries, max waiting, max backlog: must not be negative")
+		return eris.New("replica: workers, snapshot entries, max queued events, max backlog: must not be negative")
 	}
 	return nil
 }
@@ -87,7 +88,7 @@
 	setDefault(&o.Workers, DefaultWorkers)
 	setDefault(&o.SnapshotEntries, DefaultSnapshotEntries)
 	setDefault(&o.SnapshotBytes, DefaultSnapshotBytes)
-	setDefault(&o.MaxQueuedEvents, DefaultMaxWaiting)
+	setDefault(&o.MaxQueuedEvents, DefaultMaxQueuedEvents)
 	setDefault(&o.MaxBacklog, DefaultMaxBacklog)
 	setDefault(&o.CallTimeout, DefaultCallTimeout)
 	setDefault(&o.Quorum.Heartbeat, quorum.DefaultHeartbeat)
--- a/internal/replica/outbox.go
+++ b/internal/replica/outbox.go
@@ -7,28 +7,30 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// Methods between managers.
+// Peer methods of managers.
 const (
-	// MethodMessages carries messages of groups, one way.
+	// MethodMessages sends messages of groups and has no response.
 	MethodMessages port.Method = "replica.messages"
-	// MethodIdentify asks a host which disk identity it has for a group.
+	// MethodIdentify requests the disk identity of a host for a group.
 	MethodIdentify port.Method = "replica.identify"
 )
 
 const (
-	// maxBodyBytes is the size after which a body takes no further message.
+	// maxBodyBytes is the approximate maximum size of a body with more than one
+	// message; a single larger message is sent alone.
 	maxBodyBytes = 1 << 20
-	// messageOverhead is roughly the size of a message beside its data.
+	// messageOverhead is the approximate encoded size of a message or entry without
+	// its data.
 	messageOverhead = 96
 )
 
-// envelope is a message with its group.
+// envelope is a message with the ID of its group.
 type envelope struct {
 	Group   port.GroupID   `cbor:"1,keyasint"`
 	Message quorum.Message `cbor:"2,keyasint"`
 }
 
-// outbox collects the messages of all groups of a worker for each peer.
+// outbox collects the messages of all groups of a worker by peer.
 type outbox struct {
 	manager *Manager
 	peers   map[ident.Host][]envelope
@@ -41,8 +43,8 @@
 	}
 }
 
-// flush sends what was collected. A message that is dropped here is sent again
-// by the group's own timers.
+// flush sends the collected messages. The timers of a group resend a message that
+// is dropped here.
 func (o *outbox) flush() {
 	for host, envelopes := range o.peers {
 		if len(envelopes) == 0 {
@@ -62,7 +64,7 @@
 		return
 	}
 	for len(envelopes) > 0 {
-		count := fitting(envelopes)
+		count := countFitting(envelopes)
 		body := wire.MustMarshal(envelopes[:count])
 		if o.manager.options.Peers.Send(address, MethodMessages, body) {
 			stats.bodies.Inc()
@@ -74,8 +76,9 @@
 	}
 }
 
-// fitting returns how many envelopes go into one body, at least one.
-func fitting(envelopes []envelope) int {
+// countFitting returns the number of leading envelopes that fit in one body, at
+// least one.
+func countFitting(envelopes []envelope) int {
 	size := 0
 	for i := range envelopes {
 		size += messageSize(&envelopes[i].Message)
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -12,20 +12,22 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// The states of a proposal. It leaves proposalWaiting exactly once: the worker
-// takes it, or its caller withdraws it and knows that nothing was appended.
+// The states of a proposal. It leaves proposalWaiting exactly once: either the
+// worker accepts it, or its caller withdraws it and then knows that nothing was
+// appended.
 const (
 	proposalWaiting uint32 = iota
-	proposalTaken
+	proposalAccepted
 	proposalWithdrawn
 )
 
-// proposal is a command or a change of membership on its way to commit.
+// proposal is a command or a membership change that is to be committed.
 type proposal struct {
 	data   []byte
 	change *quorum.MemberChange
 	state  atomic.Uint32
-	// term is that of the entry; it is set before the proposal is expected.
+	// term is the term of the entry. It is set before the proposal is added to the
+	// waiters.
 	term   uint64
 	result chan proposalResult
 }
@@ -39,8 +41,8 @@
 	return &proposal{data: data, change: change, result: make(chan proposalResult, 1)}
 }
 
-// answer settles the proposal; only the first answer counts.
-func (p *proposal) answer(body []byte, err error) {
+// resolve sets the result of the proposal. Calls after the first have no effect.
+func (p *proposal) resolve(body []byte, err error) {
 	select {
 	case p.result <- proposalResult{body: body, err: err}:
 	default:
@@ -55,10 +57,10 @@
 }
 
 func (g *group) submit(ctx context.Context, p *proposal) ([]byte, error) {
-	ctx, cancel := g.manager.bound(ctx)
+	ctx, cancel := g.manager.withDefaultTimeout(ctx)
 	defer cancel()
-	if g.stopped() {
-		return nil, &SuspendedError{Group: g.id, Reason: g.reason()}
+	if g.isSuspended() {
+		return nil, &SuspendedError{Group: g.id, Reason: g.suspendReason()}
 	}
 	if g.applier.full() || !g.worker.inbox.offer(event{group: g, proposal: p}) {
 		return nil, ErrBusy
@@ -75,8 +77,8 @@
 	return g.lateResult(p)
 }
 
-// lateResult returns an answer that came at the same time as the end of the
-// wait.
+// lateResult returns the result of an accepted proposal whose caller stopped
+// waiting, or an uncertain outcome if there is none yet.
 func (g *group) lateResult(p *proposal) ([]byte, error) {
 	select {
 	case result := <-p.result:
@@ -87,9 +89,9 @@
 	}
 }
 
-// propose appends p. It runs on the worker.
+// propose appends p to the log unless it was withdrawn. It runs on the worker.
 func (g *group) propose(now time.Time, p *proposal) {
-	if !p.state.CompareAndSwap(proposalWaiting, proposalTaken) {
+	if !p.state.CompareAndSwap(proposalWaiting, proposalAccepted) {
 		return
 	}
 	var index, term uint64
@@ -100,24 +102,24 @@
 		index, term, err = g.node.Propose(now, p.data)
 	}
 	if err != nil {
-		p.answer(nil, translate(err))
+		p.resolve(nil, toPortError(err))
 		return
 	}
 	p.term = term
-	g.applier.expect(index, p)
+	g.applier.addWaiter(index, p)
 }
 
-// commit hands committed entries to the state machine and asks for a snapshot
-// when enough has come together.
+// commit passes committed entries to the applier and requests a snapshot when one
+// is due.
 func (g *group) commit(entries []quorum.Entry) {
 	g.applier.add(applyItem{entries: entries})
 	for i := range entries {
-		g.sinceBytes += len(entries[i].Data)
+		g.bytesSinceSnapshot += len(entries[i].Data)
 	}
-	g.sinceEntries += len(entries)
-	g.committed = entries[len(entries)-1].Index
+	g.entriesSinceSnapshot += len(entries)
+	g.lastCommitted = entries[len(entries)-1].Index
 	if g.snapshotDue() {
-		g.askSnapshot()
+		g.requestSnapshot()
 	}
 }
 
@@ -143,7 +145,7 @@
 		Last:      s.Last,
 		Voters:    hosts(s.Members.Voters),
 		Learners:  hosts(s.Members.Learners),
-		Suspended: g.reason(),
+		Suspended: g.suspendReason(),
 	}
 	if status.Suspended != "" {
 		status.IsLeader = false
@@ -152,8 +154,8 @@
 	return status
 }
 
-// QuorumStatus returns what the consensus of a group knows, for dumps: its peers,
-// how far each has synced, and disks that were replaced or rolled back.
+// QuorumStatus returns the consensus status of a group for dumps: its peers, the
+// index that each has synced, and disks that were replaced or rolled back.
 func (m *Manager) QuorumStatus(id groupID) (quorum.Status, error) {
 	g, err := m.find(id)
 	if err != nil {
--- a/internal/replica/random_test.go
+++ b/internal/replica/random_test.go
@@ -13,13 +13,13 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-var longSeeds = flag.Int("replica.seeds", 4, "number of random fault schedules")
+var seedCount = flag.Int("replica.seeds", 4, "number of random fault schedules")
 
-// Hosts crash, lose power together, are parted and come back at random while
-// commands are proposed. Whatever was acknowledged must be applied once, in
-// the order of the acknowledgements, and by all hosts alike.
+// Hosts crash, lose power together, are partitioned and restart at random while
+// commands are proposed. All hosts must apply each acknowledged command exactly once,
+// in the order of the acknowledgements.
 func TestRandomFaults(t *testing.T) {
-	for seed := range *longSeeds {
+	for seed := range *seedCount {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				if lost := runSchedule(t, uint64(seed), nil, readConfirmed); lost != "" {
@@ -30,46 +30,47 @@
 	}
 }
 
-// lyingStorage reports writes as synced before they are: the seeded bug that
-// the schedule must find.
-type lyingStorage struct{ Storage }
+// earlyAckStorage reports writes as synced before they are. It is the seeded bug that
+// TestRandomFaultsFindAnAnswerBeforeSync must detect.
+type earlyAckStorage struct{ Storage }
 
-func (l lyingStorage) Start(update disk.Update, done func(error)) {
+func (s earlyAckStorage) Start(update disk.Update, done func(error)) {
 	done(nil)
-	l.Storage.Start(update, func(error) {})
+	s.Storage.Start(update, func(error) {})
 }
 
-// The runtime acknowledges before the sync. A power loss then takes commands
-// that callers were told are committed, and the same schedules must show it.
+// With storage that acknowledges before the sync, a power loss destroys commands that
+// were acknowledged as committed. The schedules of TestRandomFaults must detect it.
 func TestRandomFaultsFindAnAnswerBeforeSync(t *testing.T) {
 	found := 0
 	for seed := range 6 {
 		synctest.Test(t, func(t *testing.T) {
-			lie := func(o *Options) { o.Storage = lyingStorage{o.Storage} }
-			if runSchedule(t, uint64(seed), lie, nil) != "" {
+			acknowledgeEarly := func(o *Options) { o.Storage = earlyAckStorage{o.Storage} }
+			if runSchedule(t, uint64(seed), acknowledgeEarly, nil) != "" {
 				found++
 			}
 		})
 	}
 	if found == 0 {
-		t.Fatal("no schedule found the seeded bug")
+		t.Fatal("no schedule detected the seeded bug")
 	}
-	t.Logf("%d of 6 schedules found it", found)
+	t.Logf("%d of 6 schedules detected the seeded bug", found)
 }
 
-// readConfirmed returns what a host shows after a read barrier, and false when
-// the barrier failed.
+// readConfirmed returns the commands a host has applied after a read barrier, and
+// false if the barrier failed.
 func readConfirmed(replica port.Replica) ([]string, bool) {
-	if err := replica.ReadBarrier(limit(200 * time.Millisecond)); err != nil {
+	if err := replica.ReadBarrier(timeoutContext(200 * time.Millisecond)); err != nil {
 		return nil, false
 	}
 	return commands(replica), true
 }
 
-// readStale shows what a host has without a barrier: the seeded bug that the
-// check of reads must find.
+// readStale returns the commands a host has applied, without a read barrier. It is
+// the seeded bug that TestRandomFaultsFindAStaleRead must detect.
 func readStale(replica port.Replica) ([]string, bool) { return commands(replica), true }
 
+// The read check of the schedules must detect reads without a barrier.
 func TestRandomFaultsFindAStaleRead(t *testing.T) {
 	found := 0
 	for seed := range 3 {
@@ -80,31 +81,32 @@
 		})
 	}
 	if found != 3 {
-		t.Fatalf("only %d of 3 schedules found the seeded bug", found)
+		t.Fatalf("only %d of 3 schedules detected the seeded bug", found)
 	}
 }
 
-// staleRead asks all hosts, also those behind a partition, and reports one
-// that lacks a command which was acknowledged before.
+// staleRead reads from all running hosts, including partitioned ones, and describes
+// the first that lacks an acknowledged command. It returns an empty string if none does.
 func (c *testCluster) staleRead(acked []string, read func(port.Replica) ([]string, bool)) string {
 	for _, host := range c.hosts {
 		if read == nil || host.manager == nil {
 			continue
 		}
 		if seen, ok := read(host.replicas[0]); ok && missing(seen, acked) != "" {
-			return fmt.Sprintf("host %s answers a read without %s", host.name, missing(seen, acked))
+			return fmt.Sprintf("host %s served a stale read: %s", host.name, missing(seen, acked))
 		}
 	}
 	return ""
 }
 
-// runSchedule returns what was lost, empty when all is well.
-func runSchedule(t *testing.T, seed uint64, change func(o *Options), read func(port.Replica) ([]string, bool)) string {
+// runSchedule runs one random fault schedule and describes the first violation, empty
+// if there is none. configure and read may be nil.
+func runSchedule(t *testing.T, seed uint64, configure func(o *Options), read func(port.Replica) ([]string, bool)) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	c := newCluster(t, 3, 1, func(o *Options) {
 		o.SnapshotEntries = 15
-		if change != nil {
-			change(o)
+		if configure != nil {
+			configure(o)
 		}
 	})
 	var acked []string
@@ -116,19 +118,19 @@
 		if stale := c.staleRead(acked, read); stale != "" {
 			return stale
 		}
-		c.disturb(random)
+		c.injectFault(random)
 		if stale := c.staleRead(acked, read); stale != "" {
 			return stale
 		}
 	}
-	c.setSide(0, c.hosts...)
+	c.setPartition(0, c.hosts...)
 	for _, host := range c.hosts {
 		if host.manager == nil {
 			host.start()
 		}
 	}
-	if change != nil && !c.anyLeader() {
-		return "no leader comes up again"
+	if configure != nil && !c.anyLeader() {
+		return "no leader was elected after the faults"
 	}
 	applied, differs := c.compare()
 	if differs != "" {
@@ -140,7 +142,8 @@
 	return missing(applied, acked)
 }
 
-// suspended names a host that takes no part any more although its disk never failed.
+// suspended describes a host that is suspended although its disk never failed, empty
+// if there is none.
 func (c *testCluster) suspended() string {
 	for _, host := range c.hosts {
 		if reason := host.replicas[0].Status().Suspended; reason != "" {
@@ -162,7 +165,8 @@
 	return false
 }
 
-func (c *testCluster) disturb(random *rand.Rand) {
+// injectFault crashes, partitions or restarts hosts at random, then waits up to 300 ms.
+func (c *testCluster) injectFault(random *rand.Rand) {
 	host := c.hosts[random.IntN(len(c.hosts))]
 	switch random.IntN(8) {
 	case 0:
@@ -170,9 +174,9 @@
 			host.crash(random.IntN(200))
 		}
 	case 1:
-		c.setSide(1, host)
+		c.setPartition(1, host)
 	case 2:
-		c.setSide(0, c.hosts...)
+		c.setPartition(0, c.hosts...)
 	case 3: // power loss
 		for _, host := range c.hosts {
 			if host.manager != nil {
@@ -190,13 +194,14 @@
 	time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
 }
 
-// missing compares what was acknowledged with what was applied.
+// missing describes the first acknowledged command that was not applied exactly once
+// and in order, empty if there is none.
 func missing(applied, acked []string) string {
 	from := 0
 	for _, command := range acked {
 		at := slices.Index(applied[from:], command)
 		if at < 0 {
-			return fmt.Sprintf("%s was acknowledged and is not applied in its order: %v", command, applied)
+			return fmt.Sprintf("%s was acknowledged but not applied in order: %v", command, applied)
 		}
 		from += at + 1
 		if slices.Contains(applied[from:], command) {
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -15,26 +15,28 @@
 	result   chan error
 }
 
-// pendingReads are the reads of a group. Reads that arrive in one turn share
-// one read index.
+// pendingReads are the pending reads of a group. Reads that arrive in the same
+// iteration share one read index.
 type pendingReads struct {
-	fresh   []*read
+	// queued are the reads of this iteration, started are those that wait for their
+	// read index, by the ID passed to the node.
+	queued  []*read
 	started map[uint64]startedReads
 	nextID  uint64
 }
 
 type startedReads struct {
 	reads []*read
-	// deadline is the latest of the reads'.
+	// deadline is the latest deadline of the reads.
 	deadline time.Time
 }
 
 // ReadBarrier implements port.Replica.
 func (g *group) ReadBarrier(ctx context.Context) error {
-	ctx, cancel := g.manager.bound(ctx)
+	ctx, cancel := g.manager.withDefaultTimeout(ctx)
 	defer cancel()
-	if g.stopped() {
-		return &SuspendedError{Group: g.id, Reason: g.reason()}
+	if g.isSuspended() {
+		return &SuspendedError{Group: g.id, Reason: g.suspendReason()}
 	}
 	deadline, _ := ctx.Deadline()
 	r := &read{deadline: deadline, result: make(chan error, 1)}
@@ -51,49 +53,50 @@
 	}
 }
 
-// startReads asks the node for an index on behalf of the reads of this turn.
+// startReads requests a read index from the node for the reads of this iteration.
 func (g *group) startReads(now time.Time) {
-	if len(g.reads.fresh) == 0 {
+	if len(g.reads.queued) == 0 {
 		return
 	}
-	fresh := g.reads.fresh
-	g.reads.fresh = nil
+	queued := g.reads.queued
+	g.reads.queued = nil
 	g.reads.nextID++
 	id := g.reads.nextID
 	g.manager.stats.readRounds.Inc()
 	if err := g.node.ReadIndex(now, id); err != nil {
-		failAll(fresh, translate(err))
+		failAll(queued, toPortError(err))
 		return
 	}
-	latest := fresh[0].deadline
-	for _, r := range fresh {
+	latest := queued[0].deadline
+	for _, r := range queued {
 		if r.deadline.After(latest) {
 			latest = r.deadline
 		}
 	}
-	g.reads.started[id] = startedReads{reads: fresh, deadline: latest}
+	g.reads.started[id] = startedReads{reads: queued, deadline: latest}
 }
 
-func (g *group) finishReads(answers []quorum.Read) {
-	var ready []readAt
-	for _, answer := range answers {
-		started, ok := g.reads.started[answer.ID]
+func (g *group) finishReads(results []quorum.Read) {
+	var ready []indexedReads
+	for _, result := range results {
+		started, ok := g.reads.started[result.ID]
 		if !ok {
 			continue
 		}
-		delete(g.reads.started, answer.ID)
-		if answer.Err != nil {
-			failAll(started.reads, translate(answer.Err))
+		delete(g.reads.started, result.ID)
+		if result.Err != nil {
+			failAll(started.reads, toPortError(result.Err))
 			continue
 		}
-		ready = append(ready, readAt{index: answer.Index, reads: started.reads})
+		ready = append(ready, indexedReads{index: result.Index, reads: started.reads})
 	}
 	if len(ready) > 0 {
 		g.applier.add(applyItem{reads: ready})
 	}
 }
 
-// expire forgets reads whose answer was lost and whose callers have left.
+// expire drops the reads whose read index was not received before the deadline.
+// Their callers have stopped waiting by then.
 func (p *pendingReads) expire(now time.Time) {
 	for id, started := range p.started {
 		if now.After(started.deadline) {
@@ -103,8 +106,8 @@
 }
 
 func (p *pendingReads) fail(err error) {
-	failAll(p.fresh, err)
-	p.fresh = nil
+	failAll(p.queued, err)
+	p.queued = nil
 	for id, started := range p.started {
 		failAll(started.reads, err)
 		delete(p.started, id)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -15,7 +15,9 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-func TestCommandsReachAllHosts(t *testing.T) {
+// Each of 64 concurrent commands returns its own result and is applied on all hosts.
+// Followers name the leader to proposers and confirm reads.
+func TestCommandsAreAppliedOnAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, nil)
 		leader := c.leader()
@@ -23,52 +25,52 @@
 		for i := range 64 {
 			group.Go(func() {
 				command := fmt.Sprint("c", i)
-				place, err := leader.replicas[0].Propose(limit(time.Second), []byte(command))
+				position, err := leader.replicas[0].Propose(timeoutContext(time.Second), []byte(command))
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				var at int
-				_, _ = fmt.Sscan(string(place), &at)
+				_, _ = fmt.Sscan(string(position), &at)
 				if list := commands(leader.replicas[0]); list[at-1] != command {
-					t.Errorf("%s got the result of %s", command, list[at-1])
+					t.Errorf("%s received the result of %s", command, list[at-1])
 				}
 			})
 		}
 		group.Wait()
-		if list := c.settle(); len(list) != 65 {
+		if list := c.checkEqualState(); len(list) != 65 {
 			t.Fatalf("%d commands applied", len(list))
 		}
 		for _, host := range c.hosts {
 			if host == leader {
 				continue
 			}
-			_, err := host.replicas[0].Propose(limit(time.Second), []byte("x"))
+			_, err := host.replicas[0].Propose(timeoutContext(time.Second), []byte("x"))
 			var notLeader *port.NotLeaderError
 			if !errors.As(err, &notLeader) || notLeader.Leader != leader.name {
-				t.Fatalf("a follower answers %v", err)
+				t.Fatalf("a proposal to a follower returned %v", err)
 			}
-			if err := host.replicas[0].ReadBarrier(limit(time.Second)); err != nil {
-				t.Fatalf("a follower's barrier: %v", err)
+			if err := host.replicas[0].ReadBarrier(timeoutContext(time.Second)); err != nil {
+				t.Fatalf("a read barrier on a follower returned %v", err)
 			}
 		}
 	})
 }
 
-// 64 callers propose at once. Their commands must share appends and syncs, or
-// the disk would bound them to the rate of one caller; the bounds are counts in
-// virtual time.
+// 64 callers propose concurrently. Their commands must share appends and syncs,
+// otherwise the disk would limit them to the rate of one caller. The bounds are
+// counts in virtual time.
 func TestProposalsShareSyncs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, nil)
 		leader := c.leader()
 		commits := func(writers int) (count, syncs int) {
-			before, until := leader.fs.Syncs(), time.Now().Add(2*time.Second)
+			before, deadline := leader.fs.Syncs(), time.Now().Add(2*time.Second)
 			var counted atomic.Int64
 			var group sync.WaitGroup
 			for range writers {
 				group.Go(func() {
-					for time.Now().Before(until) {
+					for time.Now().Before(deadline) {
 						propose(t, leader, "c")
 						counted.Add(1)
 					}
@@ -86,10 +88,10 @@
 	})
 }
 
-// The process that leads is killed while it has proposals under way. Callers
-// see an uncertain outcome, another host leads within a second, and what was
-// acknowledged is there on all hosts, also after the dead one is back.
-func TestLeaderIsKilled(t *testing.T) {
+// The leader's process is killed while it has pending proposals. Their outcome is
+// reported as uncertain, another host leads within a second, and all acknowledged
+// commands are on all hosts, also after the killed host has restarted.
+func TestLeaderCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, nil)
 		leader := c.leader()
@@ -97,14 +99,14 @@
 		pending := make(chan error, 1)
 		replica := leader.replicas[0]
 		go func() {
-			_, err := replica.Propose(limit(time.Second), []byte("open"))
+			_, err := replica.Propose(timeoutContext(time.Second), []byte("open"))
 			pending <- err
 		}()
 		time.Sleep(time.Millisecond)
 		killed := time.Now()
 		leader.crash(10)
 		if err := <-pending; !errors.Is(err, port.ErrUncertain) {
-			t.Fatalf("the open proposal got %v", err)
+			t.Fatalf("the pending proposal returned %v", err)
 		}
 		next := c.leader()
 		if gap := time.Since(killed); gap > time.Second {
@@ -112,15 +114,15 @@
 		}
 		propose(t, next, "after")
 		leader.start()
-		list := c.settle()
+		list := c.checkEqualState()
 		if !slices.Contains(list, "kept") || !slices.Contains(list, "after") {
 			t.Fatalf("applied %v", list)
 		}
 	})
 }
 
-// The leader's disk fails. It must not answer or vote again, even though its
-// network is fine; the others go on without it.
+// The leader's disk fails while its network works. It must neither serve requests nor
+// vote again, and the other hosts must continue without it.
 func TestFailedDiskSuspends(t *testing.T) {
 	for name, inject := range map[string]func(h *testHost){
 		"sync fails": func(h *testHost) { h.fs.FailSync(0) },
@@ -132,23 +134,23 @@
 				leader := c.leader()
 				propose(t, leader, "kept")
 				inject(leader)
-				// The others may commit it without the leader's disk, so the
-				// answer is either; the host is out afterwards.
-				_, _ = leader.replicas[0].Propose(limit(time.Second), []byte("open"))
+				// The other hosts may commit it without the leader's disk, so it may
+				// succeed or fail; the host is suspended afterwards.
+				_, _ = leader.replicas[0].Propose(timeoutContext(time.Second), []byte("open"))
 				time.Sleep(time.Second)
 				status := leader.replicas[0].Status()
 				if status.Suspended == "" || status.IsLeader {
 					t.Fatalf("status %+v", status)
 				}
 				var notLeader *port.NotLeaderError
-				if _, err := leader.replicas[0].Propose(limit(time.Second), []byte("x")); !errors.As(err, &notLeader) {
-					t.Fatalf("a suspended group answers %v", err)
+				if _, err := leader.replicas[0].Propose(timeoutContext(time.Second), []byte("x")); !errors.As(err, &notLeader) {
+					t.Fatalf("a proposal to a suspended group returned %v", err)
 				}
-				if err := leader.replicas[0].ReadBarrier(limit(time.Second)); err == nil {
-					t.Fatal("a suspended group gives a barrier")
+				if err := leader.replicas[0].ReadBarrier(timeoutContext(time.Second)); err == nil {
+					t.Fatal("a read barrier on a suspended group succeeded")
 				}
 				propose(t, c.leader(leader), "after")
-				if list := c.settle(); !slices.Contains(list, "kept") || slices.Contains(list, "x") {
+				if list := c.checkEqualState(); !slices.Contains(list, "kept") || slices.Contains(list, "x") {
 					t.Fatalf("applied %v", list)
 				}
 			})
@@ -156,9 +158,9 @@
 	}
 }
 
-// A host loses its disk and comes back empty. It takes no part until it is
-// joined again, as a learner first. Right after that repair a second host is
-// lost for good; nothing that was acknowledged may be lost with it.
+// A host restarts with an empty disk and must not take part until it is joined
+// again, as a learner first. Right after that repair a second host is lost
+// permanently. No acknowledged command may be lost with it.
 func TestSecondLossAfterRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, nil)
@@ -172,13 +174,13 @@
 		wiped.start()
 		time.Sleep(time.Second)
 		if status := wiped.replicas[0].Status(); status.IsLeader || status.Applied != 0 {
-			t.Fatalf("an empty host takes part: %+v", status)
+			t.Fatalf("a host with an empty disk takes part: %+v", status)
 		}
 		c.join(leader, 0)
 		leader.crash(0)
 		leader.wipe()
 		propose(t, c.leader(), "after")
-		list := c.settle()
+		list := c.checkEqualState()
 		for i := range 50 {
 			if !slices.Contains(list, fmt.Sprint("c", i)) {
 				t.Fatalf("c%d is lost", i)
@@ -187,42 +189,42 @@
 	})
 }
 
-// A wiped host must not form the group a second time, and only one host may
-// form it at all.
-func TestGroupIsFormedOnce(t *testing.T) {
+// A wiped host must not bootstrap the group a second time, and only the first host
+// by name may bootstrap it at all.
+func TestGroupIsBootstrappedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, nil)
 		first := c.hosts[0]
 		first.crash(0)
 		first.wipe()
 		first.prepare()
-		if _, err := first.manager.Bootstrap(limit(time.Second), 0, &listMachine{}, c.names()); !errors.Is(err, ErrGroupExists) {
-			t.Errorf("a wiped host forms the group again: %v", err)
+		if _, err := first.manager.Bootstrap(timeoutContext(time.Second), 0, &listMachine{}, c.names()); !errors.Is(err, ErrGroupExists) {
+			t.Errorf("bootstrap on a wiped host returned %v", err)
 		}
 		first.run()
-		if _, err := c.hosts[1].manager.Bootstrap(limit(time.Second), 7, &listMachine{}, c.names()); err == nil {
-			t.Error("the second host forms a group as well")
+		if _, err := c.hosts[1].manager.Bootstrap(timeoutContext(time.Second), 7, &listMachine{}, c.names()); err == nil {
+			t.Error("bootstrap on the second host succeeded")
 		}
 	})
 }
 
-// A follower is away while the others commit more than their logs keep. It
-// comes back by a snapshot, and a restart begins at the snapshot too.
+// A follower is stopped while the others commit more entries than their logs retain.
+// It catches up by a snapshot, and a restart of any host begins at its snapshot.
 func TestSnapshots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, func(o *Options) { o.SnapshotEntries = 20 })
 		leader := c.leader()
-		away := c.hosts[(slices.Index(c.hosts, leader)+1)%3]
-		away.crash(0)
+		stopped := c.hosts[(slices.Index(c.hosts, leader)+1)%3]
+		stopped.crash(0)
 		for i := range 200 {
 			propose(t, leader, fmt.Sprint("c", i))
 		}
-		away.start()
-		if list := c.settle(); len(list) != 201 {
+		stopped.start()
+		if list := c.checkEqualState(); len(list) != 201 {
 			t.Fatalf("%d commands applied", len(list))
 		}
-		if away.manager.stats.installs.Get() == 0 {
-			t.Fatal("the follower took no snapshot")
+		if stopped.manager.stats.installs.Get() == 0 {
+			t.Fatal("the follower installed no snapshot")
 		}
 		for _, host := range c.hosts {
 			host.crash(0)
@@ -232,15 +234,15 @@
 				t.Fatalf("host %s: snapshot %d, %d entries, %v", host.name, stored.Snapshot.Index, len(stored.Entries), err)
 			}
 		}
-		if list := c.settle(); len(list) != 202 {
+		if list := c.checkEqualState(); len(list) != 202 {
 			t.Fatalf("%d commands applied after the restart", len(list))
 		}
 	})
 }
 
-// A sync of the leader's log takes long, so that commands are committed and
-// captured in snapshots before its own disk holds them. A snapshot stored before
-// its entries would leave a conflict behind it and suspend the group.
+// Syncs of the leader's log are slow, so that commands are committed and captured in
+// snapshots before its own disk holds them. A snapshot stored before its entries would
+// leave conflicting entries beyond its index and suspend the group.
 func TestSnapshotsWaitForASlowDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, func(o *Options) { o.SnapshotEntries = 3 })
@@ -250,9 +252,9 @@
 				leader.fs.SlowSync(100 * time.Millisecond)
 			}
 			propose(t, leader, fmt.Sprint("c", i))
-			leader.fs.SlowSync(0) // the long sync is under way
+			leader.fs.SlowSync(0) // the slow sync has started
 		}
-		if list := c.settle(); len(list) != 41 {
+		if list := c.checkEqualState(); len(list) != 41 {
 			t.Fatalf("%d commands applied", len(list))
 		}
 		if reason := leader.replicas[0].Status().Suspended; reason != "" {
@@ -264,35 +266,34 @@
 	})
 }
 
-// The leader sits alone on the far side of a partition and does not know. It
-// must not confirm reads once another leader may exist. Its proposals are
-// replaced by the new leader's: a caller that gave up knows nothing, one that
-// still waits learns that its command was not appended, and neither ever gets
-// the result of the command that took the place.
+// The leader is cut off by a partition. It must not confirm reads once another leader
+// may exist. Its proposals are replaced by the new leader's: a caller that timed out
+// gets an uncertain outcome, one that still waits gets NotLeaderError, and neither may
+// get the result of the command that replaced its own.
 func TestLeaderBehindAPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, nil)
 		old := c.leader()
-		c.setSide(1, old)
-		patient := make(chan error, 1)
+		c.setPartition(1, old)
+		waiting := make(chan error, 1)
 		replica := old.replicas[0]
 		go func() {
-			_, err := replica.Propose(limit(time.Minute), []byte("lost"))
-			patient <- err
+			_, err := replica.Propose(timeoutContext(time.Minute), []byte("lost"))
+			waiting <- err
 		}()
-		if _, err := old.replicas[0].Propose(limit(2*time.Second), []byte("lost")); !errors.Is(err, port.ErrUncertain) {
-			t.Fatalf("a proposal behind the partition got %v", err)
+		if _, err := old.replicas[0].Propose(timeoutContext(2*time.Second), []byte("lost")); !errors.Is(err, port.ErrUncertain) {
+			t.Fatalf("a proposal to the partitioned leader returned %v", err)
 		}
 		next := c.leader(old)
 		propose(t, next, "new")
-		if err := old.replicas[0].ReadBarrier(limit(time.Second)); err == nil {
-			t.Fatal("a read behind the partition was confirmed")
+		if err := old.replicas[0].ReadBarrier(timeoutContext(time.Second)); err == nil {
+			t.Fatal("a read on the partitioned leader was confirmed")
 		}
-		c.setSide(0, old)
-		list := c.settle()
+		c.setPartition(0, old)
+		list := c.checkEqualState()
 		var notLeader *port.NotLeaderError
-		if err := <-patient; !errors.As(err, &notLeader) {
-			t.Fatalf("the replaced proposal got %v", err)
+		if err := <-waiting; !errors.As(err, &notLeader) {
+			t.Fatalf("the replaced proposal returned %v", err)
 		}
 		if slices.Contains(list, "lost") || !slices.Contains(list, "new") {
 			t.Fatalf("applied %v", list)
@@ -300,36 +301,36 @@
 	})
 }
 
-// A graceful stop hands the leadership over, so that callers wait for a round
-// trip and not for an election. A proposal under way, which three slow disks of
-// five keep from its quorum until after the hand-over, still gets its answer.
-func TestStopHandsOver(t *testing.T) {
+// A graceful stop transfers the leadership, so that callers wait for a round trip and
+// not for an election. A pending proposal, which three slow disks of five keep from its
+// quorum until after the transfer, still gets its result.
+func TestStopTransfersLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5, 1, nil)
 		leader := c.leader()
 		for _, slow := range c.hosts[2:] {
 			slow.fs.SlowSync(30 * time.Millisecond)
 		}
-		answer := make(chan error, 1)
+		result := make(chan error, 1)
 		go func() {
-			_, err := leader.replicas[0].Propose(limit(time.Second), []byte("open"))
-			answer <- err
+			_, err := leader.replicas[0].Propose(timeoutContext(time.Second), []byte("open"))
+			result <- err
 		}()
 		time.Sleep(time.Microsecond)
-		began := time.Now()
-		leader.manager.Stop(limit(time.Second))
-		if err := <-answer; err != nil {
-			t.Fatalf("the proposal under way got %v", err)
+		start := time.Now()
+		leader.manager.Stop(timeoutContext(time.Second))
+		if err := <-result; err != nil {
+			t.Fatalf("the pending proposal returned %v", err)
 		}
 		next := c.leader(leader)
-		if gap := time.Since(began); gap >= quorum.DefaultElectionMin {
-			t.Fatalf("%v until %s led", gap, next.name)
+		if gap := time.Since(start); gap >= quorum.DefaultElectionMin {
+			t.Fatalf("%v until %s was the leader", gap, next.name)
 		}
 	})
 }
 
-// Idle groups exchange heartbeats. Those of all groups must share messages, or
-// their number would bound how many groups a process can hold.
+// The heartbeats of all idle groups must share bodies, otherwise their number would
+// limit how many groups a process can run.
 func TestHeartbeatsOfGroupsShareMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const groups = 32
@@ -352,8 +353,8 @@
 	})
 }
 
-// A host sends messages in another's name, for example to vote twice. They are
-// dropped: the sender must be the authenticated peer.
+// A host sends messages with another host's name as sender, for example to vote twice.
+// They must be dropped, because the sender is not the authenticated peer.
 func TestForgedSenderIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, nil)
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -7,48 +7,48 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// snapshotShare bounds the bytes of snapshots by those of the log.
-const snapshotShare = 4
+// maxSnapshotRatio is the maximum ratio of snapshot bytes to log bytes written.
+const maxSnapshotRatio = 4
 
 // snapshotDue reports whether enough was committed since the last snapshot. A
-// large state is captured less often, so that snapshots cost at most
-// snapshotShare times what the log itself does.
+// large state is captured less often, so that snapshots write at most
+// maxSnapshotRatio times as many bytes as the log.
 func (g *group) snapshotDue() bool {
 	options := &g.manager.options
-	enough := g.sinceEntries >= options.SnapshotEntries || g.sinceBytes >= options.SnapshotBytes
-	written := g.sinceBytes + g.sinceEntries*messageOverhead
-	return enough && !g.snapshotting && written*snapshotShare >= g.snapshotBytes
+	enough := g.entriesSinceSnapshot >= options.SnapshotEntries || g.bytesSinceSnapshot >= options.SnapshotBytes
+	written := g.bytesSinceSnapshot + g.entriesSinceSnapshot*messageOverhead
+	return enough && !g.snapshotting && written*maxSnapshotRatio >= g.snapshotBytes
 }
 
-// askSnapshot lets the state machine be captured right after the entries that
-// were handed out last.
-func (g *group) askSnapshot() {
-	meta, err := g.node.SnapshotMeta(g.committed)
+// requestSnapshot queues a snapshot of the state machine right after the last
+// committed entries.
+func (g *group) requestSnapshot() {
+	meta, err := g.node.SnapshotMeta(g.lastCommitted)
 	if err != nil {
-		g.manager.options.Log.Error("no snapshot", "group", uint32(g.id), "cause", err)
+		g.manager.options.Log.Error("snapshot request failed", "group", uint32(g.id), "cause", err)
 		return
 	}
 	g.snapshotting = true
-	g.sinceEntries, g.sinceBytes = 0, 0
+	g.entriesSinceSnapshot, g.bytesSinceSnapshot = 0, 0
 	g.applier.add(applyItem{snapshot: &meta})
 }
 
-// storeSnapshot writes a captured snapshot once this host has synced the
-// entries it covers. Before that the folder could still hold conflicting
-// entries after it, and a restart would put them behind the snapshot.
+// storeSnapshot writes the captured snapshot once this host has synced the entries
+// that it covers. Before that, the folder could still hold conflicting entries
+// beyond the snapshot's index, which a restart would append to the snapshot.
 func (g *group) storeSnapshot() {
-	if g.taken == nil || g.node.Status().Synced < g.taken.Meta.Index {
+	if g.captured == nil || g.node.Status().Synced < g.captured.Meta.Index {
 		return
 	}
-	taken := g.taken
-	g.taken = nil
-	g.snapshotBytes = len(taken.Data)
+	captured := g.captured
+	g.captured = nil
+	g.snapshotBytes = len(captured.Data)
 	g.manager.spawn(func() {
-		update := disk.Update{Group: g.id, Snapshot: taken}
+		update := disk.Update{Group: g.id, Snapshot: captured}
 		err := g.manager.options.Storage.Save(update)
-		result := event{group: g, stored: &taken.Meta}
+		result := event{group: g, stored: &captured.Meta}
 		if errors.Is(err, disk.ErrUpdate) {
-			// A later snapshot of the leader came first.
+			// A newer snapshot from the leader was stored first.
 			result.stored = &quorum.SnapshotMeta{}
 		} else if err != nil {
 			g.fail(err)
@@ -58,37 +58,38 @@
 	})
 }
 
-// compact drops the entries that the stored snapshot before this one covers.
+// compact completes a snapshot and drops the log entries that the stored snapshot
+// before it covers. An index of 0 means that no snapshot was stored.
 func (g *group) compact(meta quorum.SnapshotMeta) {
 	g.snapshotting = false
 	if meta.Index == 0 {
 		return
 	}
 	g.manager.stats.snapshots.Inc()
-	if g.previous.Index > 0 {
-		if err := g.node.Compact(g.previous); err != nil {
-			g.manager.options.Log.Warn("not compacted", "group", uint32(g.id), "cause", err)
+	if g.previousSnapshot.Index > 0 {
+		if err := g.node.Compact(g.previousSnapshot); err != nil {
+			g.manager.options.Log.Warn("log compaction failed", "group", uint32(g.id), "cause", err)
 		}
 	}
-	g.previous = meta
+	g.previousSnapshot = meta
 }
 
-// restore replaces the state machine's state by a snapshot from the leader.
+// restore replaces the state machine's state with a snapshot from the leader.
 func (g *group) restore(snapshot *quorum.Snapshot) {
 	g.manager.stats.installs.Inc()
-	g.committed = snapshot.Meta.Index
+	g.lastCommitted = snapshot.Meta.Index
 	g.snapshotBytes = len(snapshot.Data)
-	g.sinceEntries, g.sinceBytes = 0, 0
+	g.entriesSinceSnapshot, g.bytesSinceSnapshot = 0, 0
 	g.applier.add(applyItem{restore: snapshot})
 }
 
-// offerSnapshot reads the stored snapshot for a follower that needs entries
-// which are gone from the log.
+// offerSnapshot loads the stored snapshot for a follower that needs entries which
+// have been compacted from the log.
 func (g *group) offerSnapshot() {
-	if g.offering {
+	if g.offeringSnapshot {
 		return
 	}
-	g.offering = true
+	g.offeringSnapshot = true
 	g.manager.spawn(func() {
 		stored, data, ok, err := g.manager.options.Storage.Load(g.id)
 		if err != nil || !ok {
--- a/internal/replica/suspended_test.go
+++ b/internal/replica/suspended_test.go
@@ -9,53 +9,54 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// suspendableClock is a host's clock. While the machine is suspended it stands still
-// for the process; on waking it shows the time that went by if it counts it.
+// suspendableClock is a host's clock. It stops while the machine is suspended. After
+// the machine wakes up, it includes the time of the suspension if countsSuspension
+// is set.
 type suspendableClock struct {
-	counts bool
+	countsSuspension bool
 
 	mu sync.Mutex
-	// since is when the machine was suspended, zero while it runs, and missed the
-	// time of earlier suspensions that is not counted.
-	since  time.Time
-	missed time.Duration
+	// suspendedAt is the time at which the machine was suspended, zero while it runs.
+	// uncounted is the total time of previous suspensions that the clock excludes.
+	suspendedAt time.Time
+	uncounted   time.Duration
 }
 
 func (c *suspendableClock) now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.since.IsZero() {
-		return c.since.Add(-c.missed)
+	if !c.suspendedAt.IsZero() {
+		return c.suspendedAt.Add(-c.uncounted)
 	}
-	return time.Now().Add(-c.missed)
+	return time.Now().Add(-c.uncounted)
 }
 
 func (c *suspendableClock) suspend() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since = time.Now()
+	c.suspendedAt = time.Now()
 }
 
 func (c *suspendableClock) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.counts {
-		c.missed += time.Since(c.since)
+	if !c.countsSuspension {
+		c.uncounted += time.Since(c.suspendedAt)
 	}
-	c.since = time.Time{}
+	c.suspendedAt = time.Time{}
 }
 
-// Guards against a leader whose machine was suspended within its lease and that answers a
-// read after it woke by the rest of that lease, though others have elected a leader and
-// committed more meanwhile. The clock that doesn't count the suspension shows that the
-// stage brings this about.
+// A leader's machine is suspended during its lease while the other hosts elect a leader
+// and commit more. Guards against a stale read that the old leader serves under the rest
+// of its lease after it wakes up. The case "not counted" uses a clock that excludes the
+// suspension and has to show the stale read, which proves that the scenario produces it.
 func TestReadAfterASuspensionWithinTheLease(t *testing.T) {
-	for _, counts := range []bool{true, false} {
-		t.Run(map[bool]string{true: "counted", false: "not counted"}[counts], func(t *testing.T) {
+	for _, countsSuspension := range []bool{true, false} {
+		t.Run(map[bool]string{true: "counted", false: "not counted"}[countsSuspension], func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				clocks := make(map[ident.Host]*suspendableClock)
 				c := newCluster(t, 3, 1, func(o *Options) {
-					clock := &suspendableClock{counts: counts}
+					clock := &suspendableClock{countsSuspension: countsSuspension}
 					clocks[o.Self] = clock
 					o.Clock = clock.now
 				})
@@ -63,17 +64,17 @@
 				propose(t, old, "one")
 				time.Sleep(200 * time.Millisecond)
 				if end := old.replicas[0].Status().LeaseEnd; !clocks[old.name].now().Before(end) {
-					t.Fatalf("no lease to be suspended in: it ends %v", end)
+					t.Fatalf("the lease has expired before the suspension: it ends at %v", end)
 				}
 				clocks[old.name].suspend()
-				c.setSide(1, old)
+				c.setPartition(1, old)
 				propose(t, c.leader(old), "two")
-				// Nothing has reached the host yet when it is asked.
+				// No message has reached the host yet when it receives the read.
 				clocks[old.name].wake()
-				err := old.replicas[0].ReadBarrier(limit(100 * time.Millisecond))
-				held := len(commands(old.replicas[0]))
-				if stale := err == nil && held < 2; stale == counts {
-					t.Errorf("asked after it woke: answered with %d of 2 commands, %v", held, err)
+				err := old.replicas[0].ReadBarrier(timeoutContext(100 * time.Millisecond))
+				applied := len(commands(old.replicas[0]))
+				if stale := err == nil && applied < 2; stale == countsSuspension {
+					t.Errorf("read after waking up: %d of 2 commands applied, error %v", applied, err)
 				}
 			})
 		})
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -10,22 +10,22 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// transfer is one request to hand leadership over.
+// transfer is one request to transfer leadership.
 type transfer struct {
-	to     ident.Host
-	until  time.Time
-	result chan error
+	to       ident.Host
+	deadline time.Time
+	result   chan error
 }
 
-// TransferLeader hands the leadership of a group to a voter, or to the most
-// caught-up one when to is empty. It returns once this host no longer leads,
-// and at once when it does not.
+// TransferLeader transfers the leadership of a group to a voter, or to the most
+// caught-up one if to is empty. It returns once this host is no longer the leader,
+// immediately if it is not the leader.
 func (m *Manager) TransferLeader(ctx context.Context, id groupID, to ident.Host) error {
 	g, err := m.find(id)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := m.bound(ctx)
+	ctx, cancel := m.withDefaultTimeout(ctx)
 	defer cancel()
 	t := &transfer{to: to, result: make(chan error, 1)}
 	if !g.worker.inbox.offer(event{group: g, transfer: t}) {
@@ -51,12 +51,12 @@
 		t.result <- err
 		return
 	}
-	t.until = now.Add(2 * g.manager.options.Quorum.ElectionMax)
+	t.deadline = now.Add(2 * g.manager.options.Quorum.ElectionMax)
 	g.transfers = append(g.transfers, t)
 }
 
-// settleTransfers answers the transfers that are over.
-func (g *group) settleTransfers(now time.Time) {
+// resolveTransfers completes the transfers that succeeded or timed out.
+func (g *group) resolveTransfers(now time.Time) {
 	if len(g.transfers) == 0 {
 		return
 	}
@@ -66,8 +66,8 @@
 		switch {
 		case !leads:
 			t.result <- nil
-		case now.After(t.until):
-			t.result <- eris.New("replica: no other voter took the leadership")
+		case now.After(t.deadline):
+			t.result <- eris.New("replica: no other voter became the leader in time")
 		default:
 			kept = append(kept, t)
 		}
--- a/internal/replica/worker.go
+++ b/internal/replica/worker.go
@@ -9,8 +9,8 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// worker owns some groups. Its lock guards their nodes: the loop holds it
-// while groups decide, and Status takes it briefly.
+// worker owns a share of the groups. Its lock guards their nodes: the loop holds
+// it during an iteration, status only briefly.
 type worker struct {
 	manager *Manager
 	inbox   *inbox
@@ -18,8 +18,8 @@
 
 	mu     sync.Mutex
 	groups []*group
-	// touched lists the groups with events since the last turn.
-	touched []*group
+	// active lists the groups that the current iteration has to process.
+	active []*group
 }
 
 func newWorker(m *Manager) *worker {
@@ -30,8 +30,8 @@
 	}
 }
 
-// run takes turns until ctx ends: all waiting events, then each touched group
-// decides, then the messages go out.
+// run iterates until ctx ends. An iteration handles all queued events, then
+// processes each active group, then sends the messages.
 func (w *worker) run(ctx context.Context) {
 	ticker := time.NewTicker(w.manager.options.Quorum.Heartbeat / ticksPerHeartbeat)
 	defer ticker.Stop()
@@ -39,7 +39,7 @@
 	for {
 		ticks := ticker.C
 		if w.empty() {
-			// Without groups the worker sleeps until one is added.
+			// A worker without groups blocks until one is added.
 			ticks = nil
 		}
 		ticked := false
@@ -50,8 +50,8 @@
 			ticked = true
 		case <-w.inbox.wake:
 		}
-		events = w.inbox.take(events)
-		w.turn(events, ticked)
+		events = w.inbox.takeAll(events)
+		w.iterate(events, ticked)
 		clear(events)
 	}
 }
@@ -62,34 +62,34 @@
 	return len(w.groups) == 0
 }
 
-func (w *worker) turn(events []event, ticked bool) {
+func (w *worker) iterate(events []event, ticked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// Read after the events were taken: a machine that was suspended before them
-	// must not answer by a lease that has ended meanwhile.
+	// The clock is read after the events were dequeued: a machine that was suspended
+	// before that must not serve reads by a lease that has expired meanwhile.
 	now := w.manager.options.Clock()
 	for i := range events {
-		w.touch(events[i].group)
+		w.markActive(events[i].group)
 		events[i].group.handle(now, &events[i])
 	}
 	if ticked {
 		for _, g := range w.groups {
 			g.tick(now)
-			w.touch(g)
+			w.markActive(g)
 		}
 	}
-	for _, g := range w.touched {
-		g.touched = false
+	for _, g := range w.active {
+		g.active = false
 		g.drive(now, &w.outbox)
 	}
-	w.touched = w.touched[:0]
+	w.active = w.active[:0]
 	w.outbox.flush()
 }
 
-func (w *worker) touch(g *group) {
-	if !g.touched {
-		g.touched = true
-		w.touched = append(w.touched, g)
+func (w *worker) markActive(g *group) {
+	if !g.active {
+		g.active = true
+		w.active = append(w.active, g)
 	}
 }
 
@@ -100,7 +100,7 @@
 	w.inbox.signal()
 }
 
-// status returns a node's status between two turns.
+// status returns the status of a group's node.
 func (w *worker) status(g *group) quorum.Status {
 	w.mu.Lock()
 	defer w.mu.Unlock()
