--- a/internal/controlhost/bench_test.go
+++ b/internal/controlhost/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/lovagereach/lovagereach/internal/control"
 )
 
-// BenchmarkApplyUntilInForce measures a change from the operator's request
-// until it is in force at nine entries: three control hosts with synced disks
-// and all connections on loopback.
+// BenchmarkApplyUntilInForce measures the time from an operator's request until the
+// change is in force at nine entries, with three control hosts that sync to disk and
+// all connections on loopback.
 func BenchmarkApplyUntilInForce(b *testing.B) {
 	const entries = 9
 	g := newGroup(b)
@@ -22,15 +22,15 @@
 		g.entry(ident.Host(fmt.Sprint("entry-", i)))
 	}
 	revision := g.apply("first", 0, "30s").Revision
-	until(b, "serving leases of all entries", func() bool {
+	waitFor(b, "serving leases of all entries", func() bool {
 		leading := g.hosts[g.leader()].host.Server().Status().Leading
 		return leading != nil && len(leading.Entries) == entries
 	})
 	var times []time.Duration
 	for b.Loop() {
-		began := time.Now()
+		start := time.Now()
 		answer := g.apply(fmt.Sprint("r", revision), revision, fmt.Sprintf("%dms", 30_000+revision))
-		times = append(times, time.Since(began))
+		times = append(times, time.Since(start))
 		if answer.Verdict != config.VerdictApplied || !answer.InForce {
 			b.Fatalf("%+v", answer)
 		}
@@ -41,8 +41,8 @@
 	b.ReportMetric(float64(times[len(times)*99/100].Microseconds())/1000, "p99-ms")
 }
 
-// BenchmarkRestart measures a control host from its start until it leads and
-// has the latest revision, after a number of changes of one team each.
+// BenchmarkRestart measures the time from the start of a control host until it leads
+// and has the latest revision, after a number of changes of one team each.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint("changes=", changes), func(b *testing.B) {
@@ -55,7 +55,7 @@
 			}
 			for b.Loop() {
 				g.restart(name, false)
-				until(b, "the latest revision", func() bool {
+				waitFor(b, "the latest revision", func() bool {
 					status := g.hosts[name].host.Server().Status()
 					return status.Leading != nil && status.Revision == revision
 				})
@@ -64,7 +64,8 @@
 	}
 }
 
-// changeTeam applies one change at the leader without HTTP.
+// changeTeam applies a change of one team at the leader without HTTP and returns the
+// new revision.
 func (g *group) changeTeam(base config.Revision) config.Revision {
 	g.t.Helper()
 	team := config.Team{
--- a/internal/controlhost/groups.go
+++ b/internal/controlhost/groups.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// formRetry is how often a group is tried again that can't form yet.
+	// formRetry is the interval between attempts to form a group or to join its
+	// members.
 	formRetry = 250 * time.Millisecond
-	// formLogEvery is how often the reason is logged.
+	// formLogEvery is the interval at which the reason for failed attempts is logged.
 	formLogEvery = 5 * time.Second
-	formTimeout  = 5 * time.Second
+	// formTimeout is the timeout of one attempt.
+	formTimeout = 5 * time.Second
 )
 
-// openGroups opens every group that the data folder holds, and forms the
-// others where this host is the first of the control hosts. It returns when
-// all are open.
+// openGroups opens all groups. The first control host by name forms the groups that
+// its data folder doesn't hold. It returns once all groups are open.
 func (h *Host) openGroups(ctx context.Context) error {
 	for _, id := range h.options.groups() {
 		opened, err := h.openStored(id)
@@ -37,7 +38,8 @@
 	return nil
 }
 
-// openStored opens a group unless it is this host's part to form it.
+// openStored opens a group and returns true, or returns false if this host has to
+// form it first.
 func (h *Host) openStored(id port.GroupID) (bool, error) {
 	_, _, stored, err := h.folder.Load(id)
 	if err != nil {
@@ -58,9 +60,9 @@
 	return nil
 }
 
-// form creates a group once every control host answers that it doesn't know
-// it. When one does know it, this host's disk was wiped: it then waits to be
-// taken in again as a learner.
+// form creates a group once every control host has responded that it is not a
+// member of it. If one is a member, this host's disk was wiped: the group is then
+// opened without a vote and waits to be added again as a learner.
 func (h *Host) form(ctx context.Context, id port.GroupID) error {
 	var logged time.Time
 	for {
@@ -87,12 +89,13 @@
 	}
 }
 
-// completeFormation makes the other control hosts voters of groups whose only
-// voter is this host, as right after forming them. Members that an operator
-// removed later stay out: the group has more voters by then.
+// completeFormation makes the other control hosts voters of groups whose only voter
+// is this host, which is the state directly after forming them. Members that an
+// operator removed later are not added again, because the group has more than one
+// voter by then.
 func (h *Host) completeFormation(ctx context.Context) {
 	for _, id := range h.options.groups() {
-		for h.isAlone(id) && ctx.Err() == nil {
+		for h.isOnlyVoter(id) && ctx.Err() == nil {
 			attempt, cancel := context.WithTimeout(ctx, formTimeout)
 			err := h.manager.Join(attempt, id, h.options.hosts())
 			cancel()
@@ -105,7 +108,7 @@
 	}
 }
 
-func (h *Host) isAlone(id port.GroupID) bool {
+func (h *Host) isOnlyVoter(id port.GroupID) bool {
 	if len(h.options.ControlAddresses) == 1 {
 		return false
 	}
--- a/internal/controlhost/host.go
+++ b/internal/controlhost/host.go
@@ -23,10 +23,10 @@
 	"github.com/lovagereach/lovagereach/once"
 )
 
-// roleControl is the role of control hosts among peers.
+// roleControl is the peer role of control hosts.
 const roleControl = "control"
 
-// Host is one control process.
+// Host is one control host process.
 type Host struct {
 	options   Options
 	transport *peer.Transport
@@ -37,13 +37,13 @@
 	replicas  map[port.GroupID]*deferredReplica
 	server    *control.Server
 	orderer   *control.Orderer
-	// ledger answers operators' questions to the audit.
+	// ledger serves operators' audit queries.
 	ledger    *ledger.Client
 	operators *http.Server
 	telemetry *telemetry.Server
 }
 
-// New puts a control process together; Run serves.
+// New assembles a Host and opens its data folder; Run serves.
 func New(options Options) (*Host, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -157,20 +157,21 @@
 	return eris.Wrap(err, "control: ledger client")
 }
 
-// Server returns the configuration's part.
+// Server returns the configuration server.
 func (h *Host) Server() *control.Server { return h.server }
 
-// Orders returns the orderer's counts.
+// Orders returns the orderer's status.
 func (h *Host) Orders() control.OrderStatus { return h.orderer.Status() }
 
-// PeerAddress returns the address of the listener for other processes.
+// PeerAddress returns the address of the listener for peers.
 func (h *Host) PeerAddress() string { return h.options.PeerListener.Addr().String() }
 
 // Name returns the host's name.
 func (h *Host) Name() string { return string(h.options.Host) }
 
-// Run serves until ctx ends, or until a graceful stop that begins when drain
-// is closed has handed the leadership over.
+// Run serves until ctx ends or a graceful stop is complete. Closing drain starts a
+// graceful stop, which first transfers leadership to other hosts. It can be called
+// once: it closes the listeners and the data folder.
 func (h *Host) Run(ctx context.Context, drain <-chan struct{}) error {
 	for _, set := range h.metricSets() {
 		metrics.RegisterSet(set)
@@ -189,7 +190,7 @@
 	group.Go(func() error {
 		select {
 		case <-drain:
-			h.handOver(ctx)
+			h.transferLeadership(ctx)
 			stop()
 		case <-ctx.Done():
 		}
@@ -203,7 +204,8 @@
 	return []*metrics.Set{h.transport.Metrics(), h.folder.Metrics(), h.manager.Metrics(), h.server.Metrics()}
 }
 
-// openAndRun opens the groups and then follows the leadership.
+// openAndRun opens the groups and then runs the parts that act while this host leads
+// a group.
 func (h *Host) openAndRun(ctx context.Context) error {
 	if err := h.openGroups(ctx); err != nil {
 		if ctx.Err() != nil {
@@ -218,13 +220,14 @@
 	return group.Wait()
 }
 
-// handOver moves leadership away, so that a stop costs no election.
-func (h *Host) handOver(ctx context.Context) {
+// transferLeadership shuts down the operators' listener and transfers the leadership
+// of all groups, so that the stop causes no election.
+func (h *Host) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.options.StopTimeout)
 	defer cancel()
 	if h.operators != nil {
 		if err := h.operators.Shutdown(ctx); err != nil {
-			h.options.Log.Warn("operators cut off", "err", err)
+			h.options.Log.Warn("operators' listener: graceful shutdown failed", "err", err)
 		}
 	}
 	h.manager.Stop(ctx)
--- a/internal/controlhost/host_test.go
+++ b/internal/controlhost/host_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-
 	"io"
 	"net"
 	"net/http"
@@ -28,30 +27,31 @@
 const (
 	testCluster = "test"
 	testToken   = "operator-secret"
-	// patience ends a test that hangs; nothing depends on its length.
-	patience = 30 * time.Second
+	// testTimeout fails a test that hangs; no check depends on its length.
+	testTimeout = 30 * time.Second
 )
 
 var (
-	testKey = []byte("0123456789abcdef0123456789abcdef")
-	quiet   = log.New(io.Discard)
+	testKey    = []byte("0123456789abcdef0123456789abcdef")
+	discardLog = log.New(io.Discard)
 )
 
-// group is a few control hosts on loopback.
+// group is a set of control hosts on loopback.
 type group struct {
 	t     testing.TB
 	dir   string
 	peers map[ident.Host]string
 	urls  map[ident.Host]string
-	hosts map[ident.Host]*running
+	hosts map[ident.Host]*runningHost
 }
 
-// running is one life of a control host.
-type running struct {
+// runningHost is one incarnation of a control host.
+type runningHost struct {
 	host  *Host
 	drain func()
 	kill  context.CancelFunc
-	ended chan error
+	// result receives the result of Run.
+	result chan error
 }
 
 func listen(t testing.TB, address string) net.Listener {
@@ -67,7 +67,7 @@
 
 func newGroupOf(t testing.TB, hosts int) *group {
 	t.Helper()
-	g := &group{t: t, dir: t.TempDir(), peers: map[ident.Host]string{}, urls: map[ident.Host]string{}, hosts: map[ident.Host]*running{}}
+	g := &group{t: t, dir: t.TempDir(), peers: map[ident.Host]string{}, urls: map[ident.Host]string{}, hosts: map[ident.Host]*runningHost{}}
 	listeners := map[ident.Host][2]net.Listener{}
 	for i := range hosts {
 		name := ident.Host(fmt.Sprint("control-", i))
@@ -97,21 +97,21 @@
 		OperatorTokens:   map[config.TokenDigest]string{config.DigestToken(testToken): "ana"},
 		LedgerGroups:     2,
 		PeerKey:          testKey,
-		Log:              quiet,
+		Log:              discardLog,
 	})
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	ctx, kill := context.WithCancel(context.Background())
 	drain := make(chan struct{})
-	r := &running{host: host, kill: kill, drain: sync.OnceFunc(func() { close(drain) }), ended: make(chan error, 1)}
+	r := &runningHost{host: host, kill: kill, drain: sync.OnceFunc(func() { close(drain) }), result: make(chan error, 1)}
 	g.hosts[name] = r
-	go func() { r.ended <- host.Run(ctx, drain) }()
+	go func() { r.result <- host.Run(ctx, drain) }()
 }
 
-func (r *running) wait(t testing.TB) {
+func (r *runningHost) wait(t testing.TB) {
 	t.Helper()
-	if err := <-r.ended; err != nil && !errors.Is(err, context.Canceled) {
+	if err := <-r.result; err != nil && !errors.Is(err, context.Canceled) {
 		t.Errorf("%s ended with %v", r.host.Name(), err)
 	}
 }
@@ -125,7 +125,7 @@
 	}
 }
 
-// restart ends a host and starts it again on its addresses and folder.
+// restart stops a host and starts it again with its addresses and data folder.
 func (g *group) restart(name ident.Host, graceful bool) {
 	g.t.Helper()
 	old := g.hosts[name]
@@ -138,12 +138,12 @@
 	g.run(name, listen(g.t, g.peers[name]), listen(g.t, g.urls[name][len("http://"):]))
 }
 
-// until polls a condition.
-func until(t testing.TB, what string, condition func() bool) {
+// waitFor polls condition until it holds, and fails the test after testTimeout.
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); {
+	for deadline := time.Now().Add(testTimeout); !condition(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %s", what, patience)
+			t.Fatalf("%s: not within %s", what, testTimeout)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -151,7 +151,7 @@
 
 func (g *group) leader() ident.Host {
 	var leader ident.Host
-	until(g.t, "a leader", func() bool {
+	waitFor(g.t, "a leader", func() bool {
 		for name, r := range g.hosts {
 			if r.host.Server().Status().Leading != nil {
 				leader = name
@@ -165,7 +165,7 @@
 
 func (g *group) awaitVoters(n int) {
 	g.t.Helper()
-	until(g.t, "voters of every group", func() bool {
+	waitFor(g.t, "voters of every group", func() bool {
 		for _, r := range g.hosts {
 			for _, id := range r.host.options.groups() {
 				if len(r.host.replicas[id].Status().Voters) != n {
@@ -189,11 +189,12 @@
 	return c
 }
 
-// apply sends a change until it is in force. A leader that is replaced in
-// between answers that it is not yet; the same request is no second change.
+// apply sends a change until it is in force. A leader that is replaced meanwhile
+// responds that it is not in force yet; sending the same request again makes no second
+// change.
 func (g *group) apply(id string, base config.Revision, deadline string) api.ApplyAnswer {
 	g.t.Helper()
-	ctx, cancel := context.WithTimeout(g.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(g.t.Context(), testTimeout)
 	defer cancel()
 	for {
 		answer := g.applyOnce(ctx, id, base, deadline)
@@ -218,7 +219,7 @@
 	return answer
 }
 
-// entry starts an entry's client over real connections.
+// entry starts an entry's control client over loopback connections.
 func (g *group) entry(name ident.Host) *client.Client {
 	g.t.Helper()
 	transport, err := peer.New(peer.Options{
@@ -240,7 +241,7 @@
 			Stamp: member.Stamp{Incarnation: 1, Session: 1},
 		},
 		Addresses: addresses,
-		Log:       quiet,
+		Log:       discardLog,
 	})
 	if err != nil {
 		g.t.Fatal(err)
@@ -258,48 +259,48 @@
 	return c
 }
 
-// Three control hosts form their groups by themselves. A change is applied
-// through the operators' interface and is in force at real entries. The leader
-// is killed, the rest go on; it comes back from its disk; a graceful stop hands
-// the leadership over. A resend of the first request gets the first answer
-// throughout, and no revision is lost.
+// Three control hosts form their groups. A change through the operators' interface is
+// in force at all entries. Then the leader is killed and restarts from its disk, and the
+// next leader is stopped gracefully. No revision may be lost, and a resend of the first
+// request must return its first result.
 func TestGroupSurvivesItsLeaders(t *testing.T) {
 	g := newGroup(t)
 	entries := []*client.Client{g.entry("entry-0"), g.entry("entry-1")}
 	g.awaitVoters(3)
 	if answer := g.apply("r1", 0, "30s"); answer.Revision != 1 || !answer.InForce {
-		t.Fatalf("first change gives %+v", answer)
+		t.Fatalf("the first change returned %+v", answer)
 	}
-	wantEverywhere(t, entries, 1)
-	g.wantAudit()
+	checkRevision(t, entries, 1)
+	g.checkAudit()
 
 	killed := g.leader()
 	g.hosts[killed].kill()
 	g.hosts[killed].wait(t)
 	delete(g.hosts, killed)
 	if answer := g.apply("r2", 1, "31s"); answer.Revision != 2 || !answer.InForce {
-		t.Fatalf("change without the old leader gives %+v", answer)
+		t.Fatalf("the change without the old leader returned %+v", answer)
 	}
-	wantEverywhere(t, entries, 2)
+	checkRevision(t, entries, 2)
 	g.run(killed, listen(t, g.peers[killed]), listen(t, g.urls[killed][len("http://"):]))
-	until(t, "the killed host to catch up", func() bool {
+	waitFor(t, "the killed host to catch up", func() bool {
 		return g.hosts[killed].host.Server().Status().Revision == 2
 	})
 
 	g.restart(g.leader(), true)
 	if answer := g.apply("r1", 0, "30s"); !answer.Repeated || answer.Revision != 1 {
-		t.Errorf("resend of the first change gives %+v", answer)
+		t.Errorf("the resend of the first change returned %+v", answer)
 	}
 	if answer := g.apply("r3", 2, "32s"); answer.Revision != 3 {
-		t.Errorf("third change gives %+v", answer)
+		t.Errorf("the third change returned %+v", answer)
 	}
-	wantEverywhere(t, entries, 3)
+	checkRevision(t, entries, 3)
 }
 
-// wantAudit asks every host; each reaches the leaders of all ledger groups.
-func (g *group) wantAudit() {
+// checkAudit sends an audit query to every host; each must reach the leaders of all
+// ledger groups.
+func (g *group) checkAudit() {
 	g.t.Helper()
-	ctx, cancel := context.WithTimeout(g.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(g.t.Context(), testTimeout)
 	defer cancel()
 	for _, url := range g.urls {
 		var answer map[string]any
@@ -309,7 +310,7 @@
 	}
 }
 
-func wantEverywhere(t *testing.T, entries []*client.Client, revision config.Revision) {
+func checkRevision(t *testing.T, entries []*client.Client, revision config.Revision) {
 	t.Helper()
 	for i, entry := range entries {
 		if got := entry.Snapshot().Revision(); got < revision {
@@ -318,10 +319,10 @@
 	}
 }
 
-// A control host loses its disk. With an empty folder it neither votes nor
-// forms the groups anew; the operator's replace takes it in as a learner and
-// promotes it. Right afterwards another host is lost: the repaired host and
-// the third still hold every revision.
+// A control host restarts with an empty data folder. It must neither vote nor form the
+// groups again; the operator's replace adds it as a learner and promotes it. Right
+// after that another host is lost permanently. The other two must still hold every
+// revision.
 func TestSecondHostLostAfterARepair(t *testing.T) {
 	g := newGroup(t)
 	g.awaitVoters(3)
@@ -331,30 +332,30 @@
 	g.hosts[wiped].wait(t)
 	g.dir = t.TempDir()
 	g.run(wiped, listen(t, g.peers[wiped]), listen(t, g.urls[wiped][len("http://"):]))
-	until(t, "the wiped host to wait", func() bool {
-		return g.hosts[wiped].host.replicas[port.GroupConfig].open.Load() != nil
+	waitFor(t, "the wiped host to wait", func() bool {
+		return g.hosts[wiped].host.replicas[port.GroupConfig].opened.Load() != nil
 	})
 	g.changeMembers(api.ActionReplace, wiped)
-	until(t, "the wiped host to catch up", func() bool {
+	waitFor(t, "the wiped host to catch up", func() bool {
 		return g.hosts[wiped].host.Server().Status().Revision == 1
 	})
 	g.hosts["control-1"].kill()
 	g.hosts["control-1"].wait(t)
 	delete(g.hosts, "control-1")
 	if answer := g.apply("r2", 1, "31s"); answer.Revision != 2 {
-		t.Errorf("change after the second loss gives %+v", answer)
+		t.Errorf("the change after the second loss returned %+v", answer)
 	}
 	if answer := g.apply("r1", 0, "30s"); !answer.Repeated {
-		t.Errorf("resend of the first change gives %+v", answer)
+		t.Errorf("the resend of the first change returned %+v", answer)
 	}
-	// The lost host is taken out of every group, whichever host leads it.
+	// The lost host is removed from every group, whichever host leads it.
 	g.changeMembers(api.ActionRemove, "control-1")
 	g.awaitVoters(2)
 }
 
 func (g *group) changeMembers(action api.MemberAction, host ident.Host) {
 	g.t.Helper()
-	ctx, cancel := context.WithTimeout(g.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(g.t.Context(), testTimeout)
 	defer cancel()
 	var answer api.MembersAnswer
 	err := g.operator().Call(ctx, apiclient.Request{
--- a/internal/controlhost/listeners.go
+++ b/internal/controlhost/listeners.go
@@ -14,7 +14,8 @@
 	"github.com/lovagereach/lovagereach/internal/control"
 )
 
-// Bounds of the operators' listener.
+// Limits of the operators' listener. closeTimeout bounds the closing of the peer
+// transport.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// groupStatus is the part of the dump about the replicated groups.
+// groupStatus returns the part of the dump about the replicated groups.
 func (h *Host) groupStatus() any {
 	list := make([]control.GroupStatus, 0, len(h.replicas))
 	for _, id := range h.options.groups() {
@@ -94,6 +95,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := h.transport.Close(ctx); err != nil {
-		h.options.Log.Debug("peers closed", "err", err)
+		h.options.Log.Debug("closing the peer transport failed", "err", err)
 	}
 }
--- a/internal/controlhost/members.go
+++ b/internal/controlhost/members.go
@@ -14,8 +14,8 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// methodMembers carries a change of one group to the control host that leads
-// it.
+// methodMembers forwards a membership change of one group to the control host that
+// leads it.
 const methodMembers port.Method = "control/members"
 
 type memberChange struct {
@@ -24,17 +24,17 @@
 	Host   ident.Host       `cbor:"3,keyasint"`
 }
 
-type memberChanged struct {
-	// Refused tells why the change was not made.
+type memberChangeResult struct {
+	// Refused is the reason why the change was refused, empty otherwise.
 	Refused string `cbor:"1,keyasint,omitempty"`
-	// NotLeader tells that the host does not lead the group.
+	// NotLeader is set if the host does not lead the group.
 	NotLeader bool `cbor:"2,keyasint,omitempty"`
 }
 
 // membership implements operators.Membership for all groups of the host.
 type membership struct{ host *Host }
 
-// Members lists the members of the configuration group.
+// Members returns the members of the configuration group, voters first.
 func (m membership) Members(context.Context) ([]api.Member, error) {
 	status := m.host.replicas[port.GroupConfig].Status()
 	var list []api.Member
@@ -51,9 +51,8 @@
 	return api.Member{Host: host, Address: m.host.options.ControlAddresses[host], Role: role, Leader: host == leader}
 }
 
-// Change makes a change in every group, one after the other. Groups that have
-// it already are left as they are, so a change that failed midway is given
-// again.
+// Change makes a membership change in every group, one after the other. Groups that
+// have it already are skipped, so that a change that failed midway can be repeated.
 func (m membership) Change(ctx context.Context, request api.MemberRequest) error {
 	if err := m.check(request); err != nil {
 		return err
@@ -82,11 +81,12 @@
 	return nil
 }
 
-// changeGroup makes a change where the group is led.
+// changeGroup makes a change on this host if it leads the group, otherwise on the
+// leader.
 func (m membership) changeGroup(ctx context.Context, change memberChange) error {
 	status := m.host.replicas[change.Group].Status()
 	if status.IsLeader {
-		return m.host.changeHere(ctx, change)
+		return m.host.changeLocally(ctx, change)
 	}
 	address := m.host.options.ControlAddresses[status.Leader]
 	if address == "" {
@@ -96,22 +96,22 @@
 	if err != nil {
 		return err
 	}
-	var answer memberChanged
-	if err := wire.Unmarshal(body, &answer); err != nil {
+	var result memberChangeResult
+	if err := wire.Unmarshal(body, &result); err != nil {
 		return eris.Wrap(err, "decode answer")
 	}
-	if answer.NotLeader {
+	if result.NotLeader {
 		return &port.NotLeaderError{}
 	}
-	if answer.Refused != "" {
-		return &api.Error{Code: api.CodeRefused, Message: answer.Refused, Next: "look at lovagectl members and try again"}
+	if result.Refused != "" {
+		return &api.Error{Code: api.CodeRefused, Message: result.Refused, Next: "look at lovagectl members and try again"}
 	}
 	return nil
 }
 
-// changeHere makes a change in a group that this host leads, unless the group
-// has it already.
-func (h *Host) changeHere(ctx context.Context, change memberChange) error {
+// changeLocally makes a change in a group that this host leads, unless the group has
+// it already.
+func (h *Host) changeLocally(ctx context.Context, change memberChange) error {
 	status := h.replicas[change.Group].Status()
 	if !status.IsLeader {
 		return &port.NotLeaderError{Leader: status.Leader}
@@ -132,7 +132,7 @@
 	}
 }
 
-// handleMembers takes changes from other control hosts.
+// handleMembers handles changes forwarded by other control hosts.
 func (h *Host) handleMembers(ctx context.Context, from port.Peer, _ port.Method, body []byte) ([]byte, error) {
 	if from.Role != roleControl {
 		return nil, eris.Errorf("control/members: role %q may not change members", from.Role)
@@ -142,16 +142,16 @@
 		return nil, eris.Wrap(err, "control/members")
 	}
 	if _, known := h.replicas[change.Group]; !known {
-		return wire.Marshal(memberChanged{Refused: fmt.Sprintf("no group %d on this host", change.Group)})
+		return wire.Marshal(memberChangeResult{Refused: fmt.Sprintf("no group %d on this host", change.Group)})
 	}
-	var answer memberChanged
-	err := h.changeHere(ctx, change)
+	var result memberChangeResult
+	err := h.changeLocally(ctx, change)
 	var notLeader *port.NotLeaderError
 	switch {
 	case errors.As(err, &notLeader):
-		answer.NotLeader = true
+		result.NotLeader = true
 	case err != nil:
-		answer.Refused = err.Error()
+		result.Refused = err.Error()
 	}
-	return wire.Marshal(answer)
+	return wire.Marshal(result)
 }
--- a/internal/controlhost/options.go
+++ b/internal/controlhost/options.go
@@ -1,7 +1,7 @@
-// Package controlhost puts a control process together: the data folder, the
-// peer connections, the replicated groups, configuration, leases, orders and
-// the at-most-once ledger, and the operators' listener. Both lovage-control and
-// lovage-dev run it.
+// Package controlhost assembles a control host process from the data folder, the
+// peer connections, the replicated groups, configuration, leases, orders, the
+// at-most-once ledger and the operators' listener. lovage-control and lovage-dev
+// run it.
 package controlhost
 
 import (
@@ -21,59 +21,60 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// maxCommandBytes bounds one change of the configuration. It stays below the
-// frame bound of the peer connections.
+// maxCommandBytes is the maximum size of one configuration change. It is below the
+// maximum frame size of the peer connections.
 const maxCommandBytes = 3 << 20
 
-// DefaultStopTimeout bounds the handing over of leadership at a graceful stop.
+// DefaultStopTimeout is the default of Options.StopTimeout.
 const DefaultStopTimeout = 5 * time.Second
 
-// Options configure a Host. Zero values take defaults where one is named.
+// Options configures a Host. A zero value takes the default if one is named.
 type Options struct {
 	Host       ident.Host
 	DataCentre ident.DataCentre
-	// Incarnation tells this run's connections from those of others; it has no
-	// order. Zero takes a new one.
+	// Incarnation distinguishes the connections of this run of the process from those
+	// of other runs; incarnations have no order. Zero means a new one.
 	Incarnation ident.Incarnation
-	// Cluster names the deployment; processes of another one are refused.
+	// Cluster is the name of the deployment; processes of other deployments are refused.
 	Cluster string
-	// Data is the folder of the replicated state.
+	// Data is the path of the folder for the replicated state.
 	Data string
-	// PeerListener is the listener for the other processes.
+	// PeerListener is the listener for peers.
 	PeerListener net.Listener
 	// OperatorListener is the listener for operators; nil for none.
 	OperatorListener net.Listener
-	// OperatorsTLS are the operators' listener's certificate and key files.
+	// OperatorsTLS are the certificate and key files of the operators' listener; nil
+	// for plain HTTP.
 	OperatorsTLS *CertificateFiles
-	// TelemetryAddress is the address of the listener for metrics and dumps; empty
-	// for none.
+	// TelemetryAddress is the listen address for metrics and dumps; empty for none.
 	TelemetryAddress string
-	// ControlAddresses gives the peer addresses of all control hosts, this one's too.
+	// ControlAddresses are the peer addresses of all control hosts, including this one.
 	ControlAddresses map[ident.Host]string
-	// OperatorURLs are where operators reach the control hosts.
+	// OperatorURLs are the URLs of the control hosts' operators' listeners.
 	OperatorURLs map[ident.Host]string
-	// OperatorTokens name the operators by the digest of their token.
+	// OperatorTokens are the operators' names by the digests of their tokens.
 	OperatorTokens map[config.TokenDigest]string
 	// LedgerGroups is the number of groups of the at-most-once ledger. Zero
 	// means config.DefaultLedgerShards.
 	LedgerGroups int
-	// PeerKey authenticates the processes to one another when TLS is not set.
+	// PeerKey is the shared key by which processes authenticate if TLS is nil.
 	PeerKey []byte
-	// TLS are the certificates by which processes authenticate; nil for PeerKey.
+	// TLS are the certificate files by which processes authenticate; nil to use PeerKey.
 	TLS    *peer.TLSFiles
 	Quorum quorum.Options
-	// StopTimeout bounds a graceful stop. Zero means DefaultStopTimeout.
+	// StopTimeout bounds the shutdown of the operators' listener and the transfer of
+	// leadership at a graceful stop. Zero means DefaultStopTimeout.
 	StopTimeout time.Duration
 	Log         *log.Logger
 }
 
-// CertificateFiles name PEM files.
+// CertificateFiles are the paths of a certificate and its key in PEM format.
 type CertificateFiles struct {
 	Certificate string
 	Key         string
 }
 
-// Validate reports the first option that cannot work.
+// Validate returns an error for the first invalid option.
 func (o Options) Validate() error {
 	switch {
 	case o.Host == "" || o.DataCentre == "" || o.Cluster == "":
@@ -89,7 +90,7 @@
 	case o.OperatorListener != nil && len(o.OperatorTokens) == 0:
 		return errors.New("controlhost: operators: the listener needs at least one operator's token digest")
 	case o.Log == nil:
-		return errors.New("controlhost: no log")
+		return errors.New("controlhost: log: must be set")
 	}
 	return nil
 }
@@ -104,12 +105,13 @@
 	return o
 }
 
-// hosts lists the control hosts in order.
+// hosts returns the control hosts, sorted by name.
 func (o Options) hosts() []ident.Host {
 	return slices.Sorted(maps.Keys(o.ControlAddresses))
 }
 
-// groups lists the replicated groups.
+// groups returns the IDs of the replicated groups: the configuration group, then
+// the ledger groups.
 func (o Options) groups() []port.GroupID {
 	ids := []port.GroupID{port.GroupConfig}
 	for shard := range o.LedgerGroups {
--- a/internal/controlhost/replaced.go
+++ b/internal/controlhost/replaced.go
@@ -10,18 +10,18 @@
 	"github.com/lovagereach/lovagereach/once"
 )
 
-// lostTimeout bounds the messages about one replaced entry.
-const lostTimeout = 5 * time.Second
+// lostOwnerTimeout bounds the requests to the ledger groups about one replaced entry.
+const lostOwnerTimeout = 5 * time.Second
 
-// entryReplaced tells the ledger groups that an entry's former incarnation has
-// ended, so that whoever waits for its claims learns at once that their outcome
-// is unknown. A message that is lost does no harm: claims end by their hold too.
-func (h *Host) entryReplaced(host ident.Host, former ident.Incarnation) {
-	owner := once.Owner{Host: host, Incarnation: former}
+// entryReplaced reports to the ledger groups that an entry's previous incarnation has
+// ended, so that callers waiting for its claims learn immediately that the outcome is
+// unknown. A lost report does no harm, because claims also expire with their hold time.
+func (h *Host) entryReplaced(host ident.Host, previous ident.Incarnation) {
+	owner := once.Owner{Host: host, Incarnation: previous}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), lostTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), lostOwnerTimeout)
 		defer cancel()
-		h.options.Log.Info("entry replaced", "host", host, "former", former)
+		h.options.Log.Info("entry replaced", "host", host, "former", previous)
 		for id := range h.ledgers {
 			leader := h.replicas[id].Status().Leader
 			address := h.options.ControlAddresses[leader]
@@ -30,7 +30,7 @@
 			}
 			body := wire.MustMarshal(ledger.Request{Group: id, LostOwner: &owner})
 			if _, err := h.transport.Call(ctx, address, ledger.MethodLost, body); err != nil {
-				h.options.Log.Debug("loss of an entry not told", "group", uint32(id), "err", err)
+				h.options.Log.Debug("reporting a replaced entry to a ledger group failed", "group", uint32(id), "err", err)
 			}
 		}
 	}()
