--- a/internal/ledger/auditor.go
+++ b/internal/ledger/auditor.go
@@ -13,13 +13,14 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// overdueEvery is how often an Auditor looks for requests without an outcome.
-const overdueEvery = time.Second
+// overdueInterval is the interval at which an Auditor checks for requests that
+// have no outcome after their deadline.
+const overdueInterval = time.Second
 
-// overdueLogged bounds the overdue requests that are logged at one look.
-const overdueLogged = 64
+// maxOverdueLogged limits the overdue requests that are logged per check.
+const maxOverdueLogged = 64
 
-// Auditor follows the requests of one entry host: all of them in a local
+// Auditor records the requests of one entry host: all of them in a local
 // table, those of fully audited classes also in the replicated trace. It is
 // safe for concurrent use.
 type Auditor struct {
@@ -31,13 +32,15 @@
 	table *audit.Table
 }
 
-// NewAuditor returns an auditor; a nil tracer leaves only the local table.
+// NewAuditor returns an auditor. With a nil tracer it uses only the local
+// table.
 func NewAuditor(options audit.Options, tracer *Tracer, now func() time.Time, logger *log.Logger) *Auditor {
 	return &Auditor{tracer: tracer, log: logger, now: now, table: audit.NewTable(options)}
 }
 
-// Open registers an accepted request before anything of it is sent. On an
-// error, an *outcome.NotRun, the request must be refused.
+// Open registers an accepted request. It must be called before any part of
+// the request is sent. Its error is an *outcome.NotRun; on an error the
+// request must be refused.
 func (a *Auditor) Open(ctx context.Context, o audit.Opening) error {
 	a.mu.Lock()
 	err := a.table.Open(o)
@@ -64,7 +67,7 @@
 	return &outcome.NotRun{Reason: outcome.ReasonOverloaded, Detail: err.Error(), RetryAfter: time.Second}
 }
 
-// Close gives a request its outcome.
+// Close records the outcome of a request.
 func (a *Auditor) Close(request ident.Request, c audit.Closing) {
 	a.mu.Lock()
 	record, known := a.table.Close(request, c)
@@ -81,34 +84,34 @@
 	return a.table.Query(a.now(), q), nil
 }
 
-// Counts returns the totals of the table.
+// Counts returns the totals of the local table.
 func (a *Auditor) Counts() audit.Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.Counts()
 }
 
-// Run logs and counts requests that have no outcome after their deadline,
-// until ctx ends.
+// Run logs and counts requests that have no outcome after their deadline. It
+// returns when ctx is done.
 func (a *Auditor) Run(ctx context.Context) {
-	ticker := time.NewTicker(overdueEvery)
+	ticker := time.NewTicker(overdueInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			a.noteOverdue()
+			a.recordOverdue()
 		}
 	}
 }
 
-func (a *Auditor) noteOverdue() {
+func (a *Auditor) recordOverdue() {
 	a.mu.Lock()
 	overdue := a.table.NewlyOverdue(a.now())
 	a.mu.Unlock()
 	requestsOverdue.Add(len(overdue))
-	for _, o := range overdue[:min(len(overdue), overdueLogged)] {
+	for _, o := range overdue[:min(len(overdue), maxOverdueLogged)] {
 		a.log.Warn("request without outcome after its deadline", "request", o.Request.String(), "team", string(o.Team),
 			"class", string(o.Class), "batch", o.Batch, "deadline", o.Deadline.UTC().Format(time.RFC3339Nano))
 	}
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -17,7 +17,8 @@
 	"github.com/lovagereach/lovagereach/once"
 )
 
-// benchService is a plain service over HTTP on loopback that answers at once.
+// benchService starts an HTTP service on loopback that answers immediately and
+// returns a function that calls it.
 func benchService(b *testing.B) (send func(context.Context, Call) (once.Answer, error)) {
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,9 +44,9 @@
 	}
 }
 
-// BenchmarkCallLatency compares one caller's call with the ledger with the same
-// call without it, one after the other in one run, on real sockets and synced
-// files.
+// BenchmarkCallLatency compares the latency of a call with and without the
+// ledger, alternately in one run with a single caller, on real sockets and
+// synced files.
 func BenchmarkCallLatency(b *testing.B) {
 	for _, hosts := range []int{3, 5} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
@@ -77,8 +78,8 @@
 	}
 }
 
-// BenchmarkCalls measures how many calls a second pass through the ledger, each
-// a claim and a record, with callers on eight entry hosts.
+// BenchmarkCalls measures the calls per second through the ledger, each with a
+// claim and a record, with callers on eight entry hosts.
 func BenchmarkCalls(b *testing.B) {
 	for _, hosts := range []int{3, 5} {
 		for _, groups := range []int{1, 4, 16} {
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -21,36 +21,38 @@
 
 // Options of a Client.
 type Options struct {
-	// Self returns this incarnation of the entry host. It is zero until it has
-	// been assigned and never changes after; nothing is claimed or traced before.
+	// Self returns the host and incarnation of this entry host. The incarnation
+	// is zero until it is assigned and doesn't change afterwards. No calls are
+	// claimed or traced while it is zero.
 	Self func() once.Owner
 	// Control gives the addresses of the control hosts.
 	Control map[ident.Host]string
 	// Shards returns the history of the number of ledger shards in force.
 	Shards func() once.Shards
-	// Now is the clock; it only sets how long waits may take.
+	// Now is the clock. It is used to compute the duration of waits and the
+	// times in trace records.
 	Now func() time.Time
-	// Timeout bounds one message to a control host; zero means one second.
+	// Timeout limits one message to a control host. Zero means one second.
 	Timeout time.Duration
-	// RecordWait bounds how long a caller's answer is held back until its
-	// outcome is recorded; zero means two seconds.
+	// RecordWait limits how long the answer to a caller is delayed until its
+	// outcome is recorded. Zero means two seconds.
 	RecordWait time.Duration
-	// MaxPending bounds the outcomes that wait for the ledger in the
-	// background; zero means 1024.
+	// MaxPending limits the outcomes queued for recording in the background.
+	// Zero means 1024.
 	MaxPending int
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	defaultTimeout    = time.Second
-	defaultSettleWait = 2 * time.Second
+	defaultRecordWait = 2 * time.Second
 	defaultMaxPending = 1024
 )
 
-// Bounds of the pause between two tries at the ledger.
+// Bounds of the exponential backoff between two attempts to reach the ledger.
 const (
-	minPause = 10 * time.Millisecond
-	maxPause = 250 * time.Millisecond
+	minBackoff = 10 * time.Millisecond
+	maxBackoff = 250 * time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
@@ -58,7 +60,7 @@
 		o.Timeout = defaultTimeout
 	}
 	if o.RecordWait <= 0 {
-		o.RecordWait = defaultSettleWait
+		o.RecordWait = defaultRecordWait
 	}
 	if o.MaxPending <= 0 {
 		o.MaxPending = defaultMaxPending
@@ -66,7 +68,7 @@
 	return o
 }
 
-// Client reaches the ledger groups from an entry host. It is safe for
+// Client is an entry host's client of the ledger groups. It is safe for
 // concurrent use.
 type Client struct {
 	options Options
@@ -76,14 +78,14 @@
 	mu      sync.Mutex
 	leaders map[port.GroupID]ident.Host
 
-	pending chan settlement
-	// unsettled counts the calls under way and the settlements queued.
-	unsettled atomic.Int64
-	running   sync.WaitGroup
+	pending chan resolution
+	// unresolved is the number of calls in progress and of queued resolutions.
+	unresolved atomic.Int64
+	running    sync.WaitGroup
 }
 
-// NewClient returns a client. Run must be running for outcomes to be recorded
-// that the ledger doesn't take at once.
+// NewClient returns a client. Outcomes that the ledger doesn't commit within
+// RecordWait are recorded only while Run is running.
 func NewClient(peers port.PeerClient, options Options) (*Client, error) {
 	switch {
 	case len(options.Control) == 0:
@@ -102,35 +104,35 @@
 		c.hosts = append(c.hosts, host)
 	}
 	slices.Sort(c.hosts)
-	c.pending = make(chan settlement, c.options.MaxPending)
+	c.pending = make(chan resolution, c.options.MaxPending)
 	return c, nil
 }
 
-// awaitSelf returns the owner that claims and reports name. It reports false
-// when ctx ends before the incarnation is assigned.
+// awaitSelf returns the owner of this client's claims and trace reports. It
+// returns false if ctx is done before the incarnation is assigned.
 func (c *Client) awaitSelf(ctx context.Context) (once.Owner, bool) {
 	for {
 		if self := c.options.Self(); self.Incarnation != 0 {
 			return self, true
 		}
-		if !wait.For(ctx, minPause) {
+		if !wait.For(ctx, minBackoff) {
 			return once.Owner{}, false
 		}
 	}
 }
 
-// errNoAnswer reports that no control host gave a definite answer in time.
+// errNoAnswer is returned when no control host gave a definite answer in time.
 var errNoAnswer = errors.New("the ledger gave no answer in time")
 
-// call sends a message to the group's leader until one definite answer comes
-// or ctx ends. Every message is safe to repeat. doubtful reports that a copy
-// left of which nobody knows what becomes of it: it may take effect yet.
+// call sends a message to the group's leader and retries until it receives a
+// definite answer or ctx is done. All messages are idempotent. doubtful reports
+// whether a copy with an unknown result was sent, which may still take effect.
 func (c *Client) call(ctx context.Context, method port.Method, req Request) (reply Reply, doubtful bool, err error) {
-	pause := minPause
-	for try := 0; ; try++ {
-		host := c.target(req.Group, try)
-		reply, left, err := c.callHost(ctx, host, method, req)
-		doubtful = doubtful || left && (err != nil || reply.Code == ReplyUncertain)
+	backoff := minBackoff
+	for attempt := 0; ; attempt++ {
+		host := c.target(req.Group, attempt)
+		reply, sent, err := c.callHost(ctx, host, method, req)
+		doubtful = doubtful || sent && (err != nil || reply.Code == ReplyUncertain)
 		if err == nil {
 			switch reply.Code {
 			case ReplyOK:
@@ -142,13 +144,13 @@
 		}
 		hinted := err == nil && reply.Leader != "" && reply.Leader != host
 		c.setLeader(req.Group, reply.Leader)
-		if hinted && try < len(c.hosts) {
+		if hinted && attempt < len(c.hosts) {
 			continue
 		}
-		if !wait.For(ctx, jitter(pause)) {
+		if !wait.For(ctx, jitter(backoff)) {
 			return Reply{}, doubtful, errNoAnswer
 		}
-		pause = min(2*pause, maxPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
@@ -166,14 +168,15 @@
 	return reply, true, nil
 }
 
-// target is the known leader first, then one control host after another.
-func (c *Client) target(group port.GroupID, try int) ident.Host {
+// target returns the group's leader if it is known, and otherwise a control
+// host in round-robin order.
+func (c *Client) target(group port.GroupID, attempt int) ident.Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if leader, known := c.leaders[group]; known {
 		return leader
 	}
-	return c.hosts[(int(group)+try)%len(c.hosts)]
+	return c.hosts[(int(group)+attempt)%len(c.hosts)]
 }
 
 func (c *Client) setLeader(group port.GroupID, host ident.Host) {
@@ -186,21 +189,22 @@
 	c.leaders[group] = host
 }
 
-func jitter(pause time.Duration) time.Duration {
-	return pause/2 + rand.N(pause/2+1)
+func jitter(backoff time.Duration) time.Duration {
+	return backoff/2 + rand.N(backoff/2+1)
 }
 
-// claimed is how far a claim came: the group asked last, its answer, and
-// whether a copy of the claim may take effect there yet.
-type claimed struct {
+// claimAttempt is the result of claiming a key: the last group queried, its
+// result, and whether a copy of the claim may still take effect there.
+type claimAttempt struct {
 	group    port.GroupID
 	result   once.Result
 	doubtful bool
 }
 
-// claim asks until the key is won or settled, at the older shard first.
-func (c *Client) claim(ctx context.Context, claim once.Claim) (claimed, error) {
-	var last claimed
+// claim sends the claim until the key is granted or resolved. It tries the
+// shards in order, oldest first.
+func (c *Client) claim(ctx context.Context, claim once.Claim) (claimAttempt, error) {
+	var last claimAttempt
 	for _, shard := range c.options.Shards().ForKey(claim.Key.ID()) {
 		var err error
 		last, err = c.claimAt(ctx, GroupOf(shard), claim)
@@ -211,14 +215,16 @@
 	return last, errMoved
 }
 
-// errMoved reports that this host does not know of the newest shards yet.
+// errMoved is returned when a key has moved to a shard that is not yet in this
+// host's configuration.
 var errMoved = errors.New("the key has moved to a shard that this host does not know yet")
 
-// claimAt asks one group. A duplicate waits as long as ctx allows.
-func (c *Client) claimAt(ctx context.Context, group port.GroupID, claim once.Claim) (claimed, error) {
+// claimAt sends a claim to one group. A duplicate waits until the call in
+// flight is resolved or ctx is done.
+func (c *Client) claimAt(ctx context.Context, group port.GroupID, claim once.Claim) (claimAttempt, error) {
 	req := Request{Group: group, Claim: &claim}
-	last := claimed{group: group}
-	for pause := minPause; ; pause = min(2*pause, maxPause) {
+	last := claimAttempt{group: group}
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		reply, doubtful, err := c.call(ctx, MethodClaim, req)
 		last.doubtful = last.doubtful || doubtful
 		if err != nil {
@@ -228,28 +234,31 @@
 			return last, eris.New("the ledger answered a claim without a result")
 		}
 		last.result = *reply.Result
-		if last.result.Status != once.StatusInFlight || !wait.For(ctx, jitter(pause)) {
+		if last.result.Status != once.StatusInFlight || !wait.For(ctx, jitter(backoff)) {
 			return last, nil
 		}
-		// Only now is it known to be a duplicate. A first claim that waited so
-		// long for a silent host would miss its deadline.
+		// The claim is a duplicate, so the server may delay its reply. The first
+		// attempt doesn't request a wait: with the longer timeout, a first claim
+		// sent to an unresponsive host would miss its deadline.
 		req.WaitMillis = c.duplicateWait(ctx)
 	}
 }
 
-// duplicateWait is how long the server may hold a duplicate's claim.
+// duplicateWait returns how long the server may delay its reply to the claim of
+// a duplicate, in milliseconds.
 func (c *Client) duplicateWait(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return maxWait.Milliseconds()
 	}
-	left := deadline.Sub(c.options.Now()) - c.options.Timeout
-	return max(0, min(left, maxWait).Milliseconds())
+	remaining := deadline.Sub(c.options.Now()) - c.options.Timeout
+	return max(0, min(remaining, maxWait).Milliseconds())
 }
 
-// unavailable is the outcome of a call for which the ledger gave no answer.
-// The call was not sent and will not be; but this request may be a resend, and
-// without the ledger nobody can tell whether the key has run before.
+// unavailable returns the outcome of a call for which the ledger gave no
+// answer. The call was not and will not be sent, but the request may be a
+// resend: without the ledger it is unknown whether an earlier request under the
+// key ran.
 func unavailable(err error) error {
 	return &outcome.Unknown{
 		Reason: outcome.ReasonLedgerDown,
--- a/internal/ledger/do.go
+++ b/internal/ledger/do.go
@@ -12,11 +12,11 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// holdMargin is how much longer than its caller waits a claim is held, for the
-// outcome to be recorded.
+// holdMargin is the time that a claim is held beyond its caller's deadline, so
+// that the outcome can be recorded.
 const holdMargin = 10 * time.Second
 
-// Call is one call that may not be repeated.
+// Call is a call that must run at most once.
 type Call struct {
 	Key     once.Key
 	Digest  once.Digest
@@ -27,39 +27,41 @@
 // Result is the answer to a Call.
 type Result struct {
 	Answer once.Answer
-	// Replayed tells that the answer was recorded for an earlier request.
+	// Replayed reports whether the answer was recorded for an earlier request.
 	Replayed bool
 }
 
-// SendFunc sends the call, once. It returns the answer to be recorded, or an
-// error of package outcome: *outcome.NotRun only when no byte was written or
-// the upstream states that it did not run the call.
+// SendFunc sends the call once. It returns the answer to record, or an error of
+// package outcome. It returns *outcome.NotRun only if no byte was written or
+// the upstream reports that it did not run the call.
 type SendFunc func(ctx context.Context) (once.Answer, error)
 
-// Do runs a call at most once: it claims the key, sends, and records what
-// happened. The error is an outcome; ctx must have a deadline. Once the key is
-// won, only that deadline ends the call, not the caller's leaving.
+// Do runs a call at most once: it claims the key, sends the call and records
+// the outcome. The error is an outcome. ctx must have a deadline. After the key
+// is granted only that deadline ends the call; a cancellation by the caller
+// doesn't.
 //
-// The claim is committed before the first byte leaves. The answer is given
-// after it was recorded, so that a duplicate gets the same one; if the ledger
-// can't take it within SettleWait, the caller is not kept from its answer and
-// the recording goes on in the background.
+// The claim is committed before the first byte is sent. The answer is returned
+// after it is recorded, so that a duplicate gets the same answer. If the ledger
+// doesn't commit it within RecordWait, the answer is returned anyway and
+// recording continues in the background.
 func (c *Client) Do(ctx context.Context, call Call, send SendFunc) (Result, error) {
-	c.unsettled.Add(1)
-	defer c.unsettled.Add(-1)
+	c.unresolved.Add(1)
+	defer c.unresolved.Add(-1)
 	self, assigned := c.awaitSelf(ctx)
 	if !assigned {
 		return Result{}, unavailable(errNoAnswer)
 	}
 	claim := once.Claim{
 		Key: call.Key, Digest: call.Digest, Owner: self, ID: newClaimID(),
-		HoldMillis: c.hold(ctx), Request: call.Request, Class: call.Class,
+		HoldMillis: c.holdMillis(ctx), Request: call.Request, Class: call.Class,
 	}
 	last, err := c.claim(ctx, claim)
 	result := last.result
 	if last.doubtful && (err != nil || result.Status != once.StatusGranted) {
-		// A copy of the claim may win the key yet, and nobody would use it.
-		c.settleLater(releaseOf(last.group, claim, outcome.ReasonLedgerDown))
+		// A copy of the claim may still be granted the key. This call won't use
+		// it, so the claim is released.
+		c.resolveLater(releaseOf(last.group, claim, outcome.ReasonLedgerDown))
 	}
 	if err != nil {
 		return Result{}, unavailable(err)
@@ -78,7 +80,7 @@
 
 func (c *Client) sendClaimed(ctx context.Context, group port.GroupID, claim once.Claim, send SendFunc) (Result, error) {
 	if err := ctx.Err(); err != nil {
-		c.settle(ctx, releaseOf(group, claim, outcome.ReasonCallerGone))
+		c.resolve(ctx, releaseOf(group, claim, outcome.ReasonCallerGone))
 		return Result{}, &outcome.NotRun{Reason: outcome.ReasonCallerGone, Detail: "the deadline passed or the caller left before the call was sent"}
 	}
 	sending, cancel := detached(ctx)
@@ -86,19 +88,19 @@
 	answer, err := send(sending)
 	var notRun *outcome.NotRun
 	if errors.As(err, &notRun) {
-		c.settle(ctx, releaseOf(group, claim, notRun.Reason))
+		c.resolve(ctx, releaseOf(group, claim, notRun.Reason))
 		return Result{}, err
 	}
 	answer = answerOf(answer, err, claim.Request)
 	record := &once.Record{Key: claim.Key, ID: claim.ID, Answer: answer.LimitBody()}
-	c.settle(ctx, settlement{group: group, record: record})
+	c.resolve(ctx, resolution{group: group, record: record})
 	return Result{Answer: answer}, answer.Err()
 }
 
-// detached keeps the deadline of ctx but not its cancellation. A caller whose
-// connection breaks while its bid is being sent would otherwise break off the
-// bid too, and its resend could only be told unknown; so the call goes on, and
-// the resend gets its answer.
+// detached returns a context with the deadline of ctx but without its
+// cancellation. If the caller's connection breaks while the call is being sent,
+// the call continues and a resend gets its answer; an aborted call would leave
+// the outcome unknown.
 func detached(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	ctx = context.WithoutCancel(ctx)
@@ -108,7 +110,7 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-// answerOf turns what send returned into what is recorded.
+// answerOf converts the result of a SendFunc into the answer to record.
 func answerOf(answer once.Answer, err error, request ident.Request) once.Answer {
 	answer.Request = request
 	var failed *outcome.Failed
@@ -127,13 +129,13 @@
 	return answer
 }
 
-func releaseOf(group port.GroupID, claim once.Claim, reason outcome.Reason) settlement {
-	return settlement{group: group, release: &once.Release{
+func releaseOf(group port.GroupID, claim once.Claim, reason outcome.Reason) resolution {
+	return resolution{group: group, release: &once.Release{
 		Key: claim.Key, Digest: claim.Digest, Owner: claim.Owner, ID: claim.ID, Reason: reason,
 	}}
 }
 
-func (c *Client) hold(ctx context.Context) int64 {
+func (c *Client) holdMillis(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
--- a/internal/ledger/do_test.go
+++ b/internal/ledger/do_test.go
@@ -17,10 +17,10 @@
 // doCase is a first call and a resend through another entry host.
 type doCase struct {
 	name string
-	// sendErr is what the first send returns; the service runs unless it is
-	// not-run.
+	// sendErr is the error of the first send. The service runs unless it is
+	// *outcome.NotRun.
 	sendErr error
-	// before and between change the world before either call.
+	// before and between modify the cluster before the first and the second call.
 	before, between func(*fakeCluster, *fakeEntry)
 	change          func(*Call)
 	first, second   outcome.Kind
@@ -28,9 +28,9 @@
 }
 
 // A call is sent twice under one key, through two entry hosts, while the send or
-// the ledger fails as each case says. The caller of the second gets the outcome
-// of the first, or an unknown where nobody can tell, and the upstream runs the
-// call at most once.
+// the ledger fails as the case specifies. The second caller must get the outcome
+// of the first, or unknown where it can't be determined, and the upstream must
+// run the call at most once.
 func TestDoOutcomes(t *testing.T) {
 	otherBody := func(c *Call) { c.Digest = once.DigestCall("POST", "/bid", []byte("more")) }
 	cases := []doCase{
@@ -43,14 +43,14 @@
 		{
 			name: "no ledger for the first", first: outcome.KindUnknown, second: outcome.KindDone, runs: 1,
 			before: func(c *fakeCluster, e *fakeEntry) {
-				e.net.fate = func(port.Method) fate { return lostBefore }
+				e.net.delivery = func(port.Method) delivery { return lostBefore }
 			},
 		},
 		{
-			name: "first entry host dies unheard", first: outcome.KindUnknown, second: outcome.KindUnknown, runs: 1,
+			name: "first entry host crashes before recording", first: outcome.KindUnknown, second: outcome.KindUnknown, runs: 1,
 			sendErr: &outcome.Unknown{},
 			before: func(c *fakeCluster, e *fakeEntry) {
-				e.net.fate = func(m port.Method) fate {
+				e.net.delivery = func(m port.Method) delivery {
 					if m == MethodRecord {
 						return lostBefore
 					}
@@ -65,11 +65,11 @@
 		},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { synctest.Test(t, c.play) })
+		t.Run(c.name, func(t *testing.T) { synctest.Test(t, c.runCase) })
 	}
 }
 
-func (c *doCase) play(t *testing.T) {
+func (c *doCase) runCase(t *testing.T) {
 	cluster, service := newFakeCluster(1), newFakeService()
 	first, second := newFakeEntry(cluster, "e1", 1, 1), newFakeEntry(cluster, "e2", 1, 1)
 	call := func(entry *fakeEntry, n uint64, fail error, change func(*Call)) outcome.Kind {
@@ -105,21 +105,21 @@
 	}
 	first.kill()
 	second.kill()
-	time.Sleep(settleFor)
+	time.Sleep(resolveTimeout)
 }
 
-// The leader's data centre is cut off without a word: its connections stay open
-// and nothing comes back. A first call must try the next control host after one
-// message's timeout. It must not wait as long as a duplicate does.
+// The leader's data centre is partitioned: its connections stay open and no
+// answers arrive. A first call must try the next control host after the timeout
+// of one message, and must not wait as long as a duplicate does.
 func TestSilentLeaderCostsOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, service := newFakeCluster(1), newFakeService()
 		entry := newFakeEntry(cluster, "e1", 1, 1)
 		silent := true
-		entry.net.fate = func(port.Method) fate {
+		entry.net.delivery = func(port.Method) delivery {
 			if silent {
 				silent = false
-				return swallowed
+				return unanswered
 			}
 			return delivered
 		}
@@ -136,20 +136,20 @@
 	})
 }
 
-// A hundred duplicates of one bid wait through one entry host. They must not take
-// all the requests that its connection runs at once, or the outcome that they
-// wait for could not get through; and all must get it.
-func TestDuplicatesLeaveRoomForTheOutcome(t *testing.T) {
+// A hundred duplicates of one bid wait through one entry host. They must not use
+// all concurrent requests of its connection, or the outcome that they wait for
+// couldn't be sent. All of them must get that outcome.
+func TestWaitingDuplicatesLeaveCapacityForRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, service := newFakeCluster(1), newFakeService()
 		entry := newFakeEntry(cluster, "e1", 1, 1)
-		running, most := 0, 0
+		running, maxRunning := 0, 0
 		var mu sync.Mutex
-		entry.net.around = func(change int) {
+		entry.net.onHandler = func(change int) {
 			mu.Lock()
 			defer mu.Unlock()
 			running += change
-			most = max(most, running)
+			maxRunning = max(maxRunning, running)
 		}
 		var callers sync.WaitGroup
 		answers := make(chan string, 101)
@@ -171,32 +171,32 @@
 		if len(answers) != 101 || service.byKey["k"] != 1 {
 			t.Errorf("%d of 101 callers were answered, %d runs", len(answers), service.byKey["k"])
 		}
-		if most > maxHostWaits+1 {
-			t.Errorf("%d requests ran at once on the connection", most)
+		if maxRunning > maxHostWaits+1 {
+			t.Errorf("%d requests ran concurrently on the connection", maxRunning)
 		}
 		entry.kill()
 	})
 }
 
-// An entry host dies with a bid in flight and comes back. The caller, who has
-// resent the bid through another entry host, must learn that its outcome is
-// unknown as soon as the first one is back, not when the hold ends.
-func TestNewLifeEndsTheClaimsOfTheOld(t *testing.T) {
+// An entry host crashes with a bid in flight and restarts. The caller has resent
+// the bid through another entry host. It must get an unknown outcome as soon as
+// the first entry host has restarted, not when the hold ends.
+func TestNewIncarnationResolvesEarlierClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newFakeCluster(1)
-		dying, other := newFakeEntry(cluster, "e1", 1, 1), newFakeEntry(cluster, "e2", 1, 1)
+		crashed, other := newFakeEntry(cluster, "e1", 1, 1), newFakeEntry(cluster, "e2", 1, 1)
 		key := once.Key{Team: "t", Service: "s", Text: "k"}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		if last, err := dying.claim(ctx, once.Claim{Key: key, Owner: dying.options.Self(), ID: newClaimID()}); err != nil || last.result.Status != once.StatusGranted {
+		if last, err := crashed.claim(ctx, once.Claim{Key: key, Owner: crashed.options.Self(), ID: newClaimID()}); err != nil || last.result.Status != once.StatusGranted {
 			t.Fatal(last, err)
 		}
-		dying.kill()
+		crashed.kill()
 		restarted := make(chan *fakeEntry, 1)
 		time.AfterFunc(5*time.Second, func() { restarted <- newFakeEntry(cluster, "e1", 2, 1) })
 		started := time.Now()
 		_, err := other.Do(ctx, Call{Key: key}, func(context.Context) (once.Answer, error) {
-			t.Error("the bid is sent again")
+			t.Error("the bid was sent again")
 			return once.Answer{}, nil
 		})
 		if waited := time.Since(started); outcome.KindOf(err) != outcome.KindUnknown || waited > 6*time.Second {
@@ -207,17 +207,17 @@
 	})
 }
 
-// An entry host leaves in good order while the outcome of one of its calls is
-// still on its way to the ledger. A duplicate that waits at another entry host
-// must get the recorded answer, and one of a claim that never came to an end
-// must learn at once that its outcome is unknown, not after the hold.
-func TestDrainSettlesWaitingClaims(t *testing.T) {
+// An entry host shuts down gracefully while the outcome of one of its calls is
+// not yet recorded. A duplicate that waits at another entry host must get the
+// recorded answer. A duplicate of a claim that was never resolved must get an
+// unknown outcome immediately, not after the hold.
+func TestDrainResolvesPendingClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, service := newFakeCluster(1), newFakeService()
-		leaving, staying := newFakeEntry(cluster, "e1", 1, 1), newFakeEntry(cluster, "e2", 1, 1)
+		draining, remaining := newFakeEntry(cluster, "e1", 1, 1), newFakeEntry(cluster, "e2", 1, 1)
 		var down atomic.Bool
 		down.Store(true)
-		leaving.net.fate = func(m port.Method) fate {
+		draining.net.delivery = func(m port.Method) delivery {
 			if down.Load() && m == MethodRecord {
 				return lostBefore
 			}
@@ -228,18 +228,18 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 		defer cancel()
-		if _, err := leaving.Do(ctx, callOf("a", 1), func(context.Context) (once.Answer, error) {
+		if _, err := draining.Do(ctx, callOf("a", 1), func(context.Context) (once.Answer, error) {
 			return service.run("a", requestOf(1)), nil
 		}); err != nil {
 			t.Fatal(err)
 		}
-		if last, err := leaving.claim(ctx, once.Claim{Key: callOf("b", 2).Key, Owner: leaving.options.Self(), ID: newClaimID()}); err != nil || last.result.Status != once.StatusGranted {
+		if last, err := draining.claim(ctx, once.Claim{Key: callOf("b", 2).Key, Owner: draining.options.Self(), ID: newClaimID()}); err != nil || last.result.Status != once.StatusGranted {
 			t.Fatal(last, err)
 		}
 		kinds := make(chan outcome.Kind, 2)
 		for n, text := range []string{"a", "b"} {
 			go func() {
-				_, err := staying.Do(ctx, callOf(text, uint64(n+3)), func(context.Context) (once.Answer, error) {
+				_, err := remaining.Do(ctx, callOf(text, uint64(n+3)), func(context.Context) (once.Answer, error) {
 					return service.run(text, requestOf(uint64(n+3))), nil
 				})
 				kinds <- outcome.KindOf(err)
@@ -248,11 +248,11 @@
 		time.Sleep(time.Second)
 		down.Store(false)
 		started := time.Now()
-		leaving.Drain(ctx)
+		draining.Drain(ctx)
 		got := map[outcome.Kind]int{<-kinds: 1}
 		got[<-kinds]++
 		if got[outcome.KindDone] != 1 || got[outcome.KindUnknown] != 1 {
-			t.Errorf("duplicates were told %v", got)
+			t.Errorf("outcomes of the duplicates: %v", got)
 		}
 		if waited := time.Since(started); waited > maxWait {
 			t.Errorf("duplicates waited %v after the drain", waited)
@@ -260,8 +260,8 @@
 		if service.byKey["a"] != 1 || service.byKey["b"] != 0 {
 			t.Errorf("runs: %v", service.byKey)
 		}
-		leaving.kill()
-		staying.kill()
-		time.Sleep(settleFor)
+		draining.kill()
+		remaining.kill()
+		time.Sleep(resolveTimeout)
 	})
 }
--- a/internal/ledger/fake_test.go
+++ b/internal/ledger/fake_test.go
@@ -12,17 +12,17 @@
 	"github.com/lovagereach/lovagereach/once"
 )
 
-// A fakeCluster is three control hosts with one ledger group for each shard.
-// Committing is instant; who leads, who is cut off and what is lost is the
-// test's choice.
+// fakeCluster is three control hosts with one ledger group per shard. Commits
+// take no time. The test controls which host leads, which hosts are isolated and
+// which messages are lost.
 type fakeCluster struct {
-	mu      sync.Mutex
-	leader  int
-	cut     map[int]bool
-	servers []*Server
-	groups  map[port.GroupID]*fakeGroup
-	// splitBrain lets a host that was deposed while cut off go on committing
-	// to its own copy: a seeded fault of the replica.
+	mu       sync.Mutex
+	leader   int
+	isolated map[int]bool
+	servers  []*Server
+	groups   map[port.GroupID]*fakeGroup
+	// splitBrain is a seeded fault of the replica: an isolated former leader
+	// continues to commit to its own copy.
 	splitBrain bool
 }
 
@@ -38,9 +38,9 @@
 func hostName(i int) ident.Host { return ident.Host(fmt.Sprintf("c%d", i)) }
 
 func newFakeCluster(shards int) *fakeCluster {
-	c := &fakeCluster{cut: make(map[int]bool), groups: make(map[port.GroupID]*fakeGroup)}
+	c := &fakeCluster{isolated: make(map[int]bool), groups: make(map[port.GroupID]*fakeGroup)}
 	for i := range fakeHosts {
-		held := make(map[port.GroupID]Group)
+		hosted := make(map[port.GroupID]Group)
 		for shard := range shards {
 			id := GroupOf(uint32(shard))
 			g := c.groups[id]
@@ -49,27 +49,27 @@
 				c.groups[id] = g
 			}
 			g.machines = append(g.machines, NewMachine())
-			held[id] = Group{Replica: &fakeReplica{group: g, host: i}, Machine: g.machines[i]}
+			hosted[id] = Group{Replica: &fakeReplica{group: g, host: i}, Machine: g.machines[i]}
 		}
-		c.servers = append(c.servers, NewServer(held, time.Now))
+		c.servers = append(c.servers, NewServer(hosted, time.Now))
 	}
 	return c
 }
 
-// depose cuts the leader off or crashes it and lets the next host lead. A
-// crashed host comes back with its log, so both look alike from outside.
+// depose isolates or crashes the leader and makes the next host the leader. A
+// crashed host restarts with its log, so other hosts can't distinguish the two.
 func (c *fakeCluster) depose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.cut)
-	c.cut[c.leader] = true
+	clear(c.isolated)
+	c.isolated[c.leader] = true
 	c.leader = (c.leader + 1) % fakeHosts
 }
 
 func (c *fakeCluster) heal() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.cut)
+	clear(c.isolated)
 }
 
 type fakeReplica struct {
@@ -81,7 +81,7 @@
 	c := r.group.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut[r.host] {
+	if c.isolated[r.host] {
 		if c.splitBrain {
 			return r.group.machines[r.host].Apply(0, command), nil
 		}
@@ -101,7 +101,7 @@
 }
 
 func (g *fakeGroup) catchUp(host int) (last []byte) {
-	for !g.cluster.cut[host] && g.applied[host] < len(g.log) {
+	for !g.cluster.isolated[host] && g.applied[host] < len(g.log) {
 		last = g.machines[host].Apply(0, g.log[g.applied[host]])
 		g.applied[host]++
 	}
@@ -112,7 +112,7 @@
 	c := r.group.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut[r.host] || r.host != c.leader {
+	if c.isolated[r.host] || r.host != c.leader {
 		return &port.NotLeaderError{Leader: hostName(c.leader)}
 	}
 	r.group.catchUp(r.host)
@@ -125,71 +125,76 @@
 	c := r.group.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return port.ReplicaStatus{Leader: hostName(c.leader), IsLeader: c.leader == r.host && !c.cut[r.host]}
+	return port.ReplicaStatus{Leader: hostName(c.leader), IsLeader: c.leader == r.host && !c.isolated[r.host]}
 }
 
-// fate is what happens to one message.
-type fate int
+// delivery is the treatment of one message by a fakeNet.
+type delivery int
 
 const (
-	delivered fate = iota
+	delivered delivery = iota
 	lostBefore
 	lostAfter
-	// lateCopy: delivered, its answer lost, and delivered once more later.
+	// lateCopy means delivered with its answer lost, and delivered once more
+	// after copyDelay.
 	lateCopy
-	// swallowed: the far side says nothing, and the connection stays.
-	swallowed
+	// unanswered means that no answer arrives and the connection stays open.
+	unanswered
 )
 
-// lateBy is how long a late copy takes.
-const lateBy = 5 * time.Second
+// copyDelay is the delay of a late copy.
+const copyDelay = 5 * time.Second
 
-// fakeNet is one entry host's connections to the control hosts.
+// fakeNet implements one entry host's connections to the control hosts.
 type fakeNet struct {
 	cluster *fakeCluster
 	self    port.Peer
-	// fate decides on each message; nil delivers all.
-	fate func(method port.Method) fate
-	// around is told when a handler begins and ends, if it is set.
-	around func(change int)
-	// dead ends the entry host: nothing leaves it any more.
-	dead context.Context
+	// delivery selects the treatment of each message. If nil, all messages are
+	// delivered.
+	delivery func(method port.Method) delivery
+	// onHandler, if not nil, is called with 1 when a handler starts and with -1
+	// when it returns.
+	onHandler func(change int)
+	// stopped is done when the entry host has crashed. It sends nothing
+	// afterwards.
+	stopped context.Context
 }
 
 func (n *fakeNet) Send(string, port.Method, []byte) bool { return false }
 
 func (n *fakeNet) Call(ctx context.Context, address string, method port.Method, body []byte) ([]byte, error) {
-	if n.dead.Err() != nil {
+	if n.stopped.Err() != nil {
 		return nil, port.ErrPeerNotSent
 	}
 	var host int
 	if _, err := fmt.Sscanf(address, "c%d", &host); err != nil {
 		return nil, port.ErrPeerNotSent
 	}
-	// What a Client says by itself when it starts is no part of the trials.
-	what := delivered
-	if method != MethodLost && n.fate != nil {
-		what = n.fate(method)
+	// No faults are injected into the messages that a Client sends on its own
+	// when it starts.
+	mode := delivered
+	if method != MethodLost && n.delivery != nil {
+		mode = n.delivery(method)
 	}
-	if n.dead.Err() != nil || what == lostBefore {
+	if n.stopped.Err() != nil || mode == lostBefore {
 		return nil, port.ErrPeerLost
 	}
-	if what == swallowed {
+	if mode == unanswered {
 		<-ctx.Done()
 		return nil, port.ErrPeerLost
 	}
-	if method != MethodLost && n.around != nil {
-		n.around(1)
-		defer n.around(-1)
+	if method != MethodLost && n.onHandler != nil {
+		n.onHandler(1)
+		defer n.onHandler(-1)
 	}
 	answer, err := n.cluster.servers[host].HandlePeer(ctx, n.self, method, body)
-	if what == lateCopy {
+	if mode == lateCopy {
 		go func() {
-			time.Sleep(lateBy)
+			time.Sleep(copyDelay)
 			n.cluster.servers[host].HandlePeer(context.Background(), n.self, method, body)
 		}()
 	}
-	if n.dead.Err() != nil || what != delivered {
+	if n.stopped.Err() != nil || mode != delivered {
 		return nil, port.ErrPeerLost
 	}
 	return answer, err
@@ -203,8 +208,8 @@
 }
 
 func newFakeEntry(cluster *fakeCluster, name ident.Host, incarnation ident.Incarnation, shards uint32) *fakeEntry {
-	dead, kill := context.WithCancel(context.Background())
-	net := &fakeNet{cluster: cluster, self: port.Peer{Host: name, Role: "entry"}, dead: dead}
+	stopped, kill := context.WithCancel(context.Background())
+	net := &fakeNet{cluster: cluster, self: port.Peer{Host: name, Role: "entry"}, stopped: stopped}
 	control := make(map[ident.Host]string)
 	for i := range fakeHosts {
 		control[hostName(i)] = string(hostName(i))
@@ -218,11 +223,11 @@
 	if err != nil {
 		panic(err)
 	}
-	go client.Run(dead)
+	go client.Run(stopped)
 	return &fakeEntry{Client: client, net: net, kill: kill}
 }
 
-// fakeService counts its runs by key and by request.
+// fakeService records its runs by key and by request.
 type fakeService struct {
 	mu       sync.Mutex
 	byKey    map[string]int
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -16,142 +16,145 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// A point is a step between claim and outcome at which a fault can strike.
-type point string
+// step is a step between claim and outcome at which a fault can be injected.
+type step string
 
 const (
-	pointClaimOut   point = "claim leaves"
-	pointClaimed    point = "claim committed"
-	pointSend       point = "before the first byte"
-	pointRan        point = "service has run"
-	pointAnswered   point = "answer arrived"
-	pointRecordOut  point = "record or release leaves"
-	pointRecorded   point = "record or release committed"
-	pointDialFailed point = "dial fails"
-	pointRefused    point = "service refuses"
+	stepClaimOut   step = "claim leaves"
+	stepClaimed    step = "claim committed"
+	stepSend       step = "before the first byte"
+	stepRan        step = "service has run"
+	stepAnswered   step = "answer arrived"
+	stepRecordOut  step = "record or release leaves"
+	stepRecorded   step = "record or release committed"
+	stepDialFailed step = "dial fails"
+	stepRefused    step = "service refuses"
 )
 
-// A strike is what happens there, to one process or connection.
-type strike string
+// faultKind is the failure of one process or connection at a step.
+type faultKind string
 
 const (
-	strikeEntryDies   strike = "entry dies"
-	strikeEntryPauses strike = "entry pauses past its hold"
-	strikeLeaderCut   strike = "leader cut off or dead"
-	strikeMessageLost strike = "message lost"
-	strikeAnswerLost  strike = "answer lost"
-	strikeLateCopy    strike = "answer lost, copy arrives late"
-	strikeServiceDies strike = "service dies"
-	strikeCallerGone  strike = "caller leaves"
-	strikeItself      strike = "itself"
+	faultEntryCrash     faultKind = "entry dies"
+	faultEntryPause     faultKind = "entry pauses past its hold"
+	faultLeaderIsolated faultKind = "leader cut off or dead"
+	faultMessageLost    faultKind = "message lost"
+	faultAnswerLost     faultKind = "answer lost"
+	faultLateCopy       faultKind = "answer lost, copy arrives late"
+	faultServiceCrash   faultKind = "service dies"
+	faultCallerGone     faultKind = "caller leaves"
+	faultStep           faultKind = "itself"
 )
 
 type fault struct {
-	at   point
-	what strike
+	at   step
+	kind faultKind
 }
 
-func (f fault) String() string { return string(f.what) + " when " + string(f.at) }
+func (f fault) String() string { return string(f.kind) + " when " + string(f.at) }
 
-// allFaults crosses every step with every process that takes part in it.
+// allFaults returns the faults of each process at each step that it takes part
+// in.
 func allFaults() []fault {
 	faults := []fault{
-		{pointDialFailed, strikeItself}, {pointRefused, strikeItself},
-		{pointSend, strikeServiceDies}, {pointRan, strikeServiceDies},
-		{pointClaimed, strikeEntryPauses}, {pointSend, strikeEntryPauses}, {pointAnswered, strikeEntryPauses},
-		{pointClaimed, strikeCallerGone}, {pointSend, strikeCallerGone}, {pointRan, strikeCallerGone},
+		{stepDialFailed, faultStep}, {stepRefused, faultStep},
+		{stepSend, faultServiceCrash}, {stepRan, faultServiceCrash},
+		{stepClaimed, faultEntryPause}, {stepSend, faultEntryPause}, {stepAnswered, faultEntryPause},
+		{stepClaimed, faultCallerGone}, {stepSend, faultCallerGone}, {stepRan, faultCallerGone},
 	}
-	for _, at := range []point{pointClaimOut, pointClaimed, pointSend, pointRan, pointAnswered, pointRecordOut, pointRecorded} {
-		faults = append(faults, fault{at, strikeEntryDies}, fault{at, strikeLeaderCut})
+	for _, at := range []step{stepClaimOut, stepClaimed, stepSend, stepRan, stepAnswered, stepRecordOut, stepRecorded} {
+		faults = append(faults, fault{at, faultEntryCrash}, fault{at, faultLeaderIsolated})
 	}
-	for _, at := range []point{pointClaimOut, pointRecordOut} {
-		faults = append(faults, fault{at, strikeMessageLost}, fault{at, strikeAnswerLost}, fault{at, strikeLateCopy})
+	for _, at := range []step{stepClaimOut, stepRecordOut} {
+		faults = append(faults, fault{at, faultMessageLost}, fault{at, faultAnswerLost}, fault{at, faultLateCopy})
 	}
 	return faults
 }
 
-// trial is one key whose first request meets faults, and which is then sent
-// again through another entry host and through the first one's next incarnation.
+// trial is a run with one key. Faults are injected into its first request, which
+// is then resent through another entry host and through the next incarnation of
+// the first.
 type trial struct {
 	faults  []fault
 	cluster *fakeCluster
 	service *fakeService
 	entry   *fakeEntry
 
-	mu      sync.Mutex
-	struck  map[fault]bool
-	leave   context.CancelFunc
-	answers []said
+	mu         sync.Mutex
+	injected   map[fault]bool
+	cancelCall context.CancelFunc
+	results    []callResult
 
-	// do and send stand in for the real ones when a bug is seeded.
+	// do and send replace the real functions when a bug is seeded.
 	do   func(*Client, context.Context, Call, SendFunc) (Result, error)
 	send func(SendFunc) SendFunc
 }
 
-// said is what a caller was told.
-type said struct {
-	request ident.Request
-	done    Result
-	err     error
-	ranThen bool
+// callResult is the result that a caller got.
+type callResult struct {
+	request     ident.Request
+	done        Result
+	err         error
+	ranAtReturn bool
 }
 
 const callDeadline = 20 * time.Second
 
 func newTrial(faults ...fault) *trial {
 	return &trial{
-		faults: faults, cluster: newFakeCluster(1), service: newFakeService(), struck: make(map[fault]bool),
+		faults: faults, cluster: newFakeCluster(1), service: newFakeService(), injected: make(map[fault]bool),
 		do:   (*Client).Do,
 		send: func(s SendFunc) SendFunc { return s },
 	}
 }
 
-// hits reports the faults that strike at a point, each once.
-func (tr *trial) hits(at point) []strike {
+// due returns the faults to inject at a step, each only once.
+func (tr *trial) due(at step) []faultKind {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	var strikes []strike
+	var kinds []faultKind
 	for _, f := range tr.faults {
-		if f.at == at && !tr.struck[f] {
-			tr.struck[f] = true
-			strikes = append(strikes, f.what)
+		if f.at == at && !tr.injected[f] {
+			tr.injected[f] = true
+			kinds = append(kinds, f.kind)
 		}
 	}
-	return strikes
+	return kinds
 }
 
-// pass carries out the faults of a point that strike a process.
-func (tr *trial) pass(at point) []strike {
-	strikes := tr.hits(at)
-	for _, what := range strikes {
-		switch what {
-		case strikeEntryDies:
+// inject carries out the process faults of a step and returns all faults due at
+// it.
+func (tr *trial) inject(at step) []faultKind {
+	kinds := tr.due(at)
+	for _, kind := range kinds {
+		switch kind {
+		case faultEntryCrash:
 			tr.entry.kill()
-		case strikeEntryPauses:
+		case faultEntryPause:
 			time.Sleep(callDeadline + holdMargin + time.Second)
-		case strikeLeaderCut:
+		case faultLeaderIsolated:
 			tr.cluster.depose()
-		case strikeCallerGone:
+		case faultCallerGone:
 			tr.mu.Lock()
-			tr.leave()
+			tr.cancelCall()
 			tr.mu.Unlock()
 		}
 	}
-	return strikes
+	return kinds
 }
 
-func (tr *trial) fate(method port.Method) fate {
-	at := pointRecordOut
+func (tr *trial) delivery(method port.Method) delivery {
+	at := stepRecordOut
 	if method == MethodClaim {
-		at = pointClaimOut
+		at = stepClaimOut
 	}
-	for _, what := range tr.pass(at) {
-		switch what {
-		case strikeMessageLost:
+	for _, kind := range tr.inject(at) {
+		switch kind {
+		case faultMessageLost:
 			return lostBefore
-		case strikeAnswerLost:
+		case faultAnswerLost:
 			return lostAfter
-		case strikeLateCopy:
+		case faultLateCopy:
 			return lateCopy
 		}
 	}
@@ -163,33 +166,34 @@
 	return Call{Key: key, Digest: once.DigestCall("POST", "/bid", nil), Request: requestOf(request)}
 }
 
-// sendFirst is the first entry's send, with every step that can be struck.
+// sendFirst returns the send function of the first entry, with each step at
+// which a fault can be injected.
 func (tr *trial) sendFirst(call Call) SendFunc {
 	return func(ctx context.Context) (once.Answer, error) {
-		tr.pass(pointClaimed)
+		tr.inject(stepClaimed)
 		lost := &outcome.Unknown{Reason: outcome.ReasonConnectionLost}
-		if len(tr.hits(pointDialFailed)) > 0 {
+		if len(tr.due(stepDialFailed)) > 0 {
 			return once.Answer{}, &outcome.NotRun{Reason: outcome.ReasonDial}
 		}
-		if len(tr.hits(pointRefused)) > 0 {
+		if len(tr.due(stepRefused)) > 0 {
 			return once.Answer{}, &outcome.NotRun{Reason: outcome.ReasonRefused}
 		}
-		strikes := tr.pass(pointSend)
-		if tr.entry.net.dead.Err() != nil || has(strikes, strikeServiceDies) {
+		kinds := tr.inject(stepSend)
+		if tr.entry.net.stopped.Err() != nil || hasFault(kinds, faultServiceCrash) {
 			return once.Answer{}, lost
 		}
 		answer := tr.service.run(call.Key.Text, call.Request)
-		strikes = tr.pass(pointRan)
-		if has(strikes, strikeServiceDies) || ctx.Err() != nil {
+		kinds = tr.inject(stepRan)
+		if hasFault(kinds, faultServiceCrash) || ctx.Err() != nil {
 			return once.Answer{}, lost
 		}
-		tr.pass(pointAnswered)
+		tr.inject(stepAnswered)
 		return answer, nil
 	}
 }
 
-func has(strikes []strike, want strike) bool {
-	for _, s := range strikes {
+func hasFault(kinds []faultKind, want faultKind) bool {
+	for _, s := range kinds {
 		if s == want {
 			return true
 		}
@@ -197,27 +201,27 @@
 	return false
 }
 
-func (tr *trial) ask(entry *fakeEntry, call Call, send SendFunc) {
+func (tr *trial) runCall(entry *fakeEntry, call Call, send SendFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), callDeadline)
 	defer cancel()
 	tr.mu.Lock()
 	if entry == tr.entry {
-		tr.leave = cancel
+		tr.cancelCall = cancel
 	}
 	tr.mu.Unlock()
 	done, err := tr.do(entry.Client, ctx, call, tr.send(send))
-	if entry.net.dead.Err() != nil || errors.Is(ctx.Err(), context.Canceled) {
-		return // nobody was told
+	if entry.net.stopped.Err() != nil || errors.Is(ctx.Err(), context.Canceled) {
+		return // no caller got the result
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.answers = append(tr.answers, said{request: call.Request, done: done, err: err, ranThen: tr.service.ran(call.Request)})
+	tr.results = append(tr.results, callResult{request: call.Request, done: done, err: err, ranAtReturn: tr.service.ran(call.Request)})
 }
 
-// run plays the trial in virtual time and returns what went wrong.
+// run runs the trial in virtual time and returns the problems found.
 func (tr *trial) run() (problems []string) {
 	tr.entry = newFakeEntry(tr.cluster, "e1", 1, 1)
-	tr.entry.net.fate = tr.fate
+	tr.entry.net.delivery = tr.delivery
 	second := newFakeEntry(tr.cluster, "e2", 1, 1)
 	plain := func(call Call) SendFunc {
 		return func(context.Context) (once.Answer, error) {
@@ -227,27 +231,27 @@
 	first := make(chan struct{})
 	go func() {
 		defer close(first)
-		tr.ask(tr.entry, tr.call(1), tr.sendFirst(tr.call(1)))
+		tr.runCall(tr.entry, tr.call(1), tr.sendFirst(tr.call(1)))
 	}()
 	time.Sleep(time.Second)
 	for request := uint64(2); request <= 3; request++ {
-		tr.ask(second, tr.call(request), plain(tr.call(request)))
+		tr.runCall(second, tr.call(request), plain(tr.call(request)))
 	}
 	<-first
-	tr.pass(pointRecorded)
+	tr.inject(stepRecorded)
 	time.Sleep(time.Minute)
 	tr.cluster.heal()
 	tr.entry.kill()
 	restarted := newFakeEntry(tr.cluster, "e1", 2, 1)
-	tr.ask(restarted, tr.call(4), plain(tr.call(4)))
-	tr.ask(second, tr.call(5), plain(tr.call(5)))
+	tr.runCall(restarted, tr.call(4), plain(tr.call(4)))
+	tr.runCall(second, tr.call(5), plain(tr.call(5)))
 	second.kill()
 	restarted.kill()
-	time.Sleep(settleFor)
+	time.Sleep(resolveTimeout)
 	return tr.check()
 }
 
-// check compares what the callers were told with what the service did.
+// check compares the results of the callers with the runs of the service.
 func (tr *trial) check() (problems []string) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -255,9 +259,9 @@
 		problems = append(problems, fmt.Sprintf("doubled run: the key ran %d times", n))
 	}
 	body := ""
-	for _, a := range tr.answers {
+	for _, a := range tr.results {
 		var notRun *outcome.NotRun
-		if errors.As(a.err, &notRun) && (a.ranThen || tr.service.ran(a.request)) {
+		if errors.As(a.err, &notRun) && (a.ranAtReturn || tr.service.ran(a.request)) {
 			problems = append(problems, fmt.Sprintf("false not-run: request %s ran", a.request))
 		}
 		if a.err != nil {
@@ -269,59 +273,59 @@
 		}
 		body = got
 		if !strings.HasPrefix(got, "k run 1 for ") || !a.done.Replayed && !strings.HasSuffix(got, a.request.String()) {
-			problems = append(problems, fmt.Sprintf("crossed answer: %s was given %q", a.request, got))
+			problems = append(problems, fmt.Sprintf("crossed answer: %s got %q", a.request, got))
 		}
 	}
-	if len(tr.answers) < 3 {
-		problems = append(problems, "a resend was left without an answer")
+	if len(tr.results) < 3 {
+		problems = append(problems, "a resend got no answer")
 	}
 	return problems
 }
 
-// The callers of a bid must see at most one run and never a false refusal,
-// whatever dies or is cut off between claim and outcome. The first request
-// meets one fault, or two, at any step; the same key is then sent again through
-// another entry host while the fault lasts, and through both after it. The
-// claim is committed before the send and only its owner can release it, so no
-// resend can win while the first may have been sent.
+// A bid must run at most once and must never be falsely reported as not run,
+// whichever process crashes or is isolated between claim and outcome. One or two
+// faults are injected into the first request, at any step; the same key is then
+// resent through another entry host during the fault, and through both after it.
+// The claim is committed before the send and only its owner can release it, so
+// no resend can be granted the key while the first may have been sent.
 func TestFaultsAtEveryStep(t *testing.T) {
 	faults := allFaults()
 	trials := 0
-	told := make(map[string]int)
-	play := func(t *testing.T, strikes ...fault) {
+	outcomes := make(map[string]int)
+	runTrial := func(t *testing.T, planned ...fault) {
 		trials++
 		synctest.Test(t, func(t *testing.T) {
-			tr := newTrial(strikes...)
+			tr := newTrial(planned...)
 			for _, problem := range tr.run() {
-				t.Errorf("%v: %s", strikes, problem)
+				t.Errorf("%v: %s", planned, problem)
 			}
-			for _, f := range strikes {
-				if len(strikes) == 1 && !tr.struck[f] {
-					t.Errorf("%v never struck: the trial shows nothing", f)
+			for _, f := range planned {
+				if len(planned) == 1 && !tr.injected[f] {
+					t.Errorf("%v was never injected: the trial tests nothing", f)
 				}
 			}
-			for _, a := range tr.answers {
-				told[outcome.KindOf(a.err).String()]++
+			for _, a := range tr.results {
+				outcomes[outcome.KindOf(a.err).String()]++
 			}
 		})
 	}
 	for i, f := range faults {
-		play(t, f)
+		runTrial(t, f)
 		for _, g := range faults[i+1:] {
-			play(t, f, g)
+			runTrial(t, f, g)
 		}
 	}
-	t.Logf("%d faults, %d trials, callers told %v", len(faults), trials, told)
+	t.Logf("%d faults, %d trials, outcomes of the callers: %v", len(faults), trials, outcomes)
 	for _, kind := range []outcome.Kind{outcome.KindDone, outcome.KindNotRun, outcome.KindUnknown} {
-		if told[kind.String()] == 0 {
-			t.Errorf("no trial ended %v: the table leaves a case out", kind)
+		if outcomes[kind.String()] == 0 {
+			t.Errorf("no call ended with outcome %v: the trials don't cover it", kind)
 		}
 	}
 }
 
-// Each seeded bug is one that a careless change could bring. The trials must
-// notice it, or their silence above means nothing.
-func TestSeededBugsAreNoticed(t *testing.T) {
+// Each seeded bug is one that a code change could introduce. The check of the
+// trials must detect it, or a pass of TestFaultsAtEveryStep would prove nothing.
+func TestSeededBugsAreDetected(t *testing.T) {
 	sendFirst := func(c *Client, ctx context.Context, call Call, send SendFunc) (Result, error) {
 		answer, err := send(ctx)
 		if err != nil {
@@ -366,11 +370,11 @@
 		want   string
 	}{
 		{"send before claim", nil, func(tr *trial) { tr.do = sendFirst }, "doubled run"},
-		{"release after send", []fault{{pointRan, strikeServiceDies}}, func(tr *trial) { tr.send = releaseAfterSend }, "doubled run"},
-		{"false not-run", []fault{{pointRan, strikeServiceDies}}, func(tr *trial) { tr.do = ledgerDownIsNotRun }, "false not-run"},
+		{"release after send", []fault{{stepRan, faultServiceCrash}}, func(tr *trial) { tr.send = releaseAfterSend }, "doubled run"},
+		{"false not-run", []fault{{stepRan, faultServiceCrash}}, func(tr *trial) { tr.do = ledgerDownIsNotRun }, "false not-run"},
 		{"duplicate answered differently", nil, func(tr *trial) { tr.do = otherBody }, "two answers"},
 		{"crossed answer", nil, func(tr *trial) { tr.send = crossed }, "crossed answer"},
-		{"no bug", []fault{{pointRan, strikeServiceDies}}, func(*trial) {}, ""},
+		{"no bug", []fault{{stepRan, faultServiceCrash}}, func(*trial) {}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -18,7 +18,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// ledgerOp is one operation on one key, and what came of it.
+// ledgerOp is one operation on one key.
 type ledgerOp struct {
 	key    string
 	kind   port.Method
@@ -27,14 +27,15 @@
 	body   string
 }
 
-// ledgerOut is what came of it; an uncertain operation had its effect or none.
+// ledgerOut is the result of a ledgerOp. An uncertain operation may or may not
+// have taken effect.
 type ledgerOut struct {
 	uncertain bool
 	status    once.Status
 	body      string
 }
 
-// keyState is the sequential specification's state of one key.
+// keyState is the state of one key in the sequential specification.
 type keyState struct {
 	claim    once.ClaimID
 	digest   byte
@@ -42,26 +43,28 @@
 	inFlight bool
 	released bool
 	body     string
-	// dead lists the claims that were given up.
-	dead string
+	// abandoned lists the tags of the abandoned claims.
+	abandoned string
 }
 
-func (s keyState) isDead(claim once.ClaimID) bool { return strings.Contains(s.dead, tag(claim)) }
+func (s keyState) isAbandoned(claim once.ClaimID) bool {
+	return strings.Contains(s.abandoned, tag(claim))
+}
 
-func (s keyState) giveUp(claim once.ClaimID) keyState {
-	if !s.isDead(claim) {
-		s.dead += tag(claim)
+func (s keyState) abandon(claim once.ClaimID) keyState {
+	if !s.isAbandoned(claim) {
+		s.abandoned += tag(claim)
 	}
 	return s
 }
 
 func tag(claim once.ClaimID) string { return fmt.Sprintf("%x;", claim) }
 
-// specify applies one operation to the state of a key, as the ledger ought to.
-func specify(s keyState, op ledgerOp) (keyState, ledgerOut) {
+// applySpec applies one operation to the state of a key as the ledger must.
+func applySpec(s keyState, op ledgerOp) (keyState, ledgerOut) {
 	switch op.kind {
 	case MethodClaim:
-		return specifyClaim(s, op)
+		return applyClaimSpec(s, op)
 	case MethodRelease:
 		switch {
 		case !s.seen:
@@ -72,7 +75,7 @@
 		default:
 			return s, ledgerOut{status: once.StatusAnswered, body: s.body}
 		}
-		return s.giveUp(op.claim), ledgerOut{status: once.StatusReleased}
+		return s.abandon(op.claim), ledgerOut{status: once.StatusReleased}
 	default:
 		switch {
 		case s.claim != op.claim || !s.seen:
@@ -86,14 +89,14 @@
 	return s, ledgerOut{status: once.StatusAnswered, body: s.body}
 }
 
-func specifyClaim(s keyState, op ledgerOp) (keyState, ledgerOut) {
+func applyClaimSpec(s keyState, op ledgerOp) (keyState, ledgerOut) {
 	switch {
 	case s.seen && s.digest != op.digest:
 		return s, ledgerOut{status: once.StatusConflict}
-	case s.isDead(op.claim):
+	case s.isAbandoned(op.claim):
 		return s, ledgerOut{status: once.StatusReleased}
 	case !s.seen, s.released:
-		won := keyState{claim: op.claim, digest: op.digest, seen: true, inFlight: true, dead: s.dead}
+		won := keyState{claim: op.claim, digest: op.digest, seen: true, inFlight: true, abandoned: s.abandoned}
 		return won, ledgerOut{status: once.StatusGranted}
 	case s.inFlight && s.claim == op.claim:
 		return s, ledgerOut{status: once.StatusGranted}
@@ -118,7 +121,7 @@
 	},
 	Init: func() []any { return []any{keyState{}} },
 	Step: func(state, input, output any) []any {
-		next, want := specify(state.(keyState), input.(ledgerOp))
+		next, want := applySpec(state.(keyState), input.(ledgerOp))
 		switch got := output.(ledgerOut); {
 		case got.uncertain:
 			return []any{state, next}
@@ -129,7 +132,7 @@
 	},
 }
 
-// history drives clients against the servers and writes down what each saw.
+// history runs clients against the servers and records their operations.
 type history struct {
 	cluster *fakeCluster
 	start   time.Time
@@ -137,9 +140,9 @@
 	ops     []porcupine.Operation
 }
 
-// do runs one operation. A copy of a claim that it was not granted may win
-// later; like Do, it then gives the claim up, and the copy counts as an
-// uncertain operation that ends with that.
+// do runs one operation. A delayed copy of a claim that was not granted may be
+// granted later. Like Client.Do, do then abandons the claim and records the copy
+// as an uncertain operation that returns with the release.
 func (h *history) do(client int, entry *fakeEntry, op ledgerOp) ledgerOut {
 	called := time.Since(h.start)
 	out, doubtful := h.call(client, entry, op)
@@ -150,12 +153,12 @@
 		if out, _ := h.call(client, entry, release); !out.uncertain {
 			returned = time.Since(h.start)
 		}
-		h.note(client, op, ledgerOut{uncertain: true}, called, returned)
+		h.record(client, op, ledgerOut{uncertain: true}, called, returned)
 	}
 	return out
 }
 
-func (h *history) note(client int, op ledgerOp, out ledgerOut, called, returned time.Duration) {
+func (h *history) record(client int, op ledgerOp, out ledgerOut, called, returned time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: op, Output: out, Call: int64(called), Return: int64(returned)})
@@ -187,7 +190,7 @@
 		}
 		returned = time.Since(h.start)
 	}
-	h.note(client, op, out, called, returned)
+	h.record(client, op, out, called, returned)
 	return out, doubtful
 }
 
@@ -197,15 +200,15 @@
 	historyRounds  = 12
 )
 
-// play runs clients that claim, record and release a few keys while messages
-// are lost, delayed and repeated and the leader changes.
-func (h *history) play(seed uint64) {
+// run runs clients that claim, record and release a few keys while messages are
+// lost, delayed and repeated and the leader changes.
+func (h *history) run(seed uint64) {
 	h.start = time.Now()
 	var clients sync.WaitGroup
 	for client := range historyClients {
 		random := rand.New(rand.NewPCG(seed, uint64(client)))
 		entry := newFakeEntry(h.cluster, "e1", 1, 1)
-		entry.net.fate = func(port.Method) fate { return fate(max(0, random.IntN(9)-5)) }
+		entry.net.delivery = func(port.Method) delivery { return delivery(max(0, random.IntN(9)-5)) }
 		clients.Go(func() {
 			defer entry.kill()
 			for round := range historyRounds {
@@ -230,23 +233,23 @@
 		h.cluster.depose()
 	}
 	clients.Wait()
-	time.Sleep(2 * lateBy)
+	time.Sleep(2 * copyDelay)
 }
 
 func linearizable(t *testing.T, seed uint64, splitBrain bool) (ok bool, ops int) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &history{cluster: newFakeCluster(1)}
 		h.cluster.splitBrain = splitBrain
-		h.play(seed)
+		h.run(seed)
 		ok, ops = porcupine.CheckOperations(ledgerModel.ToModel(), h.ops), len(h.ops)
 	})
 	return ok, ops
 }
 
-// Callers on several entry hosts must see one ledger: whatever was lost,
-// repeated or committed under a leader that is gone, their answers must fit one
-// order of all operations. The second half lets a deposed leader go on
-// committing to its own copy; a history in which that shows must be rejected.
+// Callers on several entry hosts must see a linearizable ledger while messages
+// are lost and repeated and leaders are deposed. The second run of each seed lets
+// a deposed leader continue to commit to its own copy; the check must reject a
+// history in which this is visible.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	total, caught := 0, 0
 	for seed := range uint64(20) {
--- a/internal/ledger/loopback.go
+++ b/internal/ledger/loopback.go
@@ -6,17 +6,18 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// Loopback reaches a Server in the same process, for a deployment in one
-// process: the Client is then the same as in any other.
+// Loopback is a port.PeerClient that calls a Server in the same process. It
+// lets a single-process deployment use the same Client as any other.
 type Loopback struct {
 	Server *Server
-	// Self is the entry host that calls.
+	// Self is the calling entry host.
 	Self port.Peer
 }
 
 var _ port.PeerClient = Loopback{}
 
-// Call implements port.PeerClient; there is one server, whatever the address.
+// Call implements port.PeerClient. The address is ignored, since there is only
+// one server.
 func (l Loopback) Call(ctx context.Context, _ string, method port.Method, body []byte) ([]byte, error) {
 	return l.Server.HandlePeer(ctx, l.Self, method, body)
 }
--- a/internal/ledger/machine.go
+++ b/internal/ledger/machine.go
@@ -12,7 +12,7 @@
 	"github.com/lovagereach/lovagereach/once"
 )
 
-// MaxWaiters bounds the duplicates that wait on one group of one control host.
+// MaxWaiters limits the duplicates that wait on one group of one control host.
 const MaxWaiters = 1 << 14
 
 // Machine is the state machine of one ledger group: the at-most-once ledger
@@ -27,7 +27,7 @@
 
 var _ port.StateMachine = (*Machine)(nil)
 
-// NewMachine returns an empty machine.
+// NewMachine returns a machine without ledger and trace entries.
 func NewMachine() *Machine {
 	m := &Machine{
 		ledger:  once.New(),
@@ -56,7 +56,8 @@
 	}
 }
 
-type machineImage struct {
+// machineSnapshot is the encoding of a Machine's state.
+type machineSnapshot struct {
 	Ledger []byte `cbor:"1,keyasint"`
 	Trace  []byte `cbor:"2,keyasint"`
 }
@@ -73,22 +74,23 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "snapshot of the audit trace")
 	}
-	return wire.Marshal(machineImage{Ledger: ledger, Trace: trace})
+	return wire.Marshal(machineSnapshot{Ledger: ledger, Trace: trace})
 }
 
-// Restore implements port.StateMachine. Waiting duplicates are woken: their
-// call may have been settled by a command that the snapshot skips.
+// Restore implements port.StateMachine. It wakes all waiting duplicates, since
+// their call may have been resolved by a command that the snapshot includes and
+// that is therefore not applied.
 func (m *Machine) Restore(snapshot []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var img machineImage
-	if err := wire.Unmarshal(snapshot, &img); err != nil {
+	var parts machineSnapshot
+	if err := wire.Unmarshal(snapshot, &parts); err != nil {
 		return eris.Wrap(err, "snapshot of a ledger group")
 	}
-	if err := m.ledger.Restore(img.Ledger); err != nil {
+	if err := m.ledger.Restore(parts.Ledger); err != nil {
 		return eris.Wrap(err, "snapshot of the ledger")
 	}
-	if err := m.trace.Restore(img.Trace); err != nil {
+	if err := m.trace.Restore(parts.Trace); err != nil {
 		return eris.Wrap(err, "snapshot of the audit trace")
 	}
 	for id := range m.waiters {
@@ -97,14 +99,16 @@
 	return nil
 }
 
-// Lookup returns what the local state says of a key. What it says of a settled
-// key is committed and final.
+// Lookup returns the result of a key in the local state. The result of a
+// resolved key is committed and final.
 func (m *Machine) Lookup(key once.Key) once.Result {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Lookup(key)
 }
 
+// peek returns the result of a claim if the local state determines it without a
+// commit.
 func (m *Machine) peek(claim once.Claim, now int64) (once.Result, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,48 +122,51 @@
 	return m.trace.Query(now, q)
 }
 
-// Stats returns the ledger's sizes and the open traces.
+// Stats returns the ledger's sizes and the number of open requests in the
+// trace.
 func (m *Machine) Stats() (once.Stats, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Stats(), m.trace.OpenCount()
 }
 
-// wait returns a channel that is closed when a key is settled, and a function
-// that must be called after the wait. It reports false when too many wait.
+// wait returns a channel that is closed when a key is resolved, and a function
+// that must be called after the wait. It returns false if MaxWaiters is
+// reached.
 func (m *Machine) wait(id once.KeyID) (<-chan struct{}, func(), bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.waiting >= MaxWaiters {
 		return nil, nil, false
 	}
-	settled := make(chan struct{})
-	m.waiters[id] = append(m.waiters[id], settled)
+	resolved := make(chan struct{})
+	m.waiters[id] = append(m.waiters[id], resolved)
 	m.waiting++
-	return settled, func() { m.giveUp(id, settled) }, true
+	return resolved, func() { m.cancelWait(id, resolved) }, true
 }
 
-func (m *Machine) giveUp(id once.KeyID, settled chan struct{}) {
+func (m *Machine) cancelWait(id once.KeyID, resolved chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	kept := m.waiters[id][:0]
+	remaining := m.waiters[id][:0]
 	for _, other := range m.waiters[id] {
-		if other != settled {
-			kept = append(kept, other)
+		if other != resolved {
+			remaining = append(remaining, other)
 		}
 	}
-	m.waiting -= len(m.waiters[id]) - len(kept)
-	if len(kept) == 0 {
+	m.waiting -= len(m.waiters[id]) - len(remaining)
+	if len(remaining) == 0 {
 		delete(m.waiters, id)
 		return
 	}
-	m.waiters[id] = kept
+	m.waiters[id] = remaining
 }
 
-// wake runs under the lock, from Apply or Restore.
+// wake closes the channels of a key's waiters. It is called from Apply or
+// Restore with m.mu held.
 func (m *Machine) wake(id once.KeyID) {
-	for _, settled := range m.waiters[id] {
-		close(settled)
+	for _, resolved := range m.waiters[id] {
+		close(resolved)
 	}
 	m.waiting -= len(m.waiters[id])
 	delete(m.waiters, id)
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -1,10 +1,10 @@
-// Package ledger runs the at-most-once ledger and the audit trace: Machine is
-// the replicated state of one ledger group, Server answers entry hosts on the
-// control hosts, Client is what an entry host uses.
+// Package ledger implements the at-most-once ledger and the audit trace.
+// Machine is the replicated state of one ledger group, Server runs on control
+// hosts and answers entry hosts, and Client is the entry host's side.
 //
-// A Client turns a call that may not be repeated into claim, send and record
-// (Do); it keeps one identity for a claim however often the claim is resent,
-// and says that a call did not run only when that is certain.
+// Client.Do runs a call that must not be repeated in three steps: claim, send
+// and record. All resends of a claim have the same claim ID, and a call is
+// reported as not run only when that is certain.
 package ledger
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/lovagereach/lovagereach/once"
 )
 
-// The methods that a Server answers.
+// Peer methods of a Server.
 const (
 	MethodClaim   port.Method = "ledger/claim"
 	MethodRelease port.Method = "ledger/release"
@@ -25,13 +25,13 @@
 	MethodLost    port.Method = "ledger/lost"
 )
 
-// Methods lists all of them, for registration.
+// Methods returns all peer methods of a Server, for registration.
 func Methods() []port.Method {
 	return []port.Method{MethodClaim, MethodRelease, MethodRecord, MethodTrace, MethodQuery, MethodLost}
 }
 
-// Request is the body of every message to a Server. The field that goes with
-// the method is set.
+// Request is the body of all messages to a Server. Only the field of the
+// message's method is set.
 type Request struct {
 	Group     port.GroupID        `cbor:"1,keyasint"`
 	Claim     *once.Claim         `cbor:"2,keyasint,omitempty"`
@@ -40,31 +40,31 @@
 	Trace     *audit.TraceCommand `cbor:"5,keyasint,omitempty"`
 	Query     *audit.Query        `cbor:"6,keyasint,omitempty"`
 	LostOwner *once.Owner         `cbor:"7,keyasint,omitempty"`
-	// WaitMillis is how long a duplicate's claim may wait for the outcome of
-	// the call in flight before it is answered.
+	// WaitMillis is how long the server may delay its reply to a duplicate's
+	// claim until the call in flight is resolved.
 	WaitMillis int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// ReplyCode says whether a Server could act.
+// ReplyCode is the status of a Reply.
 type ReplyCode uint8
 
-// The codes.
+// Values of ReplyCode.
 const (
-	// ReplyInvalid is the zero value, which no Server sends.
+	// ReplyInvalid is the zero value. It is never sent.
 	ReplyInvalid ReplyCode = iota
-	// ReplyOK: the result is the ledger's.
+	// ReplyOK means that the reply contains the group's result.
 	ReplyOK
-	// ReplyNotLeader: nothing was proposed here.
+	// ReplyNotLeader means that this host doesn't lead and proposed nothing.
 	ReplyNotLeader
-	// ReplyUncertain: the command may or may not be committed.
+	// ReplyUncertain means that the command may or may not be committed.
 	ReplyUncertain
-	// ReplyNoGroup: this host does not hold the group.
+	// ReplyNoGroup means that this host has no replica of the group.
 	ReplyNoGroup
-	// ReplyBad: the message lacks the field of its method.
+	// ReplyBad means that the message lacks the field of its method.
 	ReplyBad
 )
 
-// Reply is the answer to every message.
+// Reply is the answer to a Request.
 type Reply struct {
 	Code        ReplyCode          `cbor:"1,keyasint"`
 	Leader      ident.Host         `cbor:"2,keyasint,omitempty"`
@@ -73,7 +73,8 @@
 	QueryResult *audit.Result      `cbor:"5,keyasint,omitempty"`
 }
 
-// command is one entry of a ledger group's log: of the ledger or of the trace.
+// command is one entry of a ledger group's log: a command of the ledger or of
+// the trace. Exactly one field is set.
 type command struct {
 	Once  *once.Command       `cbor:"1,keyasint,omitempty"`
 	Trace *audit.TraceCommand `cbor:"2,keyasint,omitempty"`
--- a/internal/ledger/metrics.go
+++ b/internal/ledger/metrics.go
@@ -10,9 +10,9 @@
 
 var recordsRefused = metrics.NewCounter(`lovagereach_ledger_records_refused_total`)
 
-var settlementsDropped = metrics.NewCounter(`lovagereach_ledger_settlements_dropped_total`)
+var resolutionsDropped = metrics.NewCounter(`lovagereach_ledger_settlements_dropped_total`)
 
-func countSettled(method port.Method, committed bool) {
+func countResolution(method port.Method, committed bool) {
 	name := fmt.Sprintf(`lovagereach_ledger_settlements_total{method=%q,committed="%t"}`, method, committed)
 	metrics.GetOrCreateCounter(name).Inc()
 }
--- a/internal/ledger/real_test.go
+++ b/internal/ledger/real_test.go
@@ -20,11 +20,11 @@
 	"github.com/lovagereach/lovagereach/once"
 )
 
-// realCluster is control hosts with the real replica, disk and peer transport
-// over loopback, in one process.
+// realCluster is a set of control hosts in one process with the real replica,
+// disk and peer transport over loopback.
 type realCluster struct {
 	tb          testing.TB
-	folder      string
+	dir         string
 	groups      int
 	addresses   map[ident.Host]string
 	names       []ident.Host
@@ -35,9 +35,9 @@
 type realHost struct {
 	transport *peer.Transport
 	manager   *replica.Manager
-	folder    *disk.Folder
+	dir       *disk.Folder
 	server    *Server
-	held      map[port.GroupID]Group
+	hosted    map[port.GroupID]Group
 	stop      context.CancelFunc
 	running   sync.WaitGroup
 }
@@ -49,11 +49,12 @@
 func newRealCluster(tb testing.TB, hosts, groups int) *realCluster {
 	tb.Helper()
 	c := &realCluster{
-		tb: tb, folder: tb.TempDir(), groups: groups, incarnation: 1,
+		tb: tb, dir: tb.TempDir(), groups: groups, incarnation: 1,
 		addresses: make(map[ident.Host]string), hosts: make(map[ident.Host]*realHost),
 	}
-	// The hosts listen again on their ports after a restart. On 127.0.0.1 the tests of
-	// another package may have taken them meanwhile; nobody else uses this address.
+	// The hosts reuse their ports after a restart. On 127.0.0.1 a test of another
+	// package may have taken such a port meanwhile; a random loopback address avoids
+	// this.
 	loopback := fmt.Sprintf("127.%d.%d.%d:0", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
 	for i := range hosts {
 		listener := must(net.Listen("tcp", loopback))
@@ -61,16 +62,16 @@
 		c.addresses[hostName(i)] = listener.Addr().String()
 		listener.Close()
 	}
-	// The first host forms the groups once the others can be asked.
+	// The first host forms the groups and needs the others to be reachable.
 	for _, name := range c.names[1:] {
 		c.start(name, false)
 	}
 	c.start(c.names[0], true)
 	ctx, cancel := context.WithTimeout(context.Background(), realTimeout)
 	defer cancel()
-	for id := range c.hosts[c.names[0]].held {
-		// A group that has just been formed has no leader yet.
-		for c.hosts[c.names[0]].held[id].Replica.ReadBarrier(ctx) != nil && wait.For(ctx, minPause) {
+	for id := range c.hosts[c.names[0]].hosted {
+		// A newly formed group has no leader yet.
+		for c.hosts[c.names[0]].hosted[id].Replica.ReadBarrier(ctx) != nil && wait.For(ctx, minBackoff) {
 		}
 		c.check(c.hosts[c.names[0]].manager.Join(ctx, id, c.names))
 	}
@@ -96,20 +97,20 @@
 	}
 }
 
-// start starts a control host from what its folder holds.
+// start starts a control host with the data of its directory.
 func (c *realCluster) start(name ident.Host, form bool) {
 	c.tb.Helper()
 	c.incarnation++
-	h := &realHost{held: make(map[port.GroupID]Group)}
-	fs := must(disk.NewFS(filepath.Join(c.folder, string(name))))
-	h.folder = must(disk.Open(disk.Options{FS: fs, Cluster: "test", Host: name}))
+	h := &realHost{hosted: make(map[port.GroupID]Group)}
+	fs := must(disk.NewFS(filepath.Join(c.dir, string(name))))
+	h.dir = must(disk.Open(disk.Options{FS: fs, Cluster: "test", Host: name}))
 	self := port.Peer{Host: name, DataCentre: "hall", Incarnation: c.incarnation, Role: roleControl}
 	h.transport = must(peer.New(peer.Options{Cluster: "test", Self: self, Key: realKey}))
 	h.manager = must(replica.New(replica.Options{
-		Self: name, Storage: h.folder, Peers: h.transport, Registry: h.transport,
+		Self: name, Storage: h.dir, Peers: h.transport, Registry: h.transport,
 		Address: func(other ident.Host) string { return c.addresses[other] },
 	}))
-	h.server = NewServer(h.held, time.Now)
+	h.server = NewServer(h.hosted, time.Now)
 	h.server.Register(h.transport)
 	var ctx context.Context
 	ctx, h.stop = context.WithCancel(context.Background())
@@ -119,7 +120,7 @@
 		for shard := range c.groups {
 			id, machine := GroupOf(uint32(shard)), NewMachine()
 			opened := c.open(h, id, machine, form)
-			h.held[id] = Group{Replica: opened, Machine: machine}
+			h.hosted[id] = Group{Replica: opened, Machine: machine}
 		}
 	}
 	if form {
@@ -142,7 +143,7 @@
 	return must(h.manager.Bootstrap(ctx, id, machine, c.names))
 }
 
-// stop ends a control host without a word to the others, as a crash does.
+// stop stops a control host without notifying the others, as a crash does.
 func (c *realCluster) stop(name ident.Host) {
 	h := c.hosts[name]
 	if h == nil {
@@ -154,37 +155,38 @@
 	_ = h.transport.Close(ended)
 	h.stop()
 	h.running.Wait()
-	_ = h.folder.Close()
+	_ = h.dir.Close()
 }
 
-// replaceDisk loses a control host's disk for good and takes the host back in.
+// replaceDisk deletes a control host's data and lets the host rejoin its groups.
 func (c *realCluster) replaceDisk(name ident.Host) {
 	c.tb.Helper()
 	c.stop(name)
-	c.check(os.RemoveAll(filepath.Join(c.folder, string(name))))
+	c.check(os.RemoveAll(filepath.Join(c.dir, string(name))))
 	c.start(name, false)
 	ctx, cancel := context.WithTimeout(context.Background(), realTimeout)
 	defer cancel()
-	for id := range c.hosts[name].held {
+	for id := range c.hosts[name].hosted {
 		for !c.join(ctx, id) {
-			if !wait.For(ctx, maxPause) {
-				c.tb.Fatalf("group %d did not take %s back", id, name)
+			if !wait.For(ctx, maxBackoff) {
+				c.tb.Fatalf("group %d did not readmit %s", id, name)
 			}
 		}
 	}
 }
 
-// join lets the group's leader, if there is one, make all hosts voters.
+// join makes all hosts voters of a group through its leader. It returns false if
+// the group has no leader.
 func (c *realCluster) join(ctx context.Context, id port.GroupID) bool {
 	for _, h := range c.hosts {
-		if h.held[id].Replica.Status().IsLeader {
+		if h.hosted[id].Replica.Status().IsLeader {
 			return h.manager.Join(ctx, id, c.names) == nil
 		}
 	}
 	return false
 }
 
-// entry returns a client with a connection of its own.
+// entry returns a client with its own connection.
 func (c *realCluster) entry(name ident.Host, incarnation ident.Incarnation) *Client {
 	c.tb.Helper()
 	self := port.Peer{Host: name, DataCentre: "hall", Incarnation: incarnation, Role: "entry"}
@@ -213,11 +215,11 @@
 	return Call{Key: key, Digest: once.DigestCall("POST", "/bid", nil), Request: requestOf(uint64(n))}
 }
 
-// Callers send each bid through two entry hosts at once while control hosts are
+// Each bid is sent through two entry hosts concurrently while control hosts are
 // killed and restarted one after the other, over real sockets and synced files.
-// Then one loses its disk, is taken back in, and another one dies right after;
-// all bids are sent once more. Whatever the ledger did when, no bid may have run
-// twice, and all callers of a bid must have been told the same.
+// Then one host loses its disk and rejoins, another one crashes immediately
+// afterwards, and all bids are sent again. No bid may run twice, and all callers
+// of a bid must get the same result.
 func TestRealClusterSurvivesRestarts(t *testing.T) {
 	c := newRealCluster(t, 3, 2)
 	entries := []*Client{c.entry("e1", 1), c.entry("e2", 1)}
@@ -253,35 +255,35 @@
 	}
 	callers.Wait()
 	answered := 0
-	for n, told := range bodies {
-		if told[0] == told[1] {
+	for n, pair := range bodies {
+		if pair[0] == pair[1] {
 			answered++
 			continue
 		}
-		t.Errorf("bid %d: %q and %q", n, told[0], told[1])
+		t.Errorf("bid %d: %q and %q", n, pair[0], pair[1])
 	}
 	for key, runs := range service.byKey {
 		if runs != 1 {
 			t.Errorf("%s ran %d times", key, runs)
 		}
 	}
-	t.Logf("%d of %d bids answered alike, %d ran", answered, bids, len(service.byKey))
+	t.Logf("%d of %d bids with equal answers, %d ran", answered, bids, len(service.byKey))
 	if len(service.byKey) < bids*9/10 {
-		t.Errorf("only %d of %d bids ran: the test shows little", len(service.byKey), bids)
+		t.Errorf("only %d of %d bids ran, too few for the test to be meaningful", len(service.byKey), bids)
 	}
 	c.replaceDisk(c.names[2])
 	c.stop(c.names[0])
 	resend(t, c.entry("e3", 1), calls, bodies)
 }
 
-// resend sends settled bids again; each must get its recorded answer.
+// resend sends resolved bids again; each must get its recorded answer.
 func resend(t *testing.T, entry *Client, calls []Call, bodies [][2]string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), realTimeout)
 	defer cancel()
 	for n, call := range calls {
 		done, err := entry.Do(ctx, call, func(context.Context) (once.Answer, error) {
-			t.Errorf("bid %d is sent again", n)
+			t.Errorf("bid %d was sent again", n)
 			return once.Answer{}, nil
 		})
 		if got := string(done.Answer.Body); err == nil && got != bodies[n][0] {
--- a/internal/ledger/server.go
+++ b/internal/ledger/server.go
@@ -17,27 +17,28 @@
 	"github.com/lovagereach/lovagereach/once"
 )
 
-// maxWait bounds how long a Server holds a duplicate's claim open. It lies
-// below the time after which connections in between count as dead.
+// maxWait limits how long a Server delays its reply to a duplicate's claim. It
+// is shorter than the time after which an idle connection on the path is
+// considered broken.
 const maxWait = 10 * time.Second
 
-// maxHostWaits bounds the duplicates of one entry host that wait here. Each
-// takes one of the 64 requests that a peer connection runs at once; if waits
-// could take them all, outcomes would not get through, and the waits that they
-// end would go on.
+// maxHostWaits limits the waiting duplicates of one entry host. Each of them
+// uses one of the 64 concurrent requests of a peer connection. If waits used
+// all of them, the outcomes that end these waits couldn't be sent.
 const maxHostWaits = 16
 
 // roleControl is the role of a control host among peers.
 const roleControl = "control"
 
-// Group is one ledger group on this control host: the replica and the state
-// machine that it drives.
+// Group is one ledger group on this control host: the replica and its state
+// machine.
 type Group struct {
 	Replica port.Replica
 	Machine *Machine
 }
 
-// Server answers entry hosts. Register it for each of Methods.
+// Server answers the ledger messages of entry hosts. Register installs it for
+// each of Methods.
 type Server struct {
 	groups map[port.GroupID]Group
 	now    func() time.Time
@@ -46,12 +47,12 @@
 	waits map[ident.Host]int
 }
 
-// NewServer serves the ledger groups of this host.
+// NewServer returns a server of the given ledger groups of this host.
 func NewServer(groups map[port.GroupID]Group, now func() time.Time) *Server {
 	return &Server{groups: groups, now: now, waits: make(map[ident.Host]int)}
 }
 
-// Register adds the server to a registry.
+// Register installs the server as the handler of all Methods.
 func (s *Server) Register(registry port.PeerRegistry) {
 	for _, method := range Methods() {
 		registry.Handle(method, s)
@@ -70,8 +71,10 @@
 	return wire.Marshal(s.answer(ctx, method, &req))
 }
 
-// mayAct tells whether a peer speaks for itself. An entry host that could
-// release another's claim could make a call run twice.
+// mayAct reports whether a peer may send a request. A request must name the
+// peer's own host as owner or source, since an entry host that could release
+// the claim of another could cause a call to run twice. Control hosts may
+// report the loss of any owner.
 func mayAct(from port.Peer, req *Request) bool {
 	switch {
 	case req.Claim != nil:
@@ -103,7 +106,7 @@
 	case method == MethodLost && req.LostOwner != nil:
 		return group.propose(ctx, once.Command{NowMillis: now, LostOwner: req.LostOwner})
 	case method == MethodTrace && req.Trace != nil:
-		return group.traced(ctx, now, *req.Trace)
+		return group.proposeTrace(ctx, now, *req.Trace)
 	case method == MethodQuery && req.Query != nil:
 		return group.query(ctx, s.now(), *req.Query)
 	default:
@@ -111,12 +114,13 @@
 	}
 }
 
-// claim answers a claim: from the local state where that is final, else by a
-// commit. When another claim holds the key it waits for that one's outcome.
+// claim answers a claim, from the local state if that is final and otherwise by
+// a commit. If another claim holds the key, it waits for the outcome of that
+// claim.
 func (s *Server) claim(ctx context.Context, g Group, now int64, req *Request) Reply {
 	reply := g.claimNow(ctx, now, req.Claim)
-	longest := min(time.Duration(req.WaitMillis)*time.Millisecond, maxWait)
-	if reply.Code != ReplyOK || reply.Result.Status != once.StatusInFlight || longest <= 0 {
+	limit := min(time.Duration(req.WaitMillis)*time.Millisecond, maxWait)
+	if reply.Code != ReplyOK || reply.Result.Status != once.StatusInFlight || limit <= 0 {
 		return reply
 	}
 	host := req.Claim.Owner.Host
@@ -124,19 +128,20 @@
 		return reply
 	}
 	defer s.endWait(host)
-	settled, stop, waiting := g.Machine.wait(req.Claim.Key.ID())
+	resolved, stop, waiting := g.Machine.wait(req.Claim.Key.ID())
 	if !waiting {
 		return reply
 	}
 	defer stop()
-	// The outcome may have been applied between the claim and the wait.
+	// The outcome may have been applied between claimNow and the start of the
+	// wait.
 	if result := g.Machine.Lookup(req.Claim.Key); result.Status != once.StatusInFlight {
 		return Reply{Code: ReplyOK, Result: &result}
 	}
-	timer := time.NewTimer(longest)
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-settled:
+	case <-resolved:
 		result := g.Machine.Lookup(req.Claim.Key)
 		return Reply{Code: ReplyOK, Result: &result}
 	case <-timer.C:
@@ -163,10 +168,10 @@
 	}
 }
 
-// claimNow spares duplicates the commit. A settled key stays as it is, so any
-// host may answer it. That a call is in flight may be news of yesterday on a
-// host that was cut off, or has just begun to lead and not caught up, so it is
-// said only past a barrier.
+// claimNow answers a claim without a wait and, for duplicates, without a
+// commit. The result of a resolved key is final, so any host may return it. An
+// in-flight result may be stale on a host that was isolated, or that was just
+// elected and has not caught up; it is returned only after a read barrier.
 func (g Group) claimNow(ctx context.Context, now int64, claim *once.Claim) Reply {
 	result, known := g.Machine.peek(*claim, now)
 	if known && result.Status == once.StatusInFlight {
@@ -193,7 +198,7 @@
 	return Reply{Code: ReplyOK, Result: &result}
 }
 
-func (g Group) traced(ctx context.Context, now int64, c audit.TraceCommand) Reply {
+func (g Group) proposeTrace(ctx context.Context, now int64, c audit.TraceCommand) Reply {
 	c.NowMillis = now
 	data, failure, ok := g.commit(ctx, command{Trace: &c})
 	if !ok {
@@ -226,8 +231,8 @@
 	return Reply{Code: ReplyOK, QueryResult: &found}
 }
 
-// Audit answers a query from the traces of all groups on this control host, past
-// a read barrier each.
+// Audit answers a query from the traces of all groups on this control host,
+// after a read barrier of each group.
 func (s *Server) Audit(ctx context.Context, q audit.Query) (audit.Result, error) {
 	var all audit.Result
 	for _, id := range slices.Sorted(maps.Keys(s.groups)) {
@@ -240,14 +245,14 @@
 	return all, nil
 }
 
-// OwnerLost declares the claims of an entry host's life unknown in every group
-// that this host leads. Each control host calls it when membership has given
-// the entry host up; only leaders can commit it.
+// OwnerLost resolves the claims of an incarnation of an entry host as unknown
+// in each group that this host leads. Every control host calls it when
+// membership has marked the entry host down; only leaders can commit it.
 func (s *Server) OwnerLost(ctx context.Context, owner once.Owner) {
 	now := s.now().UnixMilli()
 	for _, group := range s.groups {
 		if group.Replica.Status().IsLeader {
-			// A failure needs no repeat: claims end by their hold as well.
+			// A failure is not retried, since claims also expire with their hold.
 			group.propose(ctx, once.Command{NowMillis: now, LostOwner: &owner})
 		}
 	}
--- a/internal/ledger/tracer.go
+++ b/internal/ledger/tracer.go
@@ -18,71 +18,73 @@
 
 // Bounds of a Tracer.
 const (
-	// maxTraceQueue bounds what waits for one group.
+	// maxTraceQueue limits the queued items of each kind for one group.
 	maxTraceQueue = 1 << 14
-	// maxTraceReport bounds the items of one report.
+	// maxTraceReport limits the items of each kind in one report.
 	maxTraceReport = 512
-	// traceTimeout bounds one report.
+	// traceTimeout limits the duration of one report.
 	traceTimeout = 3 * time.Second
 )
 
-// errTraceFull reports that the trace can't take another request or batch.
+// errTraceFull is returned when the queue or the trace is at its limit of
+// requests or batches.
 var errTraceFull = errors.New("the audit trace has no room")
 
 // Tracer reports accepted requests and their outcomes to the replicated audit
-// trace. Reports gather while the one before is under way, so a busy entry
-// host commits once for many requests. It is safe for concurrent use.
+// trace. Items are batched while the previous report is in flight, so a busy
+// entry host needs one commit for many requests. It is safe for concurrent use.
 type Tracer struct {
 	client *Client
 	mu     sync.Mutex
 	queues map[port.GroupID]*traceQueue
-	// ctx is that of Run; nil before.
+	// ctx is the context of Run, nil before Run is called.
 	ctx     context.Context
 	running sync.WaitGroup
-	// unreported counts the outcomes that the trace has not confirmed.
+	// unreported is the number of outcomes that the trace has not confirmed.
 	unreported atomic.Int64
 }
 
-// NewTracer returns a tracer that reports through client once Run is running.
+// NewTracer returns a tracer that sends its reports through client while Run is
+// running.
 func NewTracer(client *Client) *Tracer {
 	return &Tracer{client: client, queues: make(map[port.GroupID]*traceQueue)}
 }
 
-// Run reports until ctx ends.
+// Run sends reports until ctx is done.
 func (t *Tracer) Run(ctx context.Context) {
 	t.mu.Lock()
 	t.ctx = ctx
 	for _, queue := range t.queues {
-		t.start(queue)
+		t.startReporting(queue)
 	}
 	t.mu.Unlock()
 	<-ctx.Done()
 	t.running.Wait()
 }
 
-func (t *Tracer) start(queue *traceQueue) {
+func (t *Tracer) startReporting(queue *traceQueue) {
 	ctx := t.ctx
-	t.running.Go(func() { t.report(ctx, queue) })
+	t.running.Go(func() { t.reportLoop(ctx, queue) })
 }
 
-// traceQueue holds what is to be reported to one group.
+// traceQueue contains the items to report to one group.
 type traceQueue struct {
 	group port.GroupID
 	wake  chan struct{}
 
 	mu       sync.Mutex
-	opens    []waitingOpen
-	declares []waitingDeclare
+	opens    []pendingOpen
+	declares []pendingDeclaration
 	closes   []audit.TracedClosing
 	sequence uint64
 }
 
-type waitingOpen struct {
+type pendingOpen struct {
 	opening audit.Opening
 	done    chan error
 }
 
-type waitingDeclare struct {
+type pendingDeclaration struct {
 	declaration audit.Declaration
 	done        chan error
 }
@@ -92,8 +94,8 @@
 	if name == "" {
 		name = request.String()
 	}
-	// Traces stay with the oldest number of shards, so that a batch that is
-	// open when shards are added stays in one place.
+	// Traces use the oldest shard count, so that a batch that is open when
+	// shards are added remains in one group.
 	shards := uint32(1)
 	if history := t.client.options.Shards(); len(history) > 0 {
 		shards = history[0]
@@ -106,17 +108,17 @@
 		queue = &traceQueue{group: group, wake: make(chan struct{}, 1)}
 		t.queues[group] = queue
 		if t.ctx != nil && t.ctx.Err() == nil {
-			t.start(queue)
+			t.startReporting(queue)
 		}
 	}
 	return queue
 }
 
-// Open reports an accepted request and returns once that is committed. On an
-// error the request must be refused; nothing was sent.
+// Open reports an accepted request and returns when the report is committed. On
+// an error the request must be refused; no part of it was sent.
 func (t *Tracer) Open(ctx context.Context, o audit.Opening) error {
 	queue := t.queue(o.Team, o.Batch, o.Request)
-	waiting := waitingOpen{opening: o, done: make(chan error, 1)}
+	waiting := pendingOpen{opening: o, done: make(chan error, 1)}
 	queue.mu.Lock()
 	full := len(queue.opens) >= maxTraceQueue
 	if !full {
@@ -124,32 +126,33 @@
 	}
 	queue.mu.Unlock()
 	if full {
-		return refused(errTraceFull)
+		return traceRefusal(errTraceFull)
 	}
 	queue.signal()
 	select {
 	case err := <-waiting.done:
-		return refused(err)
+		return traceRefusal(err)
 	case <-ctx.Done():
 		if queue.withdraw(o.Request) {
-			return refused(ctx.Err())
+			return traceRefusal(ctx.Err())
 		}
-		// The report is under way and may be committed yet; the request must
-		// not stay listed as open.
+		// The report is in flight and may still be committed. The request must
+		// not remain listed as open.
 		t.Close(o, audit.Closing{Kind: outcome.KindNotRun, Reason: outcome.ReasonCallerGone, Decided: t.client.options.Now()})
-		return refused(ctx.Err())
+		return traceRefusal(ctx.Err())
 	}
 }
 
-func refused(err error) error {
+func traceRefusal(err error) error {
 	if err == nil {
 		return nil
 	}
 	return &outcome.NotRun{Reason: outcome.ReasonLedgerDown, Detail: "the request could not be entered in the audit trace: " + err.Error(), RetryAfter: time.Second}
 }
 
-// Close reports the outcome of an opened request. It doesn't wait: an outcome
-// that is lost with this host leaves the request listed as open.
+// Close queues the outcome of an opened request and doesn't wait for its
+// report. If this host crashes before the report, the request remains listed as
+// open.
 func (t *Tracer) Close(o audit.Opening, c audit.Closing) {
 	queue := t.queue(o.Team, o.Batch, o.Request)
 	queue.mu.Lock()
@@ -166,17 +169,18 @@
 	queue.signal()
 }
 
-// Drain waits, for a graceful shutdown, until all outcomes are reported. Those
-// that are not, when ctx ends, leave their requests listed as open.
+// Drain waits until all outcomes are reported or ctx is done. It is part of a
+// graceful shutdown. Requests whose outcomes are not reported remain listed as
+// open.
 func (t *Tracer) Drain(ctx context.Context) {
-	for t.unreported.Load() > 0 && wait.For(ctx, minPause) {
+	for t.unreported.Load() > 0 && wait.For(ctx, minBackoff) {
 	}
 }
 
-// Declare registers a batch and returns once that is committed.
+// Declare registers a batch and returns when that is committed.
 func (t *Tracer) Declare(ctx context.Context, d audit.Declaration) error {
 	queue := t.queue(d.Team, d.Batch, ident.Request{})
-	waiting := waitingDeclare{declaration: d, done: make(chan error, 1)}
+	waiting := pendingDeclaration{declaration: d, done: make(chan error, 1)}
 	queue.mu.Lock()
 	full := len(queue.declares) >= maxTraceQueue
 	if !full {
@@ -195,12 +199,13 @@
 	}
 }
 
-// withdraw takes back an opening that is in no report yet.
+// withdraw removes an opening from the queue. It returns false if the opening
+// is already part of a report.
 func (q *traceQueue) withdraw(request ident.Request) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	before := len(q.opens)
-	q.opens = slices.DeleteFunc(q.opens, func(w waitingOpen) bool { return w.opening.Request == request })
+	q.opens = slices.DeleteFunc(q.opens, func(w pendingOpen) bool { return w.opening.Request == request })
 	return len(q.opens) < before
 }
 
@@ -211,7 +216,7 @@
 	}
 }
 
-func (t *Tracer) report(ctx context.Context, queue *traceQueue) {
+func (t *Tracer) reportLoop(ctx context.Context, queue *traceQueue) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -230,24 +235,25 @@
 	return len(q.opens)+len(q.closes)+len(q.declares) > 0
 }
 
-// report is what one command carries, with who waits for it.
+// traceReport is the command of one report, with the callers that wait for its
+// result.
 type traceReport struct {
 	command  audit.TraceCommand
-	opens    []waitingOpen
-	declares []waitingDeclare
+	opens    []pendingOpen
+	declares []pendingDeclaration
 }
 
-// take cuts the next report off the queue. A request is opened by the same
-// report as it is closed, or by an earlier one.
-func (q *traceQueue) take(source audit.Source) traceReport {
+// nextReport removes the items of the next report from the queue. A request is
+// opened by the report that closes it or by an earlier one.
+func (q *traceQueue) nextReport(source audit.Source) traceReport {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.sequence++
 	var r traceReport
 	r.command = audit.TraceCommand{Source: source, Sequence: q.sequence}
-	r.opens, q.opens = cutFront(q.opens)
-	r.declares, q.declares = cutFront(q.declares)
-	r.command.Close, q.closes = cutFront(q.closes)
+	r.opens, q.opens = splitFront(q.opens)
+	r.declares, q.declares = splitFront(q.declares)
+	r.command.Close, q.closes = splitFront(q.closes)
 	for _, waiting := range r.opens {
 		r.command.Open = append(r.command.Open, waiting.opening)
 	}
@@ -257,7 +263,7 @@
 	return r
 }
 
-func cutFront[T any](items []T) (front, rest []T) {
+func splitFront[T any](items []T) (front, rest []T) {
 	n := min(len(items), maxTraceReport)
 	return items[:n:n], items[n:]
 }
@@ -266,21 +272,21 @@
 	bounded, cancel := context.WithTimeout(ctx, traceTimeout)
 	defer cancel()
 	self, assigned := t.client.awaitSelf(bounded)
-	r := queue.take(audit.Source{Host: self.Host, Incarnation: self.Incarnation})
+	r := queue.nextReport(audit.Source{Host: self.Host, Incarnation: self.Incarnation})
 	if !assigned {
-		t.putBack(queue, r)
+		t.requeue(queue, r)
 		return
 	}
 	reply, _, err := t.client.call(bounded, MethodTrace, Request{Group: queue.group, Trace: &r.command})
 	if err == nil && reply.Trace != nil && reply.Trace.Applied {
 		t.unreported.Add(-int64(len(r.command.Close)))
-		r.answer(reply.Trace)
+		r.complete(reply.Trace)
 		return
 	}
-	t.putBack(queue, r)
+	t.requeue(queue, r)
 }
 
-func (r *traceReport) answer(result *audit.TraceResult) {
+func (r *traceReport) complete(result *audit.TraceResult) {
 	full := make(map[ident.Request]bool, len(result.Full))
 	for _, request := range result.Full {
 		full[request] = true
@@ -297,21 +303,21 @@
 	}
 }
 
-// errBatchRefused reports a batch that was declared otherwise before, or is
-// out of bounds.
+// errBatchRefused is returned for a batch that was already declared differently
+// or that exceeds a limit.
 var errBatchRefused = errors.New("the batch can't be declared so")
 
-func errIf(is bool, err error) error {
-	if is {
+func errIf(condition bool, err error) error {
+	if condition {
 		return err
 	}
 	return nil
 }
 
-// putBack keeps the outcomes of a report that was not confirmed for the next
-// one, and refuses its openings. The report may be committed all the same, so
-// the next one closes what this one opened.
-func (t *Tracer) putBack(queue *traceQueue, r traceReport) {
+// requeue returns the outcomes of an unconfirmed report to the queue and
+// refuses its openings and declarations. The report may still be committed, so
+// the next one also closes the requests that this one opened.
+func (t *Tracer) requeue(queue *traceQueue, r traceReport) {
 	closes := r.command.Close
 	t.unreported.Add(int64(len(r.opens)))
 	for _, waiting := range r.opens {
@@ -333,7 +339,7 @@
 	traceClosesDropped.Add(dropped)
 }
 
-// Audit answers a query from the traces of all groups.
+// Audit answers a query from the replicated traces of all groups.
 func (c *Client) Audit(ctx context.Context, q audit.Query) (audit.Result, error) {
 	var all audit.Result
 	for _, group := range c.groups() {
--- a/internal/ledger/tracer_test.go
+++ b/internal/ledger/tracer_test.go
@@ -27,14 +27,14 @@
 func newTestAuditor(t *testing.T, entry *fakeEntry) *Auditor {
 	tracer := NewTracer(entry.Client)
 	auditor := NewAuditor(audit.DefaultOptions(), tracer, time.Now, log.New(io.Discard))
-	go tracer.Run(entry.net.dead)
-	go auditor.Run(entry.net.dead)
+	go tracer.Run(entry.net.stopped)
+	go auditor.Run(entry.net.stopped)
 	return auditor
 }
 
-// listed returns the open requests as an operator sees them through another
-// entry host.
-func listed(t *testing.T, cluster *fakeCluster, shards uint32) []audit.Record {
+// listOpen returns the open requests that an operator sees through another entry
+// host.
+func listOpen(t *testing.T, cluster *fakeCluster, shards uint32) []audit.Record {
 	t.Helper()
 	other := newFakeEntry(cluster, "desk", 1, shards)
 	defer other.kill()
@@ -45,10 +45,9 @@
 	return found.Records
 }
 
-// A night shift's checks go through an entry host that dies with some of them
-// in flight. They never get an outcome, and nobody is left who knows of them
-// but the trace: after their deadline exactly these must be listed, wherever
-// the operator asks.
+// An entry host crashes with requests in flight. They never get an outcome, and
+// only the trace still records them: after their deadline exactly these requests
+// must be listed, at any other entry host that an operator queries.
 func TestWorkOfADeadEntryIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const shards = 3
@@ -69,11 +68,11 @@
 		}
 		auditor.tracer.Drain(context.Background())
 		entry.kill()
-		if got := listed(t, cluster, shards); len(got) != 0 {
+		if got := listOpen(t, cluster, shards); len(got) != 0 {
 			t.Errorf("%d requests listed before their deadline", len(got))
 		}
 		time.Sleep(time.Minute)
-		got := listed(t, cluster, shards)
+		got := listOpen(t, cluster, shards)
 		if len(got) != len(lost) {
 			t.Errorf("%d requests listed, want %d", len(got), len(lost))
 		}
@@ -86,29 +85,29 @@
 }
 
 // Reports are lost, repeated and answered late while the leader changes. No
-// accepted request may be missing from the trace, and none that was closed, or
-// refused because its opening could not be confirmed, may stay listed.
+// accepted request may be missing from the trace. A request that was closed, or
+// refused because its opening was not confirmed, must not remain listed.
 func TestTraceUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newFakeCluster(1)
 		entry := newFakeEntry(cluster, "e1", 1, 1)
 		auditor := newTestAuditor(t, entry)
 		calls := 0
-		entry.net.fate = func(port.Method) fate {
+		entry.net.delivery = func(port.Method) delivery {
 			calls++
 			if calls%17 == 0 {
 				cluster.depose()
 			}
-			return [...]fate{delivered, lostAfter, delivered, lostBefore, lateCopy}[calls%5]
+			return [...]delivery{delivered, lostAfter, delivered, lostBefore, lateCopy}[calls%5]
 		}
 		accepted, refused := 0, 0
 		for n := range uint64(200) {
 			o := traced(n, "")
-			patience := time.Minute
+			timeout := time.Minute
 			if n%4 == 0 {
-				patience = 5 * time.Millisecond
+				timeout = 5 * time.Millisecond
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			err := auditor.Open(ctx, o)
 			cancel()
 			if err != nil {
@@ -119,7 +118,7 @@
 			auditor.Close(o.Request, audit.Closing{Kind: outcome.KindDone, Decided: time.Now()})
 		}
 		time.Sleep(2 * time.Minute)
-		if got := listed(t, cluster, 1); len(got) != 0 {
+		if got := listOpen(t, cluster, 1); len(got) != 0 {
 			t.Errorf("%d finished requests are listed as open", len(got))
 		}
 		found, err := entry.Audit(context.Background(), audit.Query{Limit: audit.MaxResults})
@@ -136,14 +135,14 @@
 			t.Errorf("%d of %d accepted requests are in the trace, %d refused", done, accepted, refused)
 		}
 		entry.kill()
-		time.Sleep(2 * lateBy)
+		time.Sleep(2 * copyDelay)
 	})
 }
 
-// The ledger does not answer while callers go on declaring batches. They wait
-// until their time is up, and what they declared stays queued, for it may be
-// on its way. The queue takes no more than its bound; the declaration beyond it
-// is refused at once, or an outage would fill the memory of the entry host.
+// The ledger doesn't answer while callers continue to declare batches. They wait
+// until their deadlines, and their declarations remain queued, since they may
+// already be in flight. A declaration beyond the queue's limit must be refused
+// immediately, or an outage would exhaust the memory of the entry host.
 func TestDeclarationsAreBounded(t *testing.T) {
 	cluster := newFakeCluster(1)
 	entry := newFakeEntry(cluster, "e1", 1, 1)
@@ -151,14 +150,14 @@
 	tracer := NewTracer(entry.Client)
 	declaration := audit.Declaration{BatchID: audit.BatchID{Team: "ledger", Batch: "night-1"}}
 	queue := tracer.queue("ledger", "night-1", ident.Request{})
-	queue.declares = make([]waitingDeclare, maxTraceQueue-1)
+	queue.declares = make([]pendingDeclaration, maxTraceQueue-1)
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := tracer.Declare(gone, declaration); !errors.Is(err, context.Canceled) {
-		t.Errorf("the last one within the bound: %v", err)
+		t.Errorf("last declaration within the limit: %v", err)
 	}
 	if err := tracer.Declare(gone, declaration); !errors.Is(err, errTraceFull) {
-		t.Errorf("one beyond the bound: %v", err)
+		t.Errorf("declaration beyond the limit: %v", err)
 	}
 	if len(queue.declares) != maxTraceQueue {
 		t.Errorf("%d declarations are queued, want %d", len(queue.declares), maxTraceQueue)
