--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -11,48 +11,48 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// ApplyRequest is an operator's wish for a configuration.
+// ApplyRequest is an operator's request to apply a configuration.
 type ApplyRequest struct {
 	// RequestID identifies the change; it is applied at most once.
 	RequestID string
 	Author    string
 	Note      string
-	// Base is the revision that the change was made on.
+	// Base is the revision that the change is based on.
 	Base config.Revision
-	// Document is normalized and valid by itself.
+	// Document is the new configuration, normalized and validated.
 	Document config.Document
-	// Delta, if set, stands in place of Document: the changes that lead from
-	// Base to it, worked out by the operator's tool. A control host then does
-	// work in proportion to the change and not to the number of teams.
+	// Delta, if set, replaces Document. It contains the changes from Base to the
+	// new configuration, computed by the operator's tool, so that the work of a
+	// control host is proportional to the change and not to the number of teams.
 	Delta *config.Delta
-	// Content is the digest of what Delta was worked out from, by which a
-	// resend is told from another request.
+	// Content is the digest of the input that Delta was computed from. It
+	// distinguishes a resend from a different request with the same ID.
 	Content config.ContentDigest
-	// DryRun works out the changes and commits nothing.
+	// DryRun computes the changes without committing them.
 	DryRun bool
 }
 
-// ApplyAnswer tells what became of an ApplyRequest.
+// ApplyAnswer is the result of an ApplyRequest.
 type ApplyAnswer struct {
 	Result config.Result `json:"result" cbor:"1,keyasint"`
-	// Delta is what changes; a repeated answer has none.
+	// Delta contains the changes. It is empty in a repeated answer.
 	Delta config.Delta `json:"delta" cbor:"2,keyasint"`
-	// InForce tells that every entry that may serve has the revision. Without
-	// it the revision is committed, will not be lost, and comes into force
-	// once entries have acknowledged it or lost their leases.
+	// InForce reports whether every entry that may serve has the revision. If
+	// false, an applied revision is nevertheless committed durably, and it comes
+	// into force when each entry has acknowledged it or lost its lease.
 	InForce bool `json:"in_force" cbor:"3,keyasint"`
 }
 
-// Apply commits a configuration and waits until it is in force or ctx ends.
-// port.ErrUncertain means that the command may yet be committed; the same
-// request sent again gets the answer.
+// Apply commits a configuration and waits until it is in force or ctx is done.
+// port.ErrUncertain means that the command may still be committed; a resend of
+// the same request returns its result.
 func (s *Server) Apply(ctx context.Context, request ApplyRequest) (ApplyAnswer, error) {
-	began := time.Now()
+	start := time.Now()
 	if s.opts.LedgerGroups > 0 && request.ledgerShards() > s.opts.LedgerGroups {
-		return ApplyAnswer{Result: s.tooManyShards(request)}, nil
+		return ApplyAnswer{Result: s.shardLimitResult(request)}, nil
 	}
-	// A follower could prove its state up to date, but only after a heartbeat,
-	// and would then be refused by the log.
+	// A follower could confirm that its state is up to date, but only after a
+	// heartbeat, and the log would then refuse its proposal.
 	if status := s.opts.Replica.Status(); !status.IsLeader {
 		return ApplyAnswer{}, &port.NotLeaderError{Leader: status.Leader}
 	}
@@ -82,12 +82,12 @@
 		answer.InForce = s.AwaitInForce(ctx, answer.Result.Revision) == nil
 	}
 	if answer.InForce && answer.Result.Verdict == config.VerdictApplied && !answer.Result.Repeated {
-		s.stats.inForce.UpdateDuration(began)
+		s.stats.inForce.UpdateDuration(start)
 	}
 	return answer, nil
 }
 
-func (s *Server) tooManyShards(request ApplyRequest) config.Result {
+func (s *Server) shardLimitResult(request ApplyRequest) config.Result {
 	return config.Result{
 		Verdict:  config.VerdictInvalid,
 		Revision: s.opts.Machine.Current().Revision(),
@@ -98,12 +98,12 @@
 	}
 }
 
-// prepare builds the command on the latest revision, or finds the answer that
-// the request id has already.
+// prepare builds the command on the latest revision. If the request ID already
+// has an answer, it returns that answer.
 func (s *Server) prepare(ctx context.Context, request ApplyRequest) (config.Command, *config.Result, error) {
 	cmd := config.Command{
 		RequestID: request.RequestID,
-		Content:   contentOf(request),
+		Content:   contentDigest(request),
 		Author:    request.Author,
 		At:        time.Now().UnixMicro(),
 		Base:      request.Base,
@@ -139,9 +139,10 @@
 	return r.Document.LedgerShards
 }
 
-// contentOf digests what a resend repeats. The base belongs to it: the same
-// document against another base is another request.
-func contentOf(request ApplyRequest) config.ContentDigest {
+// contentDigest returns the digest of the fields that a resend repeats. It
+// includes the base, since the same document on another base is a different
+// request.
+func contentDigest(request ApplyRequest) config.ContentDigest {
 	return sha256.Sum256(wire.MustMarshal(struct {
 		Base     config.Revision
 		Author   string
@@ -150,7 +151,7 @@
 	}{request.Base, request.Author, request.Content, request.Document}))
 }
 
-// dryRun tells what would become of a command.
+// dryRun returns the result that a command would have.
 func (s *Server) dryRun(cmd config.Command) config.Result {
 	var answer config.Result
 	s.opts.Replica.View(func(port.StateMachine) {
@@ -159,15 +160,14 @@
 	return answer
 }
 
-// AwaitInForce returns nil once a revision is in force at every entry that may
-// serve.
+// AwaitInForce waits until a revision is in force at every entry that may serve.
 func (s *Server) AwaitInForce(ctx context.Context, revision config.Revision) error {
 	for {
 		var progress <-chan struct{}
 		var current *leadership
 		var next time.Time
 		inForce := false
-		err := s.leading(func(l *leadership, now time.Time) {
+		err := s.withLeadership(func(l *leadership, now time.Time) {
 			current = l
 			progress = l.progress.wait()
 			inForce = l.parent.InForce(now) >= revision
@@ -185,8 +185,9 @@
 	}
 }
 
-// awaitProgress waits for an acknowledgement, for a lease to end, for the end
-// of the leadership or, without one, for this host to open its epoch.
+// awaitProgress waits for an acknowledgement, the expiry of a lease or the end
+// of the leadership. If current is nil, it waits one poll interval for this host
+// to open its epoch.
 func (s *Server) awaitProgress(ctx context.Context, current *leadership, progress <-chan struct{}, next time.Time) error {
 	wait := time.Until(next)
 	if next.IsZero() || wait < 0 {
@@ -196,7 +197,7 @@
 	defer timer.Stop()
 	var ended <-chan struct{}
 	if current != nil {
-		ended = current.done.Done()
+		ended = current.leadCtx.Done()
 	}
 	select {
 	case <-progress:
--- a/internal/control/broadcast.go
+++ b/internal/control/broadcast.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// broadcast wakes everyone who waits, any number of times.
+// broadcast wakes all waiters on each signal.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{}
@@ -10,8 +10,8 @@
 
 func newBroadcast() *broadcast { return &broadcast{ch: make(chan struct{})} }
 
-// wait returns a channel that the next signal closes. It must be taken before
-// the condition is looked at, so that no signal in between is missed.
+// wait returns a channel that the next signal closes. It must be called before
+// the condition is checked, so that no signal in between is missed.
 func (b *broadcast) wait() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/control/client/assign.go
+++ b/internal/control/client/assign.go
@@ -7,11 +7,11 @@
 	"github.com/lovagereach/lovagereach/internal/wait"
 )
 
-// awaitIncarnation asks the control hosts to number this life of the entry,
-// until one does. It reports false when ctx ends before.
+// awaitIncarnation requests an incarnation from the control hosts until one is
+// assigned. It returns false if ctx is done before.
 func (c *Client) awaitIncarnation(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		if c.askIncarnation(ctx) {
+		if c.requestIncarnation(ctx) {
 			return true
 		}
 		wait.For(ctx, c.opts.RetryEvery)
@@ -19,16 +19,16 @@
 	return false
 }
 
-func (c *Client) askIncarnation(ctx context.Context) bool {
+func (c *Client) requestIncarnation(ctx context.Context) bool {
 	target, _ := c.leader.current()
 	var answer protocol.AssignAnswer
-	if err := c.quickCall(ctx, target, protocol.MethodAssign, protocol.AssignRequest{}, &answer); err != nil {
+	if err := c.callWithTimeout(ctx, target, protocol.MethodAssign, protocol.AssignRequest{}, &answer); err != nil {
 		c.opts.Log.Debug("incarnation not assigned", "leader", target, "err", err)
-		c.leader.failed(target)
+		c.leader.markFailed(target)
 		return false
 	}
 	if answer.Incarnation == 0 {
-		c.follow(target, answer.Redirect)
+		c.followRedirect(target, answer.Redirect)
 		return false
 	}
 	c.mu.Lock()
--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -19,46 +19,48 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// Client keeps an entry's configuration and serving lease. Its methods are
-// safe for concurrent use; Run is called once.
+// Client maintains an entry's configuration and serving lease. Its methods are
+// safe for concurrent use. Run must be called once.
 type Client struct {
 	opts    Options
 	leader  *leaderFinder
 	current atomic.Pointer[config.Snapshot]
-	// acked is the revision that Options.Changed has taken.
+	// acked is the latest revision for which Options.OnRevision has returned.
 	acked atomic.Uint64
-	// incarnation is what the control hosts assigned, zero before.
+	// incarnation is the one assigned by the control hosts, zero before.
 	incarnation atomic.Uint64
-	// renewNow asks for a renewal ahead of time.
+	// renewNow triggers a renewal before RenewEvery has passed.
 	renewNow chan struct{}
 
 	mu    sync.Mutex
 	child *relay.Child
-	// refused is why the last renewal was refused, empty if it was granted.
+	// refused is the reason why the last renewal was refused, empty if it was
+	// granted.
 	refused lease.RefusalReason
 	counts  Counts
 }
 
-// Counts are what a client has seen since it started.
+// Counts contains the counters of a client since its start.
 type Counts struct {
-	// Updates are the revisions taken, Fulls those that came as a whole, and
-	// Gaps the deltas that did not fit what was held.
+	// Updates is the number of revisions applied, Fulls the number of full
+	// configurations fetched, and Gaps the number of deltas that did not apply to
+	// the current revision.
 	Updates  uint64 `json:"updates"`
 	Fulls    uint64 `json:"fulls"`
 	Gaps     uint64 `json:"gaps"`
 	Renewals uint64 `json:"renewals"`
-	// Refusals are the renewals answered without a lease.
+	// Refusals is the number of renewals answered without a lease.
 	Refusals    uint64 `json:"refusals"`
 	FailedCalls uint64 `json:"failed_calls"`
 	Redirects   uint64 `json:"redirects"`
-	// StaleAnswers are the answers to renewals that were no longer awaited.
+	// StaleAnswers is the number of answers to superseded renewals.
 	StaleAnswers uint64 `json:"stale_answers"`
 	// BytesSent and BytesReceived count message bodies.
 	BytesSent     uint64 `json:"bytes_sent"`
 	BytesReceived uint64 `json:"bytes_received"`
 }
 
-// New returns a client that holds no configuration and no lease.
+// New returns a client without a configuration and a lease.
 func New(opts Options) (*Client, error) {
 	if err := opts.Validate(); err != nil {
 		return nil, err
@@ -73,7 +75,8 @@
 	return c, nil
 }
 
-// Run works until ctx ends.
+// Run watches the configuration, renews the lease and reports upstreams until
+// ctx is done.
 func (c *Client) Run(ctx context.Context) error {
 	if !c.awaitIncarnation(ctx) {
 		return nil
@@ -87,65 +90,66 @@
 	return group.Wait()
 }
 
-// Incarnation returns the number of this life of the entry, zero until the
-// control hosts have assigned it. No lease is granted before.
+// Incarnation returns the incarnation of this entry, zero until the control
+// hosts have assigned it. No lease is granted before.
 func (c *Client) Incarnation() ident.Incarnation {
 	return ident.Incarnation(c.incarnation.Load())
 }
 
-// Snapshot returns the configuration held; revision zero before the first.
+// Snapshot returns the current configuration. Its revision is zero until the
+// first one is received.
 func (c *Client) Snapshot() *config.Snapshot { return c.current.Load() }
 
-// Serving reports whether new requests may be served now. It is asked again
-// right before each dispatch.
+// Serving reports whether new requests may be served now. It must be checked
+// again immediately before each dispatch.
 func (c *Client) Serving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.child.Serving(c.opts.Clock())
 }
 
-// LeaseExpiry returns when the serving lease ends unless it is renewed.
+// LeaseExpiry returns the time at which the serving lease ends unless renewed.
 func (c *Client) LeaseExpiry() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.child.Expiry()
 }
 
-// AvailableEntries returns the entries that callers may be sent to, those of the given
-// data centre first.
+// AvailableEntries returns the entries that callers may be directed to, those of
+// the given data centre first.
 func (c *Client) AvailableEntries(near ident.DataCentre) []member.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.child.Members().Alive(member.RoleEntry, near)
 }
 
-// RunningEntries lists the entries that are up, also those that are draining: they
-// still serve who is there.
+// RunningEntries returns the entries that are up. It includes draining entries,
+// which still serve their connected callers.
 func (c *Client) RunningEntries() []member.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.child.Members().Present(member.RoleEntry, c.opts.Self.DataCentre)
 }
 
-// Lookup returns what is known of a process of the deployment.
+// Lookup returns the membership record of the process on a host.
 func (c *Client) Lookup(host ident.Host) (member.Member, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.child.Members().Lookup(host)
 }
 
-// Drain tells the other entries that callers are not to be sent here any more.
-// The lease goes on.
+// Drain announces to the other entries that no more callers may be directed to
+// this one. The lease remains valid.
 func (c *Client) Drain() {
 	c.mu.Lock()
 	c.child.Drain()
 	c.mu.Unlock()
-	c.askRenewal()
+	c.requestRenewal()
 }
 
-// Release stops serving at once and tells the leader, so that changes no
-// longer wait for this entry. It is called while Run still runs, after the
-// last new request was let in.
+// Release stops serving immediately and gives up the lease at the leader, so
+// that changes no longer wait for this entry. It must be called while Run is
+// running, after the last new request was admitted.
 func (c *Client) Release(ctx context.Context) error {
 	c.mu.Lock()
 	c.child.Leave()
@@ -155,15 +159,16 @@
 	return c.call(ctx, target, protocol.MethodRelease, protocol.ReleaseRequest{Incarnation: c.Incarnation()}, &answer)
 }
 
-// Status describes the client for dumps.
+// Status is the state of a client for dumps.
 type Status struct {
 	Revision config.Revision `json:"revision"`
 	Serving  bool            `json:"serving"`
 	Expiry   time.Time       `json:"lease_expiry"`
-	// Refused is why the last renewal brought no lease, empty if it did.
+	// Refused is the reason why the last renewal was refused, empty if it was
+	// granted.
 	Refused lease.RefusalReason `json:"refused,omitempty"`
 	Leader  string              `json:"leader"`
-	// Incarnation is the one assigned, zero before.
+	// Incarnation is the assigned incarnation, zero before.
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Counts      Counts            `json:"counts"`
 }
@@ -191,8 +196,8 @@
 	change(&c.counts)
 }
 
-// call sends one message to a control host. An error moves the client on to
-// the next host.
+// call sends one message to a control host. After an error the caller selects
+// the next host with leaderFinder.markFailed.
 func (c *Client) call(ctx context.Context, target string, method port.Method, request, answer any) error {
 	body := wire.MustMarshal(request)
 	data, err := c.opts.Peers.Call(ctx, target, method, body)
@@ -209,14 +214,14 @@
 	return eris.Wrapf(wire.Unmarshal(data, answer), "%s at %s: decode answer", method, target)
 }
 
-// quickCall is call with CallTimeout.
-func (c *Client) quickCall(ctx context.Context, target string, method port.Method, request, answer any) error {
+// callWithTimeout is call limited by Options.CallTimeout.
+func (c *Client) callWithTimeout(ctx context.Context, target string, method port.Method, request, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
 	return c.call(ctx, target, method, request, answer)
 }
 
-func (c *Client) follow(target string, redirect *protocol.Redirect) {
+func (c *Client) followRedirect(target string, redirect *protocol.Redirect) {
 	c.count(func(n *Counts) { n.Redirects++ })
-	c.leader.redirected(target, redirect)
+	c.leader.handleRedirect(target, redirect)
 }
--- a/internal/control/client/options.go
+++ b/internal/control/client/options.go
@@ -14,7 +14,7 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultRenewEvery  = relay.RenewEvery
 	DefaultCallTimeout = 700 * time.Millisecond
@@ -26,37 +26,37 @@
 // Options configure a Client. Zero durations mean the defaults.
 type Options struct {
 	Peers port.PeerClient
-	// Self is the claim by which the entry becomes a member; host and data
-	// centre are those of its connections. The control hosts replace the
-	// incarnation.
+	// Self is the entry's claim to membership. Its host and data centre must be
+	// those of the entry's connections. Its incarnation is replaced by the one
+	// that the control hosts assign.
 	Self member.Member
 	// Addresses are the peer addresses of the control hosts.
 	Addresses []string
 	Log       *log.Logger
 	// OnRevision is called with each new revision, in order, from one goroutine.
-	// It may be nil. The revision is acknowledged only after it returns, so
-	// what it sets up is in force once the revision is.
+	// It may be nil. A revision is acknowledged only after OnRevision returns, so
+	// the effects of OnRevision precede the revision being in force.
 	OnRevision func(*config.Snapshot)
 	// Upstreams returns the engines that the entry follows. It may be nil.
 	Upstreams func() []protocol.Upstream
 
-	// Clock tells the time by which the serving lease counts, nil means time.Now. It must
-	// be steady and go on while the machine is suspended.
+	// Clock measures the serving lease. Nil means time.Now. It must be monotonic and
+	// include the time that the machine is suspended.
 	Clock func() time.Time
 
-	// RenewEvery is how often the serving lease is renewed, which is also how
-	// often the others hear that the entry lives.
+	// RenewEvery is the interval at which the serving lease is renewed. A renewal
+	// is also the entry's heartbeat.
 	RenewEvery time.Duration
-	// CallTimeout bounds every call but a watch; a silent control host costs
-	// this much before the next is tried.
+	// CallTimeout limits every call except a watch. It is the delay that an
+	// unresponsive control host causes before the next one is tried.
 	CallTimeout time.Duration
-	// WatchWait is how long a watch may be held open.
+	// WatchWait limits how long the leader may hold a watch open.
 	WatchWait   time.Duration
 	RetryEvery  time.Duration
 	ReportEvery time.Duration
 }
 
-// Validate reports the first option that cannot work.
+// Validate returns an error for the first invalid option.
 func (o Options) Validate() error {
 	switch {
 	case o.Self.Validate() != nil:
--- a/internal/control/client/renew.go
+++ b/internal/control/client/renew.go
@@ -11,7 +11,7 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-func (c *Client) askRenewal() {
+func (c *Client) requestRenewal() {
 	select {
 	case c.renewNow <- struct{}{}:
 	default:
@@ -39,7 +39,7 @@
 	}
 }
 
-// renewOnce reports whether the lease was granted or none is wanted.
+// renewOnce reports whether the lease was granted or the entry has released it.
 func (c *Client) renewOnce(ctx context.Context) bool {
 	request, wanted := c.beginRenewal()
 	if !wanted {
@@ -47,16 +47,16 @@
 	}
 	target, _ := c.leader.current()
 	var answer protocol.RenewAnswer
-	if err := c.quickCall(ctx, target, protocol.MethodRenew, request, &answer); err != nil {
+	if err := c.callWithTimeout(ctx, target, protocol.MethodRenew, request, &answer); err != nil {
 		c.opts.Log.Debug("lease not renewed", "leader", target, "err", err)
-		c.leader.failed(target)
+		c.leader.markFailed(target)
 		return false
 	}
 	if answer.Redirect != nil || answer.Renewed == nil {
-		c.follow(target, answer.Redirect)
+		c.followRedirect(target, answer.Redirect)
 		return false
 	}
-	return c.endRenewal(*answer.Renewed)
+	return c.completeRenewal(*answer.Renewed)
 }
 
 func (c *Client) beginRenewal() (protocol.RenewRequest, bool) {
@@ -79,7 +79,7 @@
 	}, true
 }
 
-func (c *Client) endRenewal(renewed relay.Renewed) bool {
+func (c *Client) completeRenewal(renewed relay.Renewed) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	effect := c.child.Renewed(renewed)
@@ -105,8 +105,8 @@
 		}
 		target, _ := c.leader.current()
 		var answer protocol.ReportAnswer
-		// A lost report is made good by the next.
-		err := c.quickCall(ctx, target, protocol.MethodReport, protocol.Report{Upstreams: upstreams}, &answer)
+		// The next report replaces a lost one.
+		err := c.callWithTimeout(ctx, target, protocol.MethodReport, protocol.Report{Upstreams: upstreams}, &answer)
 		if err != nil {
 			c.opts.Log.Debug("report not sent", "leader", target, "err", err)
 		}
--- a/internal/control/client/watch.go
+++ b/internal/control/client/watch.go
@@ -11,30 +11,30 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-var errRevisionGone = eris.New("the revision is no longer offered")
+var errRevisionGone = eris.New("revision is no longer available")
 
 func (c *Client) watchLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		target, moved := c.leader.current()
-		if err := c.watchOnce(ctx, target, moved); err != nil {
+		target, targetChanged := c.leader.current()
+		if err := c.watchOnce(ctx, target, targetChanged); err != nil {
 			c.opts.Log.Debug("watch failed", "leader", target, "err", err)
-			c.leader.failed(target)
+			c.leader.markFailed(target)
 			wait.For(ctx, c.opts.RetryEvery)
 		}
 	}
 	return nil
 }
 
-// watchOnce asks for what follows the revision held. The next watch names the
-// new revision, which acknowledges it.
-func (c *Client) watchOnce(loop context.Context, target string, moved <-chan struct{}) error {
-	ctx, cancel := context.WithTimeout(loop, c.opts.WatchWait+c.opts.CallTimeout)
+// watchOnce requests the changes since the current revision and applies them.
+// The next watch contains the new revision, which acknowledges it.
+func (c *Client) watchOnce(loopCtx context.Context, target string, targetChanged <-chan struct{}) error {
+	ctx, cancel := context.WithTimeout(loopCtx, c.opts.WatchWait+c.opts.CallTimeout)
 	defer cancel()
 	go func() {
-		// A leader on the far side of a partition holds the call open and
-		// says nothing. The renewals notice it first.
+		// A leader on the other side of a partition holds the call open without
+		// an answer. The renewals detect this first and change the target.
 		select {
-		case <-moved:
+		case <-targetChanged:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -50,17 +50,17 @@
 		return err
 	}
 	if answer.Redirect != nil {
-		c.follow(target, answer.Redirect)
-		// The pause is not the call's: to follow a redirect ends the call's
-		// context. Without a leader each control host sends on to the next, and
-		// the entry would ask them in a circle as fast as they answer.
-		wait.For(loop, c.opts.RetryEvery/4)
+		c.followRedirect(target, answer.Redirect)
+		// The delay uses loopCtx, since following a redirect cancels ctx. Without
+		// a leader each control host redirects to the next, and without this delay
+		// the entry would send them watches in turn as fast as they answer.
+		wait.For(loopCtx, c.opts.RetryEvery/4)
 		return nil
 	}
-	return c.take(ctx, target, answer)
+	return c.apply(ctx, target, answer)
 }
 
-func (c *Client) take(ctx context.Context, target string, answer protocol.WatchAnswer) error {
+func (c *Client) apply(ctx context.Context, target string, answer protocol.WatchAnswer) error {
 	update := config.Update{Delta: answer.Delta}
 	if answer.FullRevision > c.Snapshot().Revision() {
 		full, err := c.fetch(ctx, target, answer)
@@ -91,14 +91,14 @@
 	c.acked.Store(uint64(next.Revision()))
 	c.count(func(n *Counts) { n.Updates++ })
 	if !c.Serving() {
-		c.askRenewal()
+		c.requestRenewal()
 	}
 }
 
-// fetch collects a whole configuration part by part.
+// fetch fetches a full configuration in parts.
 func (c *Client) fetch(ctx context.Context, target string, answer protocol.WatchAnswer) (*config.FullRevision, error) {
 	if answer.FullBytes <= 0 || answer.FullBytes > protocol.MaxConfigBytes {
-		return nil, eris.Errorf("a configuration of %d bytes is out of bounds", answer.FullBytes)
+		return nil, eris.Errorf("invalid configuration size: %d bytes", answer.FullBytes)
 	}
 	data := make([]byte, 0, answer.FullBytes)
 	for len(data) < answer.FullBytes {
--- a/internal/control/client/watch_test.go
+++ b/internal/control/client/watch_test.go
@@ -15,16 +15,16 @@
 	"github.com/lovagereach/lovagereach/member"
 )
 
-// leaderless are control hosts that know no leader.
-type leaderless struct {
+// noLeaderPeers simulates control hosts that know no leader.
+type noLeaderPeers struct {
 	port.PeerClient
-	calls, most int
-	stop        context.CancelFunc
+	calls, maxCalls int
+	stop            context.CancelFunc
 }
 
-func (l *leaderless) Call(_ context.Context, _ string, method port.Method, _ []byte) ([]byte, error) {
+func (l *noLeaderPeers) Call(_ context.Context, _ string, method port.Method, _ []byte) ([]byte, error) {
 	if method == protocol.MethodWatch {
-		if l.calls++; l.calls > l.most {
+		if l.calls++; l.calls > l.maxCalls {
 			l.stop()
 		}
 		return wire.MustMarshal(protocol.WatchAnswer{Redirect: &protocol.Redirect{}}), nil
@@ -32,15 +32,15 @@
 	return wire.MustMarshal(protocol.RenewAnswer{Redirect: &protocol.Redirect{}}), nil
 }
 
-// The control hosts elect a leader and meanwhile redirect every call at once.
-// The entries must not load them with calls as fast as they answer, which would
-// prolong the election: a pause stands between two watches.
-func TestWatchPausesWhileThereIsNoLeader(t *testing.T) {
+// During an election the control hosts redirect every call immediately. Entries
+// must not send calls as fast as these are answered, since that load would
+// prolong the election; they must wait between two watches.
+func TestWatchBacksOffWithoutLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const lasts = time.Second
-		ctx, cancel := context.WithTimeout(t.Context(), lasts)
+		const duration = time.Second
+		ctx, cancel := context.WithTimeout(t.Context(), duration)
 		defer cancel()
-		peers := &leaderless{most: int(lasts/(DefaultRetryEvery/4)) + 1, stop: cancel}
+		peers := &noLeaderPeers{maxCalls: int(duration/(DefaultRetryEvery/4)) + 1, stop: cancel}
 		c, err := New(Options{
 			Peers:     peers,
 			Self:      member.Member{Host: "entry-1", DataCentre: "hall-north", Role: member.RoleEntry, Peers: "127.0.0.1:1", Stamp: member.Stamp{Incarnation: 1, Session: 1}, State: member.StateAlive},
@@ -53,8 +53,8 @@
 		if err := c.watchLoop(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if peers.calls < 2 || peers.calls > peers.most {
-			t.Errorf("%d watches in less than %v, want at most %d", peers.calls, lasts, peers.most)
+		if peers.calls < 2 || peers.calls > peers.maxCalls {
+			t.Errorf("%d watches in less than %v, want at most %d", peers.calls, duration, peers.maxCalls)
 		}
 	})
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -16,18 +16,18 @@
 	"github.com/lovagereach/lovagereach/lease"
 )
 
-// Nine entries on links of 1.5 ms follow a hundred changes. When an operator
-// is told that a change is in force, every entry serves by it already. The
-// time until then is measured in virtual time; p99 must stay under a second.
+// Nine entries on links of 1.5 ms one-way delay follow a hundred changes. When a
+// change is reported in force, every entry must already serve with it. The p99 of
+// the virtual time until then must stay under a second.
 func TestChangesAreInForceAtNineEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 9)
 		defer d.close()
 		var times []time.Duration
 		for i := range 100 {
-			began := time.Now()
+			start := time.Now()
 			revision := d.mustApply(0, fmt.Sprint("r", i), config.Revision(i), document(10, i))
-			times = append(times, time.Since(began))
+			times = append(times, time.Since(start))
 			for j, entry := range d.entries {
 				if entry.Snapshot().Revision() != revision || !entry.Serving() {
 					t.Fatalf("entry %d: revision %d, serving %v, while %d is in force", j, entry.Snapshot().Revision(), entry.Serving(), revision)
@@ -42,36 +42,36 @@
 	})
 }
 
-// An entry is cut off from the control hosts and an operator applies a change.
-// The operator waits until the entry's lease has ended; by then the entry has
-// stopped serving by itself. Back on the network it takes the change first and
-// serves again.
-func TestEntryCutOffStopsBeforeTheChangeIsInForce(t *testing.T) {
+// An operator applies a change while an entry is isolated from the control
+// hosts. The apply must wait until the entry's lease has ended, and the entry must
+// have stopped serving by then. After the partition it must receive the change
+// and serve again.
+func TestIsolatedEntryStopsBeforeChangeIsInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 3)
 		defer d.close()
 		d.mustApply(0, "r1", 0, document(2, 0))
-		parted := d.entries[2]
-		d.network.setCut(entryName(2), true)
-		began := time.Now()
+		isolatedEntry := d.entries[2]
+		d.network.setIsolated(entryName(2), true)
+		start := time.Now()
 		d.mustApply(0, "r2", 1, document(2, 1))
-		if waited := time.Since(began); waited > lease.GranterTerm(lease.DefaultTerm) {
+		if waited := time.Since(start); waited > lease.GranterTerm(lease.DefaultTerm) {
 			t.Errorf("waited %s, longer than a lease", waited)
 		}
-		if parted.Serving() {
-			t.Error("the entry that is cut off still serves by revision 1")
+		if isolatedEntry.Serving() {
+			t.Error("the isolated entry still serves with revision 1")
 		}
-		d.network.setCut(entryName(2), false)
-		d.settle()
-		if !parted.Serving() || parted.Snapshot().Revision() != 2 {
-			t.Errorf("after the partition: serving %v by revision %d", parted.Serving(), parted.Snapshot().Revision())
+		d.network.setIsolated(entryName(2), false)
+		d.awaitLeases()
+		if !isolatedEntry.Serving() || isolatedEntry.Snapshot().Revision() != 2 {
+			t.Errorf("after the partition: serving %v with revision %d", isolatedEntry.Serving(), isolatedEntry.Snapshot().Revision())
 		}
 	})
 }
 
-// A change is committed, its answer is lost, and the leader is replaced. The
-// operator resends the same request to the new leader and gets the first
-// answer; there is one revision. The same id with other content is an error.
+// A change is committed, its answer is lost, and the leader is replaced. A resend
+// of the request to the new leader must get the first answer and create no second
+// revision. The same ID with other content must be refused.
 func TestLostAnswerAndResendToAnotherHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 2)
@@ -83,7 +83,7 @@
 			t.Fatalf("error is %v, want ErrUncertain", err)
 		}
 		d.group.elect(1)
-		d.settle()
+		d.awaitLeases()
 		answer, err := d.apply(1, "r1", 0, document(2, 0))
 		if err != nil {
 			t.Fatal(err)
@@ -98,34 +98,34 @@
 	})
 }
 
-// The leader is cut off and goes on believing that it leads. It can neither
-// commit nor renew leases nor report anything in force. The others elect a new
-// leader; entries find it within a few seconds, and a change applied there is
-// in force once the old leader's leases have ended.
-func TestSilentLeaderAcrossAPartition(t *testing.T) {
+// The leader is isolated and still considers itself the leader. It must neither
+// commit nor renew leases nor report a revision in force. The other hosts elect a
+// new leader. The entries must find it within a few seconds, and a change applied
+// there must come into force after the old leader's leases have ended.
+func TestPartitionedLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 3)
 		defer d.close()
 		d.mustApply(0, "r1", 0, document(2, 0))
-		d.network.setCut(hostNames[0], true)
-		d.group.setCut(0, true)
+		d.network.setIsolated(hostNames[0], true)
+		d.group.setIsolated(0, true)
 		d.group.elect(1)
 		if answer, err := d.apply(0, "r2", 1, document(2, 1)); err == nil {
-			t.Errorf("the silent leader answered %+v", answer)
+			t.Errorf("the isolated leader answered %+v", answer)
 		}
 		d.mustApply(1, "r3", 1, document(2, 2))
-		d.settle()
+		d.awaitLeases()
 		for i, entry := range d.entries {
 			if !entry.Serving() || entry.Snapshot().Revision() != 2 {
-				t.Errorf("entry %d: serving %v by revision %d", i, entry.Serving(), entry.Snapshot().Revision())
+				t.Errorf("entry %d: serving %v with revision %d", i, entry.Serving(), entry.Snapshot().Revision())
 			}
 		}
 	})
 }
 
-// Ten operators hold equal numbers and apply at the same moment. Exactly one
-// wins; every other sees who did.
-func TestOperatorsWithEqualNumbers(t *testing.T) {
+// Ten operators concurrently apply changes based on the same revision. Exactly
+// one must succeed; the others must get a conflict that names the winner.
+func TestConcurrentAppliesOnOneRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 1)
 		defer d.close()
@@ -153,16 +153,16 @@
 		for i, answer := range answers {
 			conflict := answer.Result.Verdict == config.VerdictConflict
 			if fmt.Sprint("r", i) != winner && (!conflict || answer.Result.Winner.RequestID != winner) {
-				t.Errorf("r%d sees %+v, winner is %s", i, answer.Result, winner)
+				t.Errorf("r%d got %+v, winner is %s", i, answer.Result, winner)
 			}
 		}
 	})
 }
 
-// An entry releases its lease and then becomes unreachable. The next apply does
-// not wait for that lease to end, because the entry stopped serving before it
-// released.
-func TestReleasedEntryHoldsNothingBack(t *testing.T) {
+// An entry releases its lease and then becomes unreachable. The next apply must
+// not wait for that lease to end, because the entry stopped serving before the
+// release.
+func TestReleasedEntryDelaysNoApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 2)
 		defer d.close()
@@ -170,19 +170,19 @@
 		if err := d.entries[1].Release(d.ctx); err != nil {
 			t.Fatal(err)
 		}
-		d.network.setCut(entryName(1), true)
-		began := time.Now()
+		d.network.setIsolated(entryName(1), true)
+		start := time.Now()
 		d.mustApply(0, "r2", 1, document(1, 1))
-		if waited := time.Since(began); waited > 100*time.Millisecond {
+		if waited := time.Since(start); waited > 100*time.Millisecond {
 			t.Errorf("waited %s for an entry that had released its lease", waited)
 		}
 		if d.entries[1].Serving() {
-			t.Error("serves after the release")
+			t.Error("the entry still serves after the release")
 		}
 	})
 }
 
-// A configuration larger than one message reaches a fresh entry in parts.
+// A configuration larger than one message must reach a new entry in parts.
 func TestLargeConfigurationArrivesInParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const teams = 20_000
@@ -197,9 +197,9 @@
 	})
 }
 
-// A control host restores the group's state from a snapshot. What it holds then
-// encodes to the same bytes, so nothing was lost on the way; a snapshot cut off
-// in transit is refused instead of being restored in part.
+// A state restored from a snapshot must encode to the same bytes, so that nothing
+// is lost. A truncated snapshot must be refused instead of being restored in
+// part.
 func TestSnapshotRestoresEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 0)
@@ -215,8 +215,8 @@
 		if err := restored.Restore(data); err != nil {
 			t.Fatal(err)
 		}
-		again, err := restored.Snapshot()
-		if err != nil || string(again) != string(data) {
+		reencoded, err := restored.Snapshot()
+		if err != nil || string(reencoded) != string(data) {
 			t.Errorf("snapshot of the restored state differs: %v", err)
 		}
 		if err := restored.Restore(data[:len(data)-1]); err == nil {
@@ -225,10 +225,10 @@
 	})
 }
 
-// An operator reaches a control host that does not lead. The apply is refused as
-// not the leader's with the leader's name, and nothing is reported in force: a
-// follower doesn't know which leases may still run.
-func TestFollowerHostsPointAtTheLeader(t *testing.T) {
+// An operator sends an apply to a control host that does not lead. It must be
+// refused with the leader's name, and no revision may be reported in force, since
+// a follower doesn't know which leases are still valid.
+func TestFollowerRefusesApplyWithLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 0)
 		defer d.close()
@@ -244,9 +244,9 @@
 	})
 }
 
-// The leader falls silent and a new one is elected 650 ms later, the longest
-// time without a leader at default settings. Callers notice nothing: every
-// entry finds the new leader and renews before its lease ends.
+// The leader becomes unreachable and a new one is elected 650 ms later, the
+// longest time without a leader at default settings. Every entry must find the
+// new leader and renew before its lease ends, so that serving is not interrupted.
 func TestLeaderChangeKeepsEntriesServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 9)
@@ -254,24 +254,24 @@
 		d.mustApply(0, "r1", 0, document(2, 0))
 		for round := range 6 {
 			old, next := round%3, (round+1)%3
-			d.network.setCut(hostNames[old], true)
-			d.group.setCut(old, true)
-			silent := time.Now()
+			d.network.setIsolated(hostNames[old], true)
+			d.group.setIsolated(old, true)
+			isolatedAt := time.Now()
 			elected := false
-			for time.Since(silent) < 8*time.Second {
-				if !elected && time.Since(silent) >= 650*time.Millisecond {
+			for time.Since(isolatedAt) < 8*time.Second {
+				if !elected && time.Since(isolatedAt) >= 650*time.Millisecond {
 					elected = true
 					d.group.elect(next)
 				}
 				for i, entry := range d.entries {
 					if !entry.Serving() {
-						t.Fatalf("round %d: entry %d stopped serving %s after the leader fell silent", round, i, time.Since(silent))
+						t.Fatalf("round %d: entry %d stopped serving %s after the leader became unreachable", round, i, time.Since(isolatedAt))
 					}
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			d.network.setCut(hostNames[old], false)
-			d.group.setCut(old, false)
+			d.network.setIsolated(hostNames[old], false)
+			d.group.setIsolated(old, false)
 		}
 	})
 }
--- a/internal/control/deployment_test.go
+++ b/internal/control/deployment_test.go
@@ -17,17 +17,17 @@
 	"github.com/lovagereach/lovagereach/member"
 )
 
-// deployment is three control hosts and some entries over the fakes, in the
-// virtual time of a synctest bubble.
+// deployment is three control hosts and some entries on the fakes, in the virtual
+// time of a synctest bubble.
 type deployment struct {
 	t       *testing.T
 	group   *fakeGroup
 	network *fakeNetwork
 	servers []*control.Server
 	entries []*client.Client
-	// upstreams is what the entries report.
+	// upstreams returns the upstreams that the entries report.
 	upstreams atomic.Pointer[func() []protocol.Upstream]
-	// replaced are the former incarnations of entries that the leader reported.
+	// replaced contains the calls of Options.OnEntryReplaced.
 	replaced []replacedEntry
 	stop     context.CancelFunc
 	ctx      context.Context
@@ -35,14 +35,14 @@
 }
 
 type replacedEntry struct {
-	host   ident.Host
-	former ident.Incarnation
+	host     ident.Host
+	previous ident.Incarnation
 }
 
-func (d *deployment) entryReplaced(host ident.Host, former ident.Incarnation) {
+func (d *deployment) entryReplaced(host ident.Host, previous ident.Incarnation) {
 	d.group.mu.Lock()
 	defer d.group.mu.Unlock()
-	d.replaced = append(d.replaced, replacedEntry{host, former})
+	d.replaced = append(d.replaced, replacedEntry{host, previous})
 }
 
 func deploy(t *testing.T, entries int) *deployment {
@@ -54,7 +54,7 @@
 		addresses[name] = string(name)
 	}
 	for i, replica := range d.group.hosts {
-		server := control.NewServer(control.Options{Replica: replica, Machine: replica.machine, Addresses: addresses, OnEntryReplaced: d.entryReplaced, Log: quiet})
+		server := control.NewServer(control.Options{Replica: replica, Machine: replica.machine, Addresses: addresses, OnEntryReplaced: d.entryReplaced, Log: discardLog})
 		server.Register(fakeRegistry{d.network, string(hostNames[i])})
 		d.servers = append(d.servers, server)
 		d.run(server.Run)
@@ -62,13 +62,13 @@
 	for i := range entries {
 		d.startEntry(i)
 	}
-	d.settle()
+	d.awaitLeases()
 	return d
 }
 
 func entryName(i int) ident.Host { return ident.Host(fmt.Sprint("entry-", i)) }
 
-// claimOf is what an entry says of itself.
+// claimOf returns an entry's claim to membership.
 func claimOf(host ident.Host, incarnation ident.Incarnation) member.Member {
 	return member.Member{
 		Host:       host,
@@ -84,7 +84,7 @@
 		Peers:     &fakePeer{network: d.network, self: port.Peer{Host: entryName(i), DataCentre: "hall-north", Incarnation: 1, Role: "entry"}},
 		Self:      claimOf(entryName(i), 1),
 		Addresses: []string{"control-0", "control-1", "control-2"},
-		Log:       quiet,
+		Log:       discardLog,
 		Upstreams: func() []protocol.Upstream {
 			report := d.upstreams.Load()
 			if report == nil {
@@ -111,8 +111,8 @@
 	}()
 }
 
-// settle lets leases be granted and old ones end.
-func (d *deployment) settle() { time.Sleep(10 * time.Second) }
+// awaitLeases waits until leases are granted and old ones have ended.
+func (d *deployment) awaitLeases() { time.Sleep(10 * time.Second) }
 
 func (d *deployment) close() {
 	d.stop()
@@ -126,7 +126,8 @@
 	return d.servers[host].Apply(ctx, control.ApplyRequest{RequestID: id, Author: "ana", Base: base, Document: doc})
 }
 
-// mustApply applies and requires the revision to be in force.
+// mustApply applies a document, requires the revision to be in force and returns
+// it.
 func (d *deployment) mustApply(host int, id string, base config.Revision, doc config.Document) config.Revision {
 	d.t.Helper()
 	answer, err := d.apply(host, id, base, doc)
@@ -139,7 +140,7 @@
 	return answer.Result.Revision
 }
 
-// document returns a valid document; seed makes it differ from others.
+// document returns a valid document. Documents with different seeds differ.
 func document(teams, seed int) config.Document {
 	doc := config.Document{
 		Classes: []config.Class{{
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,7 +1,7 @@
-// Package control runs a control host's part of configuration, leases and
-// orders over the replicated log of group port.GroupConfig.
+// Package control implements a control host's handling of configuration, leases
+// and orders on the replicated log of group port.GroupConfig.
 //
-// Machine is the state machine behind the log. Server answers entries and
-// operators: while this host leads it opens an epoch, grants serving leases,
-// hands out changes, and tells when a revision is in force everywhere.
+// Machine is the state machine of the log. Server answers entries and operators:
+// when this host becomes leader it opens an epoch, and while it leads it grants
+// serving leases, distributes changes and reports when a revision is in force.
 package control
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// errNoLeader tells that the group has no leader that this host knows of.
+// errNoLeader is returned when this host knows no leader of the group.
 var errNoLeader = errors.New("the control group has no known leader")
 
-// suspendedError tells why the replica answers nothing.
+// suspendedError is returned when the replica is suspended, with the reason.
 type suspendedError struct{ reason string }
 
 // Error implements error.
 func (e *suspendedError) Error() string { return "suspended: " + e.reason }
 
-// refusedCommandError tells that the state machine could not make sense of a
-// committed command, which changed nothing.
+// refusedCommandError is returned when the state machine could not interpret a
+// committed command. The command changed nothing.
 type refusedCommandError struct{ reason string }
 
 // Error implements error.
 func (e *refusedCommandError) Error() string { return "control: command refused: " + e.reason }
 
-// TooLargeError reports a change that doesn't fit one entry of the log.
-// Nothing was proposed.
+// TooLargeError is returned for a change that exceeds the maximum size of a log
+// entry. It was not proposed.
 type TooLargeError struct {
 	Bytes, Max int
 }
--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -6,12 +6,13 @@
 	"github.com/lovagereach/lovagereach/lease"
 )
 
-// EpochCommand encodes the command by which a leader opens an epoch.
+// EpochCommand returns the encoded command that opens an epoch.
 func EpochCommand(leader ident.Host) []byte {
 	return wire.MustMarshal(command{Epoch: &openEpoch{Leader: leader}})
 }
 
-// EpochToken decodes its answer.
+// EpochToken returns the token in the result of an EpochCommand, zero if there
+// is none.
 func EpochToken(answer []byte) lease.Token {
 	var decoded result
 	if err := wire.Unmarshal(answer, &decoded); err != nil || decoded.Epoch == nil {
--- a/internal/control/fakes_test.go
+++ b/internal/control/fakes_test.go
@@ -14,35 +14,35 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-var quiet = log.New(io.Discard)
+var discardLog = log.New(io.Discard)
 
-// fakeGroup is a replicated log in memory whose leader the test chooses.
+// fakeGroup is an in-memory replicated log whose leader the test selects.
 type fakeGroup struct {
 	mu     sync.Mutex
 	log    [][]byte
 	hosts  []*fakeReplica
 	leader int
 	term   uint64
-	// commitTime is how long a proposal takes.
+	// commitTime is the duration of a proposal.
 	commitTime time.Duration
-	// loseAnswers is how many of the next proposals are committed without an
-	// answer.
+	// loseAnswers is the number of subsequent proposals that are committed without
+	// an answer.
 	loseAnswers int
-	// answersBeforeQuorum is a seeded fault: a leader that is cut off answers
-	// proposals that nobody else has.
+	// answersBeforeQuorum is a seeded fault: an isolated leader answers proposals
+	// that no other host has.
 	answersBeforeQuorum bool
 }
 
 // fakeReplica is one host of a fakeGroup.
 type fakeReplica struct {
 	group   *fakeGroup
-	at      int
+	index   int
 	machine *control.Machine
 	applied int
-	// cut hosts reach nobody and go on believing what they believed.
-	cut        bool
-	believed   int
-	beliefTerm uint64
+	// isolated hosts reach no other host and keep their view of the leader.
+	isolated    bool
+	knownLeader int
+	knownTerm   uint64
 }
 
 var hostNames = []ident.Host{"control-0", "control-1", "control-2"}
@@ -50,7 +50,7 @@
 func newFakeGroup() *fakeGroup {
 	g := &fakeGroup{term: 1, commitTime: 2 * time.Millisecond}
 	for i := range hostNames {
-		g.hosts = append(g.hosts, &fakeReplica{group: g, at: i, machine: control.NewMachine()})
+		g.hosts = append(g.hosts, &fakeReplica{group: g, index: i, machine: control.NewMachine()})
 	}
 	g.elect(0)
 	return g
@@ -64,20 +64,21 @@
 	g.catchUp()
 }
 
-func (g *fakeGroup) setCut(host int, cut bool) {
+func (g *fakeGroup) setIsolated(host int, isolated bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.hosts[host].cut = cut
+	g.hosts[host].isolated = isolated
 	g.catchUp()
 }
 
-// catchUp applies the log and spreads the news of the leader where it reaches.
+// catchUp applies the log on all hosts that are not isolated and updates their
+// view of the leader.
 func (g *fakeGroup) catchUp() {
 	for _, host := range g.hosts {
-		if host.cut {
+		if host.isolated {
 			continue
 		}
-		host.believed, host.beliefTerm = g.leader, g.term
+		host.knownLeader, host.knownTerm = g.leader, g.term
 		for host.applied < len(g.log) {
 			host.machine.Apply(uint64(host.applied+1), g.log[host.applied])
 			host.applied++
@@ -91,13 +92,13 @@
 	}
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
-	if r.cut && r.group.answersBeforeQuorum && r.believed == r.at {
+	if r.isolated && r.group.answersBeforeQuorum && r.knownLeader == r.index {
 		return copyOf(r.machine).Apply(0, command), nil
 	}
-	if r.cut {
+	if r.isolated {
 		return nil, port.ErrUncertain
 	}
-	if r.group.leader != r.at {
+	if r.group.leader != r.index {
 		return nil, &port.NotLeaderError{Leader: hostNames[r.group.leader]}
 	}
 	r.group.catchUp()
@@ -115,10 +116,10 @@
 func (r *fakeReplica) ReadBarrier(context.Context) error {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
-	if r.cut && r.group.answersBeforeQuorum && r.believed == r.at {
+	if r.isolated && r.group.answersBeforeQuorum && r.knownLeader == r.index {
 		return nil
 	}
-	if r.cut {
+	if r.isolated {
 		return errors.New("no quorum")
 	}
 	r.group.catchUp()
@@ -135,19 +136,19 @@
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
 	return port.ReplicaStatus{
-		Term:     r.beliefTerm,
-		Self:     hostNames[r.at],
-		Leader:   hostNames[r.believed],
-		IsLeader: r.believed == r.at,
+		Term:     r.knownTerm,
+		Self:     hostNames[r.index],
+		Leader:   hostNames[r.knownLeader],
+		IsLeader: r.knownLeader == r.index,
 		Voters:   hostNames,
 	}
 }
 
-// fakeNetwork carries peer calls between processes in memory.
+// fakeNetwork delivers peer calls between processes in memory.
 type fakeNetwork struct {
 	mu       sync.Mutex
 	handlers map[string]map[port.Method]port.PeerHandler
-	cut      map[ident.Host]bool
+	isolated map[ident.Host]bool
 	oneWay   time.Duration
 	bytes    int
 	messages int
@@ -156,15 +157,15 @@
 func newFakeNetwork() *fakeNetwork {
 	return &fakeNetwork{
 		handlers: make(map[string]map[port.Method]port.PeerHandler),
-		cut:      make(map[ident.Host]bool),
+		isolated: make(map[ident.Host]bool),
 		oneWay:   1500 * time.Microsecond,
 	}
 }
 
-func (n *fakeNetwork) setCut(host ident.Host, cut bool) {
+func (n *fakeNetwork) setIsolated(host ident.Host, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[host] = cut
+	n.isolated[host] = isolated
 }
 
 // traffic returns the messages and body bytes since the last call.
@@ -176,7 +177,7 @@
 	return messages, bytes
 }
 
-// fakeRegistry collects the handlers of one address.
+// fakeRegistry registers the handlers of one address.
 type fakeRegistry struct {
 	network *fakeNetwork
 	address string
@@ -191,19 +192,19 @@
 	r.network.handlers[r.address][method] = handler
 }
 
-// fakePeer is one process's client on the network. Addresses are host names.
+// fakePeer is the peer client of one process. Addresses are host names.
 type fakePeer struct {
 	network *fakeNetwork
 	self    port.Peer
 }
 
-// pass carries body one way; a message over a cut vanishes.
-func (p *fakePeer) pass(ctx context.Context, to string, body []byte) error {
+// transmit delivers body one way. A message from or to an isolated host is lost.
+func (p *fakePeer) transmit(ctx context.Context, to string, body []byte) error {
 	if err := sleep(ctx, p.network.oneWay); err != nil {
 		return err
 	}
 	p.network.mu.Lock()
-	lost := p.network.cut[p.self.Host] || p.network.cut[ident.Host(to)]
+	lost := p.network.isolated[p.self.Host] || p.network.isolated[ident.Host(to)]
 	p.network.messages++
 	p.network.bytes += len(body)
 	p.network.mu.Unlock()
@@ -215,7 +216,7 @@
 }
 
 func (p *fakePeer) Call(ctx context.Context, address string, method port.Method, body []byte) ([]byte, error) {
-	if err := p.pass(ctx, address, body); err != nil {
+	if err := p.transmit(ctx, address, body); err != nil {
 		return nil, err
 	}
 	p.network.mu.Lock()
@@ -228,7 +229,7 @@
 	if err != nil {
 		return nil, &port.RemoteError{Message: err.Error()}
 	}
-	if err := p.pass(ctx, address, answer); err != nil {
+	if err := p.transmit(ctx, address, answer); err != nil {
 		return nil, err
 	}
 	return answer, nil
@@ -247,7 +248,7 @@
 	}
 }
 
-// copyOf returns a machine in the same state.
+// copyOf returns a copy of a machine.
 func copyOf(machine *control.Machine) *control.Machine {
 	data, err := machine.Snapshot()
 	if err != nil {
--- a/internal/control/fencing_test.go
+++ b/internal/control/fencing_test.go
@@ -18,23 +18,23 @@
 	"github.com/lovagereach/lovagereach/lease"
 )
 
-// fencingInput is the opening of an epoch, or an order under a token.
+// fencingInput is the opening of an epoch or an order with a token.
 type fencingInput struct {
 	open  bool
 	token lease.Token
 }
 
-// fencingOutput is the token of the epoch, or whether the order was taken.
+// fencingOutput is the token of the epoch or whether the order was accepted.
 type fencingOutput struct {
 	uncertain bool
 	token     lease.Token
-	taken     bool
+	accepted  bool
 }
 
-// fencingState is a lock as an upstream sees it: the epochs opened, and the
-// highest token it was shown.
+// fencingState is the state of the specification: the number of opened epochs and
+// the highest token that the upstream has seen.
 type fencingState struct {
-	opened, shown lease.Token
+	opened, highestSeen lease.Token
 }
 
 var fencingModel = porcupine.Model{
@@ -45,49 +45,50 @@
 			s.opened++
 			return out.uncertain || out.token == s.opened, s
 		}
-		taken := in.token >= s.shown
-		s.shown = max(s.shown, in.token)
-		return out.taken == taken && in.token <= s.opened, s
+		accepted := in.token >= s.highestSeen
+		s.highestSeen = max(s.highestSeen, in.token)
+		return out.accepted == accepted && in.token <= s.opened, s
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
-// fencedUpstream takes orders after a delay in the network.
+// fencedUpstream simulates an upstream that receives orders over a network with
+// delays.
 type fencedUpstream struct {
 	mu    sync.Mutex
 	fence lease.Fence
-	// ignores is the seeded fault: the upstream takes every order.
-	ignores bool
+	// ignoresTokens is the seeded fault: the upstream accepts every order.
+	ignoresTokens bool
 }
 
-func (u *fencedUpstream) order(token lease.Token, there, back time.Duration) bool {
-	time.Sleep(there)
+func (u *fencedUpstream) order(token lease.Token, requestDelay, responseDelay time.Duration) bool {
+	time.Sleep(requestDelay)
 	u.mu.Lock()
-	taken := u.fence.Admit(token) || u.ignores
+	accepted := u.fence.Admit(token) || u.ignoresTokens
 	u.mu.Unlock()
-	time.Sleep(back)
-	return taken
+	time.Sleep(responseDelay)
+	return accepted
 }
 
 type fencingHistory struct {
 	mu    sync.Mutex
-	begun time.Time
+	start time.Time
 	ops   []porcupine.Operation
 }
 
 func (h *fencingHistory) record(client int, in fencingInput, call time.Time, out fencingOutput) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	returned := int64(time.Since(h.begun))
+	returned := int64(time.Since(h.start))
 	if out.uncertain {
 		returned = math.MaxInt64
 	}
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: int64(call.Sub(h.begun)), Output: out, Return: returned})
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: int64(call.Sub(h.start)), Output: out, Return: returned})
 }
 
-// lead opens epochs on one host and gives orders under each, also after others
-// have opened later ones.
-func lead(host int, group *fakeGroup, upstream *fencedUpstream, history *fencingHistory, random *rand.Rand) {
+// leadAndOrder opens epochs on one host and sends orders with the token of each,
+// also after other hosts have opened newer ones.
+func leadAndOrder(host int, group *fakeGroup, upstream *fencedUpstream, history *fencingHistory, random *rand.Rand) {
 	delay := func() time.Duration { return time.Duration(random.IntN(200)) * time.Millisecond }
 	for range 8 {
 		time.Sleep(delay())
@@ -105,49 +106,49 @@
 		history.record(host, fencingInput{open: true}, call, fencingOutput{token: token})
 		for range 3 {
 			call := time.Now()
-			taken := upstream.order(token, delay(), delay())
-			history.record(host, fencingInput{token: token}, call, fencingOutput{taken: taken})
+			accepted := upstream.order(token, delay(), delay())
+			history.record(host, fencingInput{token: token}, call, fencingOutput{accepted: accepted})
 		}
 	}
 }
 
-func runFencing(t *testing.T, seed uint64, ignores bool) porcupine.CheckResult {
+func runFencing(t *testing.T, seed uint64, ignoresTokens bool) porcupine.CheckResult {
 	history := &fencingHistory{}
 	synctest.Test(t, func(t *testing.T) {
-		history.begun = time.Now()
-		group, upstream := newFakeGroup(), &fencedUpstream{ignores: ignores}
+		history.start = time.Now()
+		group, upstream := newFakeGroup(), &fencedUpstream{ignoresTokens: ignoresTokens}
 		random := rand.New(rand.NewPCG(seed, 3))
 		group.loseAnswers = 2
 		var wg sync.WaitGroup
 		for host := range hostNames {
 			own := rand.New(rand.NewPCG(seed, random.Uint64()))
-			wg.Go(func() { lead(host, group, upstream, history, own) })
+			wg.Go(func() { leadAndOrder(host, group, upstream, history, own) })
 		}
 		wg.Wait()
 	})
 	return porcupine.CheckOperationsTimeout(fencingModel, history.ops, time.Minute)
 }
 
-// Three hosts lead in turns and go on giving orders under old epochs while
-// answers are lost and orders are late. The history must be that of a lock
-// whose holders are numbered, and of an upstream that never takes an order
-// below one it has been shown. An upstream that ignores tokens must fail it.
+// Three hosts lead alternately and continue to send orders of old epochs while
+// answers are lost and orders are delayed. Epoch tokens must increase, and the
+// upstream must never accept an order with a token below one it has seen. The
+// check must reject an upstream that ignores tokens.
 func TestFencingHistoryIsLinearizable(t *testing.T) {
-	for _, ignores := range []bool{false, true} {
-		t.Run(fmt.Sprint("upstream ignores tokens ", ignores), func(t *testing.T) {
+	for _, ignoresTokens := range []bool{false, true} {
+		t.Run(fmt.Sprint("upstream ignores tokens ", ignoresTokens), func(t *testing.T) {
 			illegal := 0
 			for seed := range uint64(*historySeeds) {
-				result := runFencing(t, seed, ignores)
+				result := runFencing(t, seed, ignoresTokens)
 				if result == porcupine.Illegal {
 					illegal++
 				}
-				if !ignores && result != porcupine.Ok {
+				if !ignoresTokens && result != porcupine.Ok {
 					t.Errorf("seed %d: history is %s", seed, result)
 				}
 			}
 			t.Logf("illegal histories in %d of %d runs", illegal, *historySeeds)
-			if ignores && illegal == 0 {
-				t.Error("no run noticed an upstream that ignores tokens")
+			if ignoresTokens && illegal == 0 {
+				t.Error("no run detected an upstream that ignores tokens")
 			}
 		})
 	}
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Whatever stands in the log or in a snapshot, a control host answers or
-// refuses it; it never panics, and a state that was restored can be saved.
+// For any content of the log or of a snapshot, a control host must answer or
+// refuse it without a panic, and a restored state must be encodable again.
 func FuzzMachine(f *testing.F) {
 	machine := NewMachine()
 	for i, cmd := range seedCommands() {
@@ -28,12 +28,12 @@
 		f.Add(data)
 		machine.Apply(uint64(i+1), data)
 	}
-	whole, err := machine.Snapshot()
+	full, err := machine.Snapshot()
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
+	f.Add(full)
+	f.Add(full[:len(full)-1])
 	f.Fuzz(func(t *testing.T, data []byte) {
 		machine := NewMachine()
 		if len(machine.Apply(1, data)) == 0 {
@@ -46,12 +46,12 @@
 		if restored.Restore(data) != nil {
 			return
 		}
-		again, err := restored.Snapshot()
+		reencoded, err := restored.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := NewMachine().Restore(again); err != nil {
-			t.Errorf("a saved state is refused: %v", err)
+		if err := NewMachine().Restore(reencoded); err != nil {
+			t.Errorf("an encoded state was refused: %v", err)
 		}
 	})
 }
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -19,25 +19,26 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// historySeeds is raised for a longer run: go test ./internal/control
+// historySeeds can be raised for a longer run: go test ./internal/control
 // -run History -control.seeds 100.
 var historySeeds = flag.Int("control.seeds", 6, "seeds of the history check")
 
-// historyInput is one operator's request: an apply, or a get with an empty id.
+// historyInput is a request of an operator: an apply, or a get if id is empty.
 type historyInput struct {
 	id   string
 	base config.Revision
 }
 
-// historyOutput is its answer; an uncertain one may have had its effect or not.
+// historyOutput is the answer to a request. An uncertain request may or may not
+// have taken effect.
 type historyOutput struct {
 	uncertain bool
 	verdict   config.Verdict
 	revision  config.Revision
 }
 
-// historyState is the sequential specification: the latest revision and the
-// first answer to each request id.
+// historyState is the state of the sequential specification: the latest revision
+// and the first answer to each request ID.
 type historyState struct {
 	revision config.Revision
 	answers  string
@@ -58,8 +59,8 @@
 	return s
 }
 
-// specify is compare-and-set on the revision with idempotent request ids.
-func specify(s historyState, in historyInput) (historyState, historyOutput) {
+// applySpec is compare-and-set on the revision with idempotent request IDs.
+func applySpec(s historyState, in historyInput) (historyState, historyOutput) {
 	if in.id == "" {
 		return s, historyOutput{revision: s.revision}
 	}
@@ -78,18 +79,18 @@
 var historyModel = porcupine.Model{
 	Init: func() any { return historyState{} },
 	Step: func(state, input, output any) (bool, any) {
-		next, want := specify(state.(historyState), input.(historyInput))
+		next, want := applySpec(state.(historyState), input.(historyInput))
 		got := output.(historyOutput)
 		return got.uncertain || got == want, next
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
-// recorder collects the history of several operators.
+// recorder records the history of several operators.
 type recorder struct {
 	mu    sync.Mutex
 	ops   []porcupine.Operation
-	begun time.Time
+	start time.Time
 }
 
 func (r *recorder) record(client int, in historyInput, call time.Time, out historyOutput) {
@@ -97,13 +98,13 @@
 	defer r.mu.Unlock()
 	returned := int64(math.MaxInt64)
 	if !out.uncertain {
-		returned = int64(time.Since(r.begun))
+		returned = int64(time.Since(r.start))
 	}
-	r.ops = append(r.ops, porcupine.Operation{ClientId: client, Input: in, Call: int64(call.Sub(r.begun)), Output: out, Return: returned})
+	r.ops = append(r.ops, porcupine.Operation{ClientId: client, Input: in, Call: int64(call.Sub(r.start)), Output: out, Return: returned})
 }
 
-// operator applies, resends and reads at random hosts until the time is up.
-func (d *deployment) operator(client int, random *rand.Rand, history *recorder, until time.Time) {
+// runOperator applies, resends and reads at random hosts until the given time.
+func (d *deployment) runOperator(client int, random *rand.Rand, history *recorder, until time.Time) {
 	known := config.Revision(0)
 	for n := 0; time.Now().Before(until); n++ {
 		time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
@@ -140,15 +141,15 @@
 		return 0
 	}
 	if err != nil {
-		// Any other error came before the proposal: nothing was done.
+		// Any other error occurs before the proposal, so nothing was changed.
 		return 0
 	}
 	history.record(client, in, call, historyOutput{verdict: answer.Result.Verdict, revision: answer.Result.Revision})
 	return answer.Result.Revision
 }
 
-// disturb loses answers and cuts off leaders now and then.
-func (d *deployment) disturb(random *rand.Rand, until time.Time) {
+// injectFaults loses answers and replaces or isolates leaders at random intervals.
+func (d *deployment) injectFaults(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(500+random.IntN(1500)) * time.Millisecond)
 		switch random.IntN(3) {
@@ -162,10 +163,10 @@
 			d.group.mu.Lock()
 			old := d.group.leader
 			d.group.mu.Unlock()
-			d.group.setCut(old, true)
+			d.group.setIsolated(old, true)
 			d.group.elect((old + 1) % len(d.servers))
 			time.Sleep(time.Second)
-			d.group.setCut(old, false)
+			d.group.setIsolated(old, false)
 		}
 	}
 }
@@ -176,18 +177,18 @@
 		d := deploy(t, 1)
 		defer d.close()
 		d.group.answersBeforeQuorum = answersBeforeQuorum
-		history := &recorder{begun: time.Now()}
+		history := &recorder{start: time.Now()}
 		until := time.Now().Add(15 * time.Second)
 		var wg sync.WaitGroup
 		for client := range 3 {
-			wg.Go(func() { d.operator(client, rand.New(rand.NewPCG(seed, uint64(client))), history, until) })
+			wg.Go(func() { d.runOperator(client, rand.New(rand.NewPCG(seed, uint64(client))), history, until) })
 		}
-		wg.Go(func() { d.disturb(rand.New(rand.NewPCG(seed, 99)), until) })
+		wg.Go(func() { d.injectFaults(rand.New(rand.NewPCG(seed, 99)), until) })
 		wg.Wait()
 		ops = history.ops
 	})
 	if len(ops) < 20 {
-		t.Errorf("seed %d: only %d operations; the run proves little", seed, len(ops))
+		t.Errorf("seed %d: only %d operations, too few for the run to be meaningful", seed, len(ops))
 	}
 	uncertain := 0
 	for _, op := range ops {
@@ -199,11 +200,11 @@
 	return porcupine.CheckOperationsTimeout(historyModel, ops, time.Minute)
 }
 
-// Three operators apply with the revision they last saw, resend their requests
-// to other hosts and read, while answers are lost and leaders are cut off and
-// replaced. The history must be one of a single register with compare-and-set
-// and idempotent requests. With a leader that answers before a quorum has the
-// change, the same check must fail.
+// Three operators apply changes based on the last revision they saw, resend their
+// requests to other hosts and read, while answers are lost and leaders are
+// isolated and replaced. The history must be linearizable for a register with
+// compare-and-set and idempotent requests. The check must reject a leader that
+// answers before a quorum has the change.
 func TestHistoryIsLinearizable(t *testing.T) {
 	cases := []struct {
 		name                string
@@ -226,7 +227,7 @@
 			}
 			t.Logf("illegal histories in %d of %d runs", found, *historySeeds)
 			if c.answersBeforeQuorum && found == 0 {
-				t.Error("no run noticed answers before quorum")
+				t.Error("no run detected answers before quorum")
 			}
 		})
 	}
--- a/internal/control/lives_test.go
+++ b/internal/control/incarnations_test.go
@@ -12,15 +12,15 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// startLife starts an entry whose process identity is given and returns what
-// kills it.
-func (d *deployment) startLife(host ident.Host, identity ident.Incarnation) (*client.Client, context.CancelFunc) {
+// startIncarnation starts an entry whose connections have the given incarnation.
+// It returns the entry and a function that kills it.
+func (d *deployment) startIncarnation(host ident.Host, identity ident.Incarnation) (*client.Client, context.CancelFunc) {
 	d.t.Helper()
 	entry, err := client.New(client.Options{
 		Peers:     &fakePeer{network: d.network, self: port.Peer{Host: host, DataCentre: "hall-north", Incarnation: identity, Role: "entry"}},
 		Self:      claimOf(host, identity),
 		Addresses: []string{"control-0", "control-1", "control-2"},
-		Log:       quiet,
+		Log:       discardLog,
 	})
 	if err != nil {
 		d.t.Fatal(err)
@@ -30,30 +30,31 @@
 	return entry, kill
 }
 
-// An entry's clock steps back while it starts again. The new process must get
-// its lease, be named to callers, and end the claims of the former one.
+// An entry's clock steps back while it restarts. The new process must get a
+// lease, be available to callers, and be reported as the replacement of the
+// previous incarnation.
 func TestEntryStartedAgainWithEarlierClockServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 1)
 		defer d.close()
-		former, kill := d.startLife("entry-7", 9_000_000)
+		previous, kill := d.startIncarnation("entry-7", 9_000_000)
 		time.Sleep(2 * time.Second)
 		kill()
-		again, _ := d.startLife("entry-7", 4_000_000)
+		restarted, _ := d.startIncarnation("entry-7", 4_000_000)
 		time.Sleep(time.Second)
-		if !again.Serving() {
-			t.Errorf("one second after its start the entry has no lease: %+v", again.Status())
+		if !restarted.Serving() {
+			t.Errorf("the entry has no lease one second after its start: %+v", restarted.Status())
 		}
 		time.Sleep(10 * time.Second)
-		if !again.Serving() {
-			t.Errorf("the entry lost its lease: %+v", again.Status())
+		if !restarted.Serving() {
+			t.Errorf("the entry lost its lease: %+v", restarted.Status())
 		}
-		if got, want := aliveAt(d.entries[0]), []ident.Host{"entry-0", "entry-7"}; !slices.Equal(got, want) {
+		if got, want := availableAt(d.entries[0]), []ident.Host{"entry-0", "entry-7"}; !slices.Equal(got, want) {
 			t.Errorf("entry-0 knows %v, want %v", got, want)
 		}
 		d.group.mu.Lock()
 		defer d.group.mu.Unlock()
-		if want := (replacedEntry{"entry-7", former.Incarnation()}); len(d.replaced) != 1 || d.replaced[0] != want {
+		if want := (replacedEntry{"entry-7", previous.Incarnation()}); len(d.replaced) != 1 || d.replaced[0] != want {
 			t.Errorf("replaced entries are %v, want %v once", d.replaced, want)
 		}
 	})
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -16,14 +16,14 @@
 type Machine struct {
 	config *config.State
 	epochs *lease.Epochs
-	// incarnation is the latest that was assigned to an entry of any host.
+	// incarnation is the highest one assigned to an entry on any host.
 	incarnation ident.Incarnation
-	// current is the latest applied revision, for readers outside of View.
+	// current is the latest applied revision, for use outside of Replica.View.
 	current atomic.Pointer[config.Snapshot]
 	changed *broadcast
 }
 
-// NewMachine returns the state before the first command.
+// NewMachine returns a machine in its initial state.
 func NewMachine() *Machine {
 	m := &Machine{config: config.NewState(), epochs: lease.RestoreEpochs(lease.Epoch{}), changed: newBroadcast()}
 	m.current.Store(m.config.Current())
@@ -34,28 +34,31 @@
 type command struct {
 	Config *config.Command `cbor:"1,keyasint,omitempty"`
 	Epoch  *openEpoch      `cbor:"2,keyasint,omitempty"`
-	// Assign asks for the incarnation of an entry that has just started.
+	// Assign assigns an incarnation to an entry that has just started.
 	Assign *assignIncarnation `cbor:"3,keyasint,omitempty"`
 }
 
-// openEpoch starts the epoch of a new leader.
+// openEpoch is the command that opens the epoch of a new leader. At is the
+// leader's time in Unix microseconds.
 type openEpoch struct {
 	Leader ident.Host `cbor:"1,keyasint"`
 	At     int64      `cbor:"2,keyasint"`
 }
 
-// assignIncarnation carries the proposer's time in Unix microseconds.
+// assignIncarnation is the command that assigns an incarnation. At is the
+// proposer's time in Unix microseconds.
 type assignIncarnation struct {
 	At int64 `cbor:"1,keyasint"`
 }
 
-// result answers a command.
+// result is the result of a command.
 type result struct {
 	Config *config.Result `cbor:"1,keyasint,omitempty"`
 	Epoch  *lease.Epoch   `cbor:"2,keyasint,omitempty"`
-	// Refused tells that the command made no sense to this machine.
+	// Refused is the reason why the machine could not interpret the command,
+	// empty if it could.
 	Refused string `cbor:"3,keyasint,omitempty"`
-	// Assigned is the incarnation given.
+	// Assigned is the incarnation assigned, zero for other commands.
 	Assigned ident.Incarnation `cbor:"4,keyasint,omitempty"`
 }
 
@@ -65,10 +68,10 @@
 	if err := wire.Unmarshal(data, &cmd); err != nil {
 		return wire.MustMarshal(result{Refused: "undecodable command: " + err.Error()})
 	}
-	return wire.MustMarshal(m.decide(cmd))
+	return wire.MustMarshal(m.execute(cmd))
 }
 
-func (m *Machine) decide(cmd command) result {
+func (m *Machine) execute(cmd command) result {
 	switch {
 	case cmd.Config != nil:
 		answer := m.config.Apply(*cmd.Config)
@@ -84,8 +87,9 @@
 	}
 }
 
-// assign returns a higher incarnation than any before. Entries once took their
-// own clock in microseconds; starting from the time keeps above those.
+// assign returns an incarnation that is higher than all previous ones. It is at
+// least the proposer's time, so that it also exceeds the incarnations of entries
+// of earlier versions, which use their own clock in microseconds.
 func (m *Machine) assign(at int64) ident.Incarnation {
 	m.incarnation = max(m.incarnation+1, ident.Incarnation(max(at, 0)))
 	return m.incarnation
@@ -99,8 +103,8 @@
 	m.changed.signal()
 }
 
-// image is the machine's snapshot.
-type image struct {
+// machineSnapshot is the encoding of a Machine's state.
+type machineSnapshot struct {
 	Config      config.Image      `cbor:"1,keyasint"`
 	Epoch       lease.Epoch       `cbor:"2,keyasint"`
 	Incarnation ident.Incarnation `cbor:"3,keyasint,omitempty"`
@@ -108,23 +112,23 @@
 
 // Snapshot implements port.StateMachine.
 func (m *Machine) Snapshot() ([]byte, error) {
-	data, err := wire.Marshal(image{Config: m.config.Image(), Epoch: m.epochs.Current(), Incarnation: m.incarnation})
+	data, err := wire.Marshal(machineSnapshot{Config: m.config.Image(), Epoch: m.epochs.Current(), Incarnation: m.incarnation})
 	return data, eris.Wrap(err, "control: encode snapshot")
 }
 
 // Restore implements port.StateMachine.
 func (m *Machine) Restore(data []byte) error {
-	var img image
-	if err := wire.Unmarshal(data, &img); err != nil {
+	var decoded machineSnapshot
+	if err := wire.Unmarshal(data, &decoded); err != nil {
 		return eris.Wrap(err, "control: decode snapshot")
 	}
-	state, err := config.FromImage(img.Config)
+	state, err := config.FromImage(decoded.Config)
 	if err != nil {
 		return eris.Wrap(err, "control: restore snapshot")
 	}
 	m.config = state
-	m.epochs = lease.RestoreEpochs(img.Epoch)
-	m.incarnation = img.Incarnation
+	m.epochs = lease.RestoreEpochs(decoded.Epoch)
+	m.incarnation = decoded.Incarnation
 	m.publish()
 	return nil
 }
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -7,9 +7,9 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// A leader's clock steps back, and a replica goes on from a snapshot. No
-// incarnation may be assigned below or beside an earlier one.
-func TestIncarnationsGrowWhateverTheClock(t *testing.T) {
+// A leader's clock steps back, and a replica continues from a snapshot. Each
+// assigned incarnation must be higher than all previous ones.
+func TestIncarnationsIncreaseDespiteClockSteps(t *testing.T) {
 	machine := NewMachine()
 	var last ident.Incarnation
 	for i, at := range []int64{5_000_000, 9_000_000, 4_000_000, 4_000_001, -3, 9_000_001, 0} {
@@ -29,7 +29,7 @@
 			t.Fatal(err)
 		}
 		if answer.Assigned <= last || answer.Assigned < ident.Incarnation(max(at, 0)) {
-			t.Errorf("at %d incarnation %d is assigned after %d", at, answer.Assigned, last)
+			t.Errorf("at %d incarnation %d was assigned after %d", at, answer.Assigned, last)
 		}
 		last = answer.Assigned
 	}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -10,7 +10,7 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// configSource is the replicated configuration as a relay.Parent sees it.
+// configSource provides the replicated configuration to a relay.Parent.
 type configSource struct {
 	server *Server
 }
@@ -21,8 +21,8 @@
 // Since implements relay.Configs.
 func (c configSource) Since(held config.Revision) config.Update { return c.server.updateSince(held) }
 
-// renew takes an entry's heartbeat and grants its lease. The host is the
-// connection's, so that no process can speak for another.
+// renew handles an entry's heartbeat and grants its lease. The host and data
+// centre are those of the connection, so that a process can't act for another.
 func (l *leadership) renew(now time.Time, from port.Peer, request protocol.RenewRequest) relay.Renewed {
 	renewal := relay.Renewal{
 		Number:  request.Number,
@@ -46,7 +46,8 @@
 	return renewed
 }
 
-// tick marks silent entries down and forgets those that are down for long.
+// tick marks entries without recent heartbeats as down and removes those whose
+// retention has expired.
 func (l *leadership) tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/lovagereach/lovagereach/config"
 )
 
-// stats are the counters of a Server.
+// stats contains the metrics of a Server.
 type stats struct {
 	set       *metrics.Set
 	renewals  *metrics.Counter
@@ -18,8 +18,8 @@
 	deltas    *metrics.Counter
 	fulls     *metrics.Counter
 	idle      *metrics.Counter
-	terms     *metrics.Counter
-	// inForce is the time from an apply until its revision is in force.
+	epochs    *metrics.Counter
+	// inForce measures the seconds from an apply until its revision is in force.
 	inForce *metrics.Histogram
 }
 
@@ -27,9 +27,9 @@
 	set := metrics.NewSet()
 	counter := func(name string) *metrics.Counter { return set.NewCounter("lovagereach_" + name + "_total") }
 	set.NewGauge("lovagereach_config_revision", func() float64 { return float64(s.opts.Machine.Current().Revision()) })
-	set.NewGauge("lovagereach_config_in_force_revision", func() float64 { return float64(s.inForceNow()) })
+	set.NewGauge("lovagereach_config_in_force_revision", func() float64 { return float64(s.inForceRevision()) })
 	set.NewGauge("lovagereach_control_leading", func() float64 { return boolGauge(s.leadership.Load() != nil) })
-	set.NewGauge("lovagereach_lease_holders", func() float64 { return float64(s.holdersNow()) })
+	set.NewGauge("lovagereach_lease_holders", func() float64 { return float64(s.holderCount()) })
 	return &stats{
 		set:       set,
 		renewals:  counter("lease_renewals"),
@@ -38,7 +38,7 @@
 		deltas:    counter("config_delta_answers"),
 		fulls:     counter("config_full_answers"),
 		idle:      counter("config_idle_answers"),
-		terms:     counter("control_epochs"),
+		epochs:    counter("control_epochs"),
 		inForce:   set.NewHistogram("lovagereach_config_in_force_seconds"),
 	}
 }
@@ -53,20 +53,24 @@
 // Metrics returns the set of the server's metrics.
 func (s *Server) Metrics() *metrics.Set { return s.stats.set }
 
-// countVerdict counts the answer to an apply. Verdicts are few and fixed.
+// countVerdict counts the answer to an apply. There is a small fixed set of
+// verdicts, so the metric's cardinality is bounded.
 func (s *stats) countVerdict(verdict config.Verdict) {
 	s.set.GetOrCreateCounter(fmt.Sprintf("lovagereach_config_applies_total{verdict=%q}", verdict)).Inc()
 }
 
-// inForceNow is zero on a host that does not lead.
-func (s *Server) inForceNow() config.Revision {
+// inForceRevision returns the revision in force, zero on a host that does not
+// lead.
+func (s *Server) inForceRevision() config.Revision {
 	var revision config.Revision
-	_ = s.leading(func(l *leadership, now time.Time) { revision = l.parent.InForce(now) })
+	_ = s.withLeadership(func(l *leadership, now time.Time) { revision = l.parent.InForce(now) })
 	return revision
 }
 
-func (s *Server) holdersNow() int {
+// holderCount returns the number of lease holders, zero on a host that does not
+// lead.
+func (s *Server) holderCount() int {
 	holders := 0
-	_ = s.leading(func(l *leadership, now time.Time) { holders = len(l.parent.Holders(now)) })
+	_ = s.withLeadership(func(l *leadership, now time.Time) { holders = len(l.parent.Holders(now)) })
 	return holders
 }
--- a/internal/control/order_inputs.go
+++ b/internal/control/order_inputs.go
@@ -11,10 +11,11 @@
 	"github.com/lovagereach/lovagereach/order"
 )
 
-// readStates reads engines back. A state counts from before it was asked for.
+// readStates queries the states of engines. The ReadAt time of a state is the
+// start of its query.
 func (o *Orderer) readStates(ctx context.Context, e *orderEpoch, upstreams map[ident.Upstream]protocol.Upstream, ids []ident.Upstream) {
 	results := make([]*readState, len(ids))
-	o.each(len(ids), func(i int) { results[i] = o.readState(ctx, upstreams[ids[i]]) })
+	o.forEach(len(ids), func(i int) { results[i] = o.readState(ctx, upstreams[ids[i]]) })
 	for i, id := range ids {
 		if results[i] != nil {
 			e.states[id] = *results[i]
@@ -29,7 +30,7 @@
 	if err != nil {
 		return nil
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	state, err := engine.State(ctx)
 	if err != nil || state.Upstream != upstream.ID || state.Incarnation != upstream.Incarnation {
 		return nil
@@ -37,7 +38,7 @@
 	return &readState{
 		incarnation: state.Incarnation,
 		state: order.State{
-			ReadAt:  asked,
+			ReadAt:  requestedAt,
 			Loaded:  versionsOf(state.Loaded),
 			Loading: versionsOf(state.Loading),
 			Role:    state.Role,
@@ -45,7 +46,9 @@
 	}
 }
 
-func (e *orderEpoch) forget(upstreams map[ident.Upstream]protocol.Upstream) {
+// removeStale deletes the states of engines that are no longer reported or have
+// a new incarnation.
+func (e *orderEpoch) removeStale(upstreams map[ident.Upstream]protocol.Upstream) {
 	for id, known := range e.states {
 		if upstream, found := upstreams[id]; !found || upstream.Incarnation != known.incarnation {
 			delete(e.states, id)
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -16,7 +16,7 @@
 	"github.com/lovagereach/lovagereach/order"
 )
 
-// Defaults of OrderOptions.
+// Default values of OrderOptions, and stateTimeout, the limit of one state query.
 const (
 	DefaultPlanInterval     = 500 * time.Millisecond
 	DefaultOrderConcurrency = 16
@@ -26,21 +26,21 @@
 // OrderOptions configure an Orderer. Zero values mean the defaults.
 type OrderOptions struct {
 	Server *Server
-	// Dial returns the engine at an address. It does not connect yet.
+	// Dial returns a client of the engine at an address without connecting.
 	Dial func(address string) (port.Engine, error)
 	Log  *log.Logger
-	// PlanInterval is how often a plan is made.
+	// PlanInterval is the interval between plans.
 	PlanInterval time.Duration
-	// Concurrency bounds the engines that are read or ordered at once.
+	// Concurrency limits the concurrent state queries or orders.
 	Concurrency int
 	Planner     order.Options
-	// Clock tells the time since the proof of leadership, nil means time.Now. It must be
-	// steady and go on while the machine is suspended.
+	// Clock measures the age of the proof of leadership. Nil means time.Now. It must
+	// be monotonic and include the time that the machine is suspended.
 	Clock func() time.Time
 }
 
-// Orderer gives engines the orders that order.Planner decides while its
-// server leads.
+// Orderer sends the orders of an order.Planner to engines while its server
+// leads.
 type Orderer struct {
 	opts OrderOptions
 
@@ -48,16 +48,16 @@
 	status OrderStatus
 }
 
-// OrderStatus describes an Orderer for status and dumps.
+// OrderStatus contains the counters of an Orderer for status and dumps.
 type OrderStatus struct {
 	Sent       uint64 `json:"sent" cbor:"1,keyasint"`
 	Failed     uint64 `json:"failed" cbor:"2,keyasint"`
 	Superseded uint64 `json:"superseded" cbor:"3,keyasint"`
-	// Held counts the orders held back by the last plan.
+	// Held is the number of orders withheld by the last plan, by reason.
 	Held map[order.HoldReason]int `json:"held,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// NewOrderer returns an orderer; Run starts it.
+// NewOrderer returns an orderer. Run must be called to send orders.
 func NewOrderer(opts OrderOptions) *Orderer {
 	opts.PlanInterval = cmp.Or(opts.PlanInterval, DefaultPlanInterval)
 	if opts.Clock == nil {
@@ -67,14 +67,14 @@
 	return &Orderer{opts: opts}
 }
 
-// Status returns the orderer's counts.
+// Status returns the orderer's counters.
 func (o *Orderer) Status() OrderStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.status
 }
 
-// Run gives orders while the server leads, until ctx ends.
+// Run sends orders while the server leads. It returns when ctx is done.
 func (o *Orderer) Run(ctx context.Context) error {
 	ticker := time.NewTicker(o.opts.PlanInterval)
 	defer ticker.Stop()
@@ -91,26 +91,27 @@
 			continue
 		}
 		if current == nil || current.leadership != l {
-			current = o.begin(l)
+			current = o.newEpoch(l)
 		}
-		o.round(ctx, current)
+		o.planAndSend(ctx, current)
 	}
 }
 
-// orderEpoch is what one epoch's orders are decided on.
+// orderEpoch is the state that the orders of one epoch are planned with.
 type orderEpoch struct {
 	leadership *leadership
 	planner    *order.Planner
 	states     map[ident.Upstream]readState
 }
 
+// readState is the last state read from an engine, with its incarnation.
 type readState struct {
 	incarnation ident.Incarnation
 	state       order.State
 }
 
-func (o *Orderer) begin(l *leadership) *orderEpoch {
-	gate := order.NewGate(l.began, l.epoch.Token == 1)
+func (o *Orderer) newEpoch(l *leadership) *orderEpoch {
+	gate := order.NewGate(l.startedAt, l.epoch.Token == 1)
 	return &orderEpoch{
 		leadership: l,
 		planner:    order.NewPlanner(o.opts.Planner, l.epoch.Token, gate),
@@ -118,18 +119,19 @@
 	}
 }
 
-// round plans once, reads the states the plan asks for and sends its orders.
-func (o *Orderer) round(ctx context.Context, e *orderEpoch) {
+// planAndSend makes one plan, sends its orders, and then reads the states that
+// the plan requests and those of the ordered engines.
+func (o *Orderer) planAndSend(ctx context.Context, e *orderEpoch) {
 	upstreams := o.opts.Server.reports.upstreams(time.Now())
-	e.forget(upstreams)
+	e.removeStale(upstreams)
 	wanted := wantedOf(o.opts.Server.opts.Machine.Current())
 	plan := e.planner.Plan(time.Now(), wanted, e.engines(upstreams))
 	o.mu.Lock()
 	o.status.Held = plan.Held
 	o.mu.Unlock()
 	if len(plan.Orders) > 0 {
-		if until, ok := o.maySend(ctx, e); ok {
-			o.each(len(plan.Orders), func(i int) { o.send(ctx, plan.Orders[i], until) })
+		if until, ok := o.confirmLeadership(ctx, e); ok {
+			o.forEach(len(plan.Orders), func(i int) { o.send(ctx, plan.Orders[i], until) })
 		}
 	}
 	read := plan.Read
@@ -139,18 +141,20 @@
 	o.readStates(ctx, e, upstreams, read)
 }
 
-// maySend proves that this host still leads, and returns until when orders may be
-// sent by the proof.
-func (o *Orderer) maySend(ctx context.Context, e *orderEpoch) (until time.Time, ok bool) {
-	began := o.opts.Clock()
-	if o.opts.Server.barrier(ctx) != nil || o.opts.Clock().Sub(began) > order.LeaderLease/2 {
+// confirmLeadership confirms that this host still leads and returns the time
+// until which orders may be sent under this proof. It returns false if the host
+// doesn't lead or the proof took longer than half of order.LeaderLease.
+func (o *Orderer) confirmLeadership(ctx context.Context, e *orderEpoch) (until time.Time, ok bool) {
+	start := o.opts.Clock()
+	if o.opts.Server.barrier(ctx) != nil || o.opts.Clock().Sub(start) > order.LeaderLease/2 {
 		return time.Time{}, false
 	}
-	ok = o.opts.Server.leading(func(*leadership, time.Time) {}) == nil && e.leadership.done.Err() == nil
-	return began.Add(order.LeaderLease), ok
+	ok = o.opts.Server.withLeadership(func(*leadership, time.Time) {}) == nil && e.leadership.leadCtx.Err() == nil
+	return start.Add(order.LeaderLease), ok
 }
 
-func (o *Orderer) each(n int, f func(int)) {
+// forEach calls f with 0 to n-1, with at most Concurrency calls at a time.
+func (o *Orderer) forEach(n int, f func(int)) {
 	var group errgroup.Group
 	group.SetLimit(o.opts.Concurrency)
 	for i := range n {
@@ -159,18 +163,19 @@
 			return nil
 		})
 	}
-	// The functions report their own failures and return none.
+	// The functions handle their own failures and return no errors.
 	_ = group.Wait()
 }
 
-// errLate reports an order that was not sent, for the proof of leadership is too old.
-var errLate = errors.New("the proof of leadership is too old")
+// errProofExpired is returned for an order that was not sent because the proof of
+// leadership had expired.
+var errProofExpired = errors.New("proof of leadership has expired")
 
 func (o *Orderer) send(ctx context.Context, next order.Order, until time.Time) {
 	result, err := o.deliver(ctx, next, until)
 	fields := []any{"upstream", next.Upstream, "kind", next.Kind, "model", next.Model, "version", next.Version,
 		"adapter", next.Adapter, "role", next.Role, "fence", next.Fence}
-	if errors.Is(err, errLate) {
+	if errors.Is(err, errProofExpired) {
 		o.opts.Log.Warn("order held back", append(fields, "cause", err)...)
 		return
 	}
@@ -179,7 +184,7 @@
 	o.status.Sent++
 	switch {
 	case err != nil:
-		// The state read next tells whether the order arrived.
+		// The next state read shows whether the order arrived.
 		o.status.Failed++
 		o.opts.Log.Warn("order without an answer", append(fields, "err", err)...)
 	case !result.Accepted:
@@ -197,9 +202,10 @@
 	if err != nil {
 		return port.OrderResult{}, eris.Wrapf(err, "dial engine %s", next.Upstream)
 	}
-	// Orders wait for one another, and the machine may have been suspended.
+	// The proof may have expired while the order waited for others or the machine
+	// was suspended.
 	if !o.opts.Clock().Before(until) {
-		return port.OrderResult{}, errLate
+		return port.OrderResult{}, errProofExpired
 	}
 	return engine.Order(ctx, port.Order{
 		ID:      next.ID(),
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -17,7 +17,8 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// fakeEngine takes orders; the rest of port.Engine is never called.
+// fakeEngine implements Order and State; the other methods of port.Engine are
+// never called.
 type fakeEngine struct {
 	port.Engine
 	id ident.Upstream
@@ -26,7 +27,7 @@
 	loaded  []port.LoadedVersion
 	loading []port.LoadedVersion
 	fences  []uint64
-	// loseNext makes the engine carry out the next order without an answer.
+	// loseNext makes the engine execute the next order without an answer.
 	loseNext bool
 }
 
@@ -124,15 +125,16 @@
 	report := f.report
 	d.upstreams.Store(&report)
 	for _, server := range d.servers {
-		orderer := control.NewOrderer(control.OrderOptions{Server: server, Dial: f.dial, Log: quiet})
+		orderer := control.NewOrderer(control.OrderOptions{Server: server, Dial: f.dial, Log: discardLog})
 		d.run(orderer.Run)
 	}
 }
 
-// An operator wants a new version. Engines that ignore fencing tokens move to
-// it a few at a time. One order's answer is lost: the state read back shows the
-// load, and it is not ordered twice. Midway the leader is replaced; the new one
-// waits until no order of the old one can arrive, and then finishes.
+// A configuration names a new version. Engines that ignore fencing tokens must
+// load it a few at a time. The answer to one order is lost; the state read
+// afterwards shows the load, so it must not be ordered twice. The leader is
+// replaced during the rollout. The new one must wait until no order of the old one
+// can arrive, and then complete the rollout.
 func TestRolloutAcrossALeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 2)
@@ -142,7 +144,7 @@
 		d.runOrders(engines)
 		doc := document(1, 0)
 		d.mustApply(0, "r1", 0, doc)
-		d.settle()
+		d.awaitLeases()
 		doc.Models = []config.Model{{Name: "appraiser", Versions: []config.TargetVersion{{Version: "v2"}}}}
 		doc.Normalize()
 		d.mustApply(0, "r2", 1, doc)
@@ -153,13 +155,13 @@
 		for !engines.allRun("v2") && time.Now().Before(deadline) {
 			time.Sleep(100 * time.Millisecond)
 			if loading := engines.loading(); loading > config.DefaultMaxLoading {
-				t.Fatalf("%d engines load at once", loading)
+				t.Fatalf("%d engines load concurrently", loading)
 			}
 		}
 		if !engines.allRun("v2") {
-			t.Fatalf("rollout not done after %s", time.Since(elected))
+			t.Fatalf("rollout not complete after %s", time.Since(elected))
 		}
-		t.Logf("done %s after the leader change", time.Since(elected))
+		t.Logf("rollout complete %s after the leader change", time.Since(elected))
 		for _, engine := range engines {
 			if !slices.IsSorted(engine.fences) {
 				t.Errorf("%s got fencing tokens %v", engine.id, engine.fences)
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -20,8 +20,8 @@
 	}
 	data, err := s.opts.Replica.Propose(ctx, encoded)
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
-		// The command may be in the log already; whoever takes this for a
-		// refusal would apply it a second time under another id.
+		// The command may already be in the log. If the caller took this for a
+		// refusal, it would apply the change again under another ID.
 		return result{}, errors.Join(port.ErrUncertain, err)
 	}
 	if err != nil {
@@ -34,7 +34,7 @@
 	return answer, nil
 }
 
-// handler adapts a typed function to port.PeerHandler.
+// handler adapts a typed function to a port.PeerHandler.
 func handler[Request, Answer any](f func(context.Context, port.Peer, Request) (Answer, error)) port.PeerHandler {
 	return port.PeerHandlerFunc(func(ctx context.Context, from port.Peer, method port.Method, body []byte) ([]byte, error) {
 		var request Request
--- a/internal/control/protocol/protocol_test.go
+++ b/internal/control/protocol/protocol_test.go
@@ -9,8 +9,8 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// What an entry and its leader say to each other while nothing changes must
-// stay tens of bytes: at 670 entries it is nearly all that they say.
+// The messages between an entry and its leader while nothing changes must be
+// small, at most 48 bytes: with 670 entries they are nearly all of the traffic.
 func TestHeartbeatsAreSmall(t *testing.T) {
 	const maxBytes = 48
 	const late = 1 << 40
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -11,8 +11,8 @@
 	"github.com/lovagereach/lovagereach/lease"
 )
 
-// Get returns the latest committed configuration. It reflects every change
-// that was answered before the call.
+// Get returns the latest committed configuration. It includes every change that
+// was acknowledged before the call.
 func (s *Server) Get(ctx context.Context) (*config.Snapshot, error) {
 	if err := s.barrier(ctx); err != nil {
 		return nil, err
@@ -20,8 +20,8 @@
 	return s.opts.Machine.Current(), nil
 }
 
-// History lists up to limit revisions before the given one, newest first. A
-// zero before starts at the latest.
+// History returns up to limit revisions before the given one, newest first. If
+// before is zero, it starts with the latest revision.
 func (s *Server) History(ctx context.Context, before config.Revision, limit int) ([]config.RevisionMeta, error) {
 	if err := s.barrier(ctx); err != nil {
 		return nil, err
@@ -46,31 +46,31 @@
 	return delta, err
 }
 
-// Status describes this host's part of the control group.
+// Status is the state of this host in the control group.
 type Status struct {
 	Group GroupStatus `json:"group" cbor:"1,keyasint"`
-	// Revision is the latest that this host has applied.
+	// Revision is the latest revision applied on this host.
 	Revision config.Revision `json:"revision" cbor:"2,keyasint"`
-	// Epoch is that of the latest leader known here.
+	// Epoch is the latest epoch applied on this host.
 	Epoch lease.Epoch `json:"epoch" cbor:"3,keyasint"`
-	// Leading is nil on a host that does not lead.
+	// Leading is the state of the leader, nil on a host that does not lead.
 	Leading *LeaderStatus `json:"leading,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// GroupStatus is port.ReplicaStatus as operators see it.
+// GroupStatus is the representation of port.ReplicaStatus for operators.
 type GroupStatus struct {
 	Self     ident.Host `json:"self" cbor:"1,keyasint"`
 	Leader   ident.Host `json:"leader" cbor:"2,keyasint"`
 	IsLeader bool       `json:"is_leader" cbor:"3,keyasint"`
 	Term     uint64     `json:"term" cbor:"4,keyasint"`
-	// Commit, Applied and Last are indexes of the log: the highest committed,
-	// the highest applied here and the last one held here.
+	// Commit, Applied and Last are log indexes: the highest committed entry, the
+	// highest applied on this host and the last in this host's log.
 	Commit   uint64       `json:"commit" cbor:"5,keyasint"`
 	Applied  uint64       `json:"applied" cbor:"6,keyasint"`
 	Last     uint64       `json:"last" cbor:"7,keyasint"`
 	Voters   []ident.Host `json:"voters" cbor:"8,keyasint"`
 	Learners []ident.Host `json:"learners,omitempty" cbor:"9,keyasint,omitempty"`
-	// Suspended is why the replica stopped, empty while it runs.
+	// Suspended is the reason why the replica is suspended, empty if it runs.
 	Suspended string       `json:"suspended,omitempty" cbor:"10,keyasint,omitempty"`
 	Group     port.GroupID `json:"group" cbor:"11,keyasint"`
 }
@@ -92,17 +92,17 @@
 	}
 }
 
-// LeaderStatus is what only the leader knows.
+// LeaderStatus is the state that only the leader has.
 type LeaderStatus struct {
-	// Since is when this host opened its epoch.
+	// Since is the time at which this host opened its epoch.
 	Since   time.Time       `json:"since" cbor:"1,keyasint"`
 	InForce config.Revision `json:"in_force" cbor:"2,keyasint"`
-	// EarlierLeasesEnd is when the leases of earlier leaders have ended; until then
-	// no revision is reported in force.
+	// EarlierLeasesEnd is the time by which the leases of earlier leaders have
+	// expired. No revision is reported in force before.
 	EarlierLeasesEnd time.Time `json:"quiet_until" cbor:"3,keyasint"`
 	// Entries are the holders of serving leases.
 	Entries []lease.HolderStatus `json:"entries" cbor:"4,keyasint"`
-	// Upstreams are the engines that entries have reported lately.
+	// Upstreams are the engines in the current reports of entries.
 	Upstreams []protocol.Upstream `json:"upstreams,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
@@ -115,10 +115,10 @@
 	s.opts.Replica.View(func(port.StateMachine) {
 		status.Epoch = s.opts.Machine.epochs.Current()
 	})
-	// A host that does not lead simply has nothing to add.
-	_ = s.leading(func(l *leadership, now time.Time) {
+	// On a host that does not lead, Leading remains nil.
+	_ = s.withLeadership(func(l *leadership, now time.Time) {
 		status.Leading = &LeaderStatus{
-			Since:            l.began,
+			Since:            l.startedAt,
 			InForce:          l.parent.InForce(now),
 			EarlierLeasesEnd: l.parent.EarlierLeasesEnd(),
 			Entries:          l.parent.Holders(now),
@@ -130,8 +130,8 @@
 	return status
 }
 
-// Ready reports why this host can't serve operators and entries; nil when it
-// can, by itself or by pointing at the leader.
+// Ready returns the reason why this host can't serve operators and entries. It
+// returns nil if the host leads or can redirect to the leader.
 func (s *Server) Ready() error {
 	status := s.opts.Replica.Status()
 	switch {
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -14,22 +14,22 @@
 	"github.com/lovagereach/lovagereach/lease"
 )
 
-// Bounds of the reports kept.
+// Limits of the stored reports.
 const (
-	// reportLifetime is how long an entry's report counts without a new one.
+	// reportLifetime is the time after which an entry's report expires.
 	reportLifetime = 10 * time.Second
 	maxReporters   = lease.MaxHolders
 )
 
-// reportTable keeps the latest report of each entry.
+// reportTable stores the latest report of each entry.
 type reportTable struct {
 	mu      sync.Mutex
 	reports map[ident.Host]receivedReport
 }
 
 type receivedReport struct {
-	at        time.Time
-	upstreams []protocol.Upstream
+	receivedAt time.Time
+	upstreams  []protocol.Upstream
 }
 
 func newReportTable() *reportTable {
@@ -42,28 +42,28 @@
 	if _, known := t.reports[from]; !known && len(t.reports) >= maxReporters {
 		return
 	}
-	t.reports[from] = receivedReport{at: now, upstreams: upstreams}
+	t.reports[from] = receivedReport{receivedAt: now, upstreams: upstreams}
 }
 
-// upstreams joins the reports. Of an upstream that several entries follow the
-// latest incarnation counts, and of equal ones the latest report.
+// upstreams merges the current reports. If several entries report an upstream,
+// the highest incarnation is used, and for equal incarnations the latest report.
 func (t *reportTable) upstreams(now time.Time) map[ident.Upstream]protocol.Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	joined := make(map[ident.Upstream]protocol.Upstream)
 	seen := make(map[ident.Upstream]time.Time)
 	for host, report := range t.reports {
-		if now.Sub(report.at) > reportLifetime {
+		if now.Sub(report.receivedAt) > reportLifetime {
 			delete(t.reports, host)
 			continue
 		}
 		for _, upstream := range report.upstreams {
 			known, found := joined[upstream.ID]
-			if found && !supersedes(upstream, report.at, known, seen[upstream.ID]) {
+			if found && !supersedes(upstream, report.receivedAt, known, seen[upstream.ID]) {
 				continue
 			}
 			joined[upstream.ID] = upstream
-			seen[upstream.ID] = report.at
+			seen[upstream.ID] = report.receivedAt
 		}
 	}
 	return joined
@@ -76,7 +76,7 @@
 	return at.After(knownAt)
 }
 
-// report takes an entry's summary of the engines it follows.
+// report stores an entry's report of the engines it follows.
 func (s *Server) report(_ context.Context, from port.Peer, request protocol.Report) (protocol.ReportAnswer, error) {
 	if s.leadership.Load() == nil {
 		return protocol.ReportAnswer{Redirect: s.redirect()}, nil
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -18,7 +18,7 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultPollEvery      = 20 * time.Millisecond
 	DefaultProposeTimeout = 5 * time.Second
@@ -33,16 +33,17 @@
 	// Addresses are the peer addresses of the control hosts, for redirects.
 	Addresses map[ident.Host]string
 	Lease     lease.Options
-	// LedgerGroups is how many ledger groups the control hosts keep; a
-	// configuration that asks for more is refused. Zero means no bound.
+	// LedgerGroups is the number of ledger groups on the control hosts. A
+	// configuration with more shards is refused. Zero means no limit.
 	LedgerGroups int
-	// OnEntryReplaced is told an entry's former incarnation once a later one has
-	// asked for a lease; it may be nil and must not block.
-	OnEntryReplaced func(host ident.Host, former ident.Incarnation)
-	// MaxCommandBytes bounds one change. Zero means no bound.
+	// OnEntryReplaced is called with an entry's previous incarnation when a newer
+	// one requests a lease. It may be nil and must not block.
+	OnEntryReplaced func(host ident.Host, previous ident.Incarnation)
+	// MaxCommandBytes limits the encoded size of one command. Zero means no
+	// limit.
 	MaxCommandBytes int
 	Log             *log.Logger
-	// PollEvery is how often the replica is asked whether this host leads.
+	// PollEvery is the interval at which the replica's leadership is polled.
 	PollEvery      time.Duration
 	ProposeTimeout time.Duration
 	BarrierTimeout time.Duration
@@ -55,7 +56,8 @@
 	return o
 }
 
-// Server is one control host's part. Its methods are safe for concurrent use.
+// Server answers entries and operators on a control host. Its methods are safe
+// for concurrent use.
 type Server struct {
 	opts       Options
 	leadership atomic.Pointer[leadership]
@@ -64,33 +66,33 @@
 	stats      *stats
 }
 
-// leadership is the time in which this host leads under one term.
+// leadership is the state of this host while it leads in one term.
 type leadership struct {
-	term  uint64
-	epoch lease.Epoch
-	began time.Time
-	// done is closed when the leadership has ended.
-	done context.Context
-	end  context.CancelFunc
+	term      uint64
+	epoch     lease.Epoch
+	startedAt time.Time
+	// leadCtx is done when the leadership has ended.
+	leadCtx context.Context
+	cancel  context.CancelFunc
 
 	mu        sync.Mutex
 	parent    *relay.Parent
 	directory *member.Directory
 	self      ident.Host
-	// incarnations are the latest known incarnations of the entries.
+	// incarnations contains the highest known incarnation of each entry.
 	incarnations map[ident.Host]ident.Incarnation
-	// progress is signalled when a revision may have come into force.
+	// progress is signaled when a revision may have come into force.
 	progress *broadcast
 }
 
-// NewServer returns a server; Register and Run start it.
+// NewServer returns a server. Register installs its handlers and Run starts it.
 func NewServer(opts Options) *Server {
 	s := &Server{opts: opts.withDefaults(), reports: newReportTable()}
 	s.stats = newStats(s)
 	return s
 }
 
-// Register installs the handlers for entries.
+// Register installs the handlers of the messages of entries.
 func (s *Server) Register(registry port.PeerRegistry) {
 	registry.Handle(protocol.MethodWatch, handler(s.watch))
 	registry.Handle(protocol.MethodPart, handler(s.part))
@@ -100,7 +102,7 @@
 	registry.Handle(protocol.MethodAssign, handler(s.assign))
 }
 
-// Run follows the leadership of this host until ctx ends.
+// Run tracks whether this host leads. It returns when ctx is done.
 func (s *Server) Run(ctx context.Context) error {
 	ticker := time.NewTicker(s.opts.PollEvery)
 	defer ticker.Stop()
@@ -133,13 +135,13 @@
 
 func (s *Server) endLeadership() {
 	if old := s.leadership.Swap(nil); old != nil {
-		old.end()
+		old.cancel()
 		s.opts.Log.Info("leadership ended", "term", old.term, "epoch", old.epoch.Token)
 	}
 }
 
-// beginLeadership commits an epoch. Once its command is applied here, this host
-// knows every revision that an earlier leader can have committed.
+// beginLeadership commits an epoch. When its command is applied, this host has
+// applied every revision that an earlier leader can have committed.
 func (s *Server) beginLeadership(ctx context.Context, status port.ReplicaStatus) error {
 	answer, err := s.propose(ctx, command{Epoch: &openEpoch{Leader: status.Self, At: time.Now().UnixMicro()}})
 	if err != nil {
@@ -152,15 +154,16 @@
 	if err != nil {
 		return err
 	}
-	next.done, next.end = context.WithCancel(ctx)
+	next.leadCtx, next.cancel = context.WithCancel(ctx)
 	s.leadership.Store(next)
-	s.stats.terms.Inc()
+	s.stats.epochs.Inc()
 	s.opts.Log.Info("leadership began", "term", next.term, "epoch", next.epoch.Token)
 	return nil
 }
 
-// newLeadership prepares the tables of a leader. The quiet time is skipped in a
-// group's first epoch: no earlier leader can have granted anything.
+// newLeadership returns the initial state of a leader. The wait for the leases
+// of earlier leaders is skipped in a group's first epoch, since no earlier
+// leader can have granted a lease.
 func (s *Server) newLeadership(now time.Time, term uint64, epoch lease.Epoch) (*leadership, error) {
 	directory, err := member.NewDirectory(member.DirectoryOptions{
 		MaxMembers: member.DefaultMaxMembers,
@@ -180,7 +183,7 @@
 	l := &leadership{
 		term:         term,
 		epoch:        epoch,
-		began:        now,
+		startedAt:    now,
 		progress:     newBroadcast(),
 		incarnations: make(map[ident.Host]ident.Incarnation),
 		self:         s.opts.Replica.Status().Self,
@@ -190,17 +193,17 @@
 	return l, nil
 }
 
-// errNotLeading tells that this host can't prove that it leads.
+// errNotLeading is returned when this host can't confirm that it leads.
 var errNotLeading = errors.New("this host does not lead the control group")
 
-// leading runs f under the lock of the current leadership with the latest
-// revision noted.
+// withLeadership records the latest revision and calls f, both with the lock of
+// the current leadership held.
 //
-// The term is compared after the latest revision was read: had this host lost
-// and regained the leadership in between, the granter of the earlier term would
-// not know the leases of the leader between, and might report in force what one
-// of their holders has never seen.
-func (s *Server) leading(f func(*leadership, time.Time)) error {
+// The term is compared after the latest revision is read. If this host lost and
+// regained the leadership in between, the granter of the earlier term would not
+// know the leases of the leader in between, and might report a revision in force
+// that a holder of such a lease has not received.
+func (s *Server) withLeadership(f func(*leadership, time.Time)) error {
 	current := s.leadership.Load()
 	if current == nil {
 		return errNotLeading
@@ -218,19 +221,19 @@
 	return nil
 }
 
-// barrier proves that this host led at some moment after the call.
+// barrier confirms that this host led at some time after the call.
 func (s *Server) barrier(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.BarrierTimeout)
 	defer cancel()
 	return s.opts.Replica.ReadBarrier(ctx)
 }
 
-// redirect tells an entry where the leader is.
+// redirect returns a redirect to the leader.
 func (s *Server) redirect() *protocol.Redirect {
 	s.stats.redirects.Inc()
 	status := s.opts.Replica.Status()
 	if status.IsLeader {
-		// This host leads and has not opened its epoch yet.
+		// This host leads but has not opened its epoch yet.
 		return &protocol.Redirect{}
 	}
 	return &protocol.Redirect{Host: status.Leader, Address: s.opts.Addresses[status.Leader]}
--- a/internal/control/suspended_test.go
+++ b/internal/control/suspended_test.go
@@ -14,9 +14,10 @@
 	"github.com/lovagereach/lovagereach/order"
 )
 
-// Guards against an entry whose machine was suspended and that goes on by a lease which
-// its granter has seen end: changes it has never seen are reported in force meanwhile.
-func TestASuspendedEntryWakesWithoutItsLease(t *testing.T) {
+// An entry's machine is suspended for the term of its lease. Afterwards the entry must
+// not serve with that lease: its granter has seen the lease end, and changes that the
+// entry has not received may have been reported in force.
+func TestSuspendedEntryResumesWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 1)
 		defer d.close()
@@ -25,46 +26,47 @@
 			Peers:     &fakePeer{network: d.network, self: port.Peer{Host: "entry-7", DataCentre: "hall-north", Incarnation: 1, Role: "entry"}},
 			Self:      claimOf("entry-7", 1),
 			Addresses: []string{"control-0", "control-1", "control-2"},
-			Log:       quiet,
+			Log:       discardLog,
 			Clock:     func() time.Time { return time.Now().Add(suspended) },
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.run(entry.Run)
-		d.settle()
+		d.awaitLeases()
 		if !entry.Serving() {
 			t.Fatalf("the entry has no lease: %+v", entry.Status())
 		}
 		synctest.Wait()
 		suspended = lease.DefaultTerm
 		if entry.Serving() {
-			t.Errorf("%v later the entry serves by its lease still", suspended)
+			t.Errorf("%v later the entry still serves with its lease", suspended)
 		}
 		time.Sleep(2 * time.Second)
 		if !entry.Serving() {
-			t.Errorf("it got no new lease: %+v", entry.Status())
+			t.Errorf("the entry got no new lease: %+v", entry.Status())
 		}
 	})
 }
 
-// Guards against orders that go out after a suspension, by a proof of leadership from
-// before it: another leader may have ordered engines meanwhile that check no fences.
-func TestOrdersAreHeldBackAfterASuspension(t *testing.T) {
+// The leader is suspended between its proof of leadership and an order. The order must
+// not be sent: another leader may have sent orders meanwhile to engines that don't check
+// fencing tokens.
+func TestOrdersAreHeldAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := deploy(t, 2)
 		defer d.close()
 		engines := newFleet(6)
 		report := engines.report
 		d.upstreams.Store(&report)
-		// The machine is suspended between each proof and the order by it.
-		var suspended, each atomic.Int64
-		each.Store(int64(order.LeaderLease))
+		// The machine is suspended between each proof and its orders.
+		var suspended, suspendPerDial atomic.Int64
+		suspendPerDial.Store(int64(order.LeaderLease))
 		for _, server := range d.servers {
 			orderer := control.NewOrderer(control.OrderOptions{
-				Server: server, Log: quiet,
+				Server: server, Log: discardLog,
 				Dial: func(address string) (port.Engine, error) {
-					suspended.Add(each.Load())
+					suspended.Add(suspendPerDial.Load())
 					return engines.dial(address)
 				},
 				Clock: func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) },
@@ -73,23 +75,23 @@
 		}
 		doc := document(1, 0)
 		d.mustApply(0, "r1", 0, doc)
-		d.settle()
+		d.awaitLeases()
 		doc.Models = []config.Model{{Name: "appraiser", Versions: []config.TargetVersion{{Version: "v2"}}}}
 		doc.Normalize()
 		d.mustApply(0, "r2", 1, doc)
 		time.Sleep(time.Minute)
 		if ordered := engines.ordered(); ordered != 0 {
-			t.Errorf("%d orders by a proof from before a suspension", ordered)
+			t.Errorf("%d orders were sent with a proof from before a suspension", ordered)
 		}
-		each.Store(0)
+		suspendPerDial.Store(0)
 		time.Sleep(time.Minute)
 		if engines.ordered() == 0 {
-			t.Error("no order came once the machine was no longer suspended")
+			t.Error("no order was sent after the suspensions ended")
 		}
 	})
 }
 
-// ordered is the number of orders that arrived.
+// ordered returns the number of orders that arrived.
 func (f fleet) ordered() int {
 	count := 0
 	for _, engine := range f {
--- a/internal/control/update_cache.go
+++ b/internal/control/update_cache.go
@@ -7,21 +7,22 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// maxCachedUpdates bounds the updates kept for the latest revision. Entries
-// hold few different revisions; all that hold the same one share an update.
+// maxCachedUpdates limits the cached updates to the latest revision. Entries
+// have few different revisions, and all with the same one share an update.
 const maxCachedUpdates = 64
 
-// maxEncoded is how many whole configurations are kept for entries that are
-// fetching one part by part while the next revision arrives.
-const maxEncoded = 2
+// maxEncodedFulls is the number of encoded full configurations that are kept, so
+// that an entry can finish fetching one in parts when the next revision arrives.
+const maxEncodedFulls = 2
 
-// encodedFull is a config.Full as bytes.
+// encodedFull is an encoded config.FullRevision.
 type encodedFull struct {
 	revision config.Revision
 	data     []byte
 }
 
-// updateCache keeps what was worked out for one entry for the others.
+// updateCache caches computed updates and encoded full configurations, so that
+// entries with the same revision share them.
 type updateCache struct {
 	mu     sync.Mutex
 	latest config.Revision
@@ -56,8 +57,8 @@
 	}
 	encoded := encodedFull{revision: full.Revision, data: wire.MustMarshal(full)}
 	c.full = append(c.full, encoded)
-	if len(c.full) > maxEncoded {
-		c.full = append([]encodedFull(nil), c.full[len(c.full)-maxEncoded:]...)
+	if len(c.full) > maxEncodedFulls {
+		c.full = append([]encodedFull(nil), c.full[len(c.full)-maxEncodedFulls:]...)
 	}
 	return encoded
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,15 +14,15 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// incarnationOf is the incarnation that an entry was assigned. Entries of
-// earlier versions have none but their connection's.
+// incarnationOf returns an entry's assigned incarnation. For entries of earlier
+// versions, which have none, it returns that of their connection.
 func incarnationOf(from port.Peer, assigned ident.Incarnation) ident.Incarnation {
 	return cmp.Or(assigned, from.Incarnation)
 }
 
-// assign numbers the life of an entry that has just started. The order of
-// lives, by which all others tell late messages of a dead process from those of
-// its successor, is the order of the log.
+// assign assigns an incarnation to an entry that has just started. Incarnations
+// are ordered by the log. Other processes use this order to distinguish stale
+// messages of a previous incarnation from those of its successor.
 func (s *Server) assign(ctx context.Context, _ port.Peer, _ protocol.AssignRequest) (protocol.AssignAnswer, error) {
 	if !s.opts.Replica.Status().IsLeader {
 		return protocol.AssignAnswer{Redirect: s.redirect()}, nil
@@ -41,13 +41,13 @@
 	return protocol.AssignAnswer{Incarnation: answer.Assigned}, nil
 }
 
-// watch takes the acknowledgement that the request carries and answers once
-// there is a later revision. What it hands out is committed, so a host that no
-// longer leads does no harm by it; the entry finds the new leader through the
-// renewals of its lease.
+// watch applies the acknowledgement in the request and answers when there is a
+// newer revision or the wait has passed. It returns only committed revisions, so
+// an answer of a host that no longer leads is harmless; the entry finds the new
+// leader through the renewals of its lease.
 func (s *Server) watch(ctx context.Context, from port.Peer, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
 	var current *leadership
-	err := s.leading(func(l *leadership, _ time.Time) {
+	err := s.withLeadership(func(l *leadership, _ time.Time) {
 		current = l
 		l.parent.Ack(relay.Ack{Host: from.Host, Incarnation: incarnationOf(from, request.Incarnation), InForce: request.HeldRevision})
 	})
@@ -74,7 +74,7 @@
 			return protocol.WatchAnswer{}
 		case <-ctx.Done():
 			return protocol.WatchAnswer{}
-		case <-current.done.Done():
+		case <-current.leadCtx.Done():
 			return protocol.WatchAnswer{Redirect: s.redirect()}
 		}
 	}
@@ -100,7 +100,7 @@
 	return update
 }
 
-// part hands out a piece of the whole configuration that a watch announced.
+// part returns one part of the full configuration that a watch announced.
 func (s *Server) part(_ context.Context, _ port.Peer, request protocol.PartRequest) (protocol.PartAnswer, error) {
 	full, found := s.updates.encoded(request.Revision)
 	if !found || request.Offset < 0 || request.Offset >= len(full.data) {
@@ -110,24 +110,25 @@
 	return protocol.PartAnswer{Data: full.data[request.Offset:end]}, nil
 }
 
-// renew grants a serving lease. The barrier comes after the request: it proves
-// that no later leader was elected before the entry began to count its lease,
-// so that a later leader's quiet time covers it.
+// renew grants a serving lease. The barrier is passed after the request was
+// sent, which is when the entry's lease starts. It confirms that no newer leader
+// was elected before this time, so that the time for which a newer leader waits
+// for earlier leases covers this one.
 func (s *Server) renew(ctx context.Context, from port.Peer, request protocol.RenewRequest) (protocol.RenewAnswer, error) {
 	if s.leadership.Load() == nil || s.barrier(ctx) != nil {
 		return protocol.RenewAnswer{Redirect: s.redirect()}, nil
 	}
 	var renewed relay.Renewed
-	var former ident.Incarnation
-	err := s.leading(func(l *leadership, now time.Time) {
-		former = l.noteIncarnation(from.Host, incarnationOf(from, request.Incarnation))
+	var previous ident.Incarnation
+	err := s.withLeadership(func(l *leadership, now time.Time) {
+		previous = l.recordIncarnation(from.Host, incarnationOf(from, request.Incarnation))
 		renewed = l.renew(now, from, request)
 	})
 	if err != nil {
 		return protocol.RenewAnswer{Redirect: s.redirect()}, nil
 	}
-	if former != 0 && s.opts.OnEntryReplaced != nil {
-		s.opts.OnEntryReplaced(from.Host, former)
+	if previous != 0 && s.opts.OnEntryReplaced != nil {
+		s.opts.OnEntryReplaced(from.Host, previous)
 	}
 	s.stats.renewals.Inc()
 	if renewed.Refused != "" {
@@ -136,9 +137,10 @@
 	return protocol.RenewAnswer{Renewed: &renewed}, nil
 }
 
-// noteIncarnation notes an entry's incarnation and returns the former one that it
-// replaces, zero for none. A process starts again only after its former run ended.
-func (l *leadership) noteIncarnation(host ident.Host, incarnation ident.Incarnation) ident.Incarnation {
+// recordIncarnation records an entry's incarnation and returns the previous one
+// that it replaces, zero for none. A process restarts only after its previous
+// incarnation has ended.
+func (l *leadership) recordIncarnation(host ident.Host, incarnation ident.Incarnation) ident.Incarnation {
 	known, found := l.incarnations[host]
 	if incarnation <= known || !found && len(l.incarnations) >= lease.MaxHolders {
 		return 0
@@ -148,7 +150,7 @@
 }
 
 func (s *Server) release(_ context.Context, from port.Peer, request protocol.ReleaseRequest) (protocol.ReleaseAnswer, error) {
-	err := s.leading(func(l *leadership, _ time.Time) {
+	err := s.withLeadership(func(l *leadership, _ time.Time) {
 		l.parent.Release(lease.HolderID{Host: from.Host, Incarnation: incarnationOf(from, request.Incarnation)})
 		l.progress.signal()
 	})
