--- a/internal/gateway/candidates_test.go
+++ b/internal/gateway/candidates_test.go
@@ -13,7 +13,7 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// manyRunners is a gateway that knows n runners of one service.
+// manyRunners returns a gateway that knows n runners of one service.
 func manyRunners(t *testing.T, n int) *Gateway {
 	t.Helper()
 	g, _ := testGateway(t, nil)
@@ -29,10 +29,9 @@
 	return g
 }
 
-// Guards against choices that take an entry's processor longer the more upstreams there
-// are, and against a request that finds no upstream because those that come first for it
-// can't be used.
-func TestAChoiceIsMadeAmongAFewOfManyUpstreams(t *testing.T) {
+// Guards against choices that take more processor time the more upstreams there are, and
+// against a request that finds no upstream because the first ones by hash can't be used.
+func TestCandidatesAreBounded(t *testing.T) {
 	for _, n := range []int{60, 3000, 12000} {
 		g := manyRunners(t, n)
 		r, err := g.admit(context.Background(), promptRequest("/stream/x"))
@@ -47,30 +46,30 @@
 		second, _ := r.candidates(g.state, time.Now())
 		g.state.mu.Unlock()
 		if want := min(n, maxCandidates); len(first) < want || len(first) > maxCandidates+randomCandidates {
-			t.Errorf("of %d: %d candidates", n, len(first))
+			t.Errorf("%d upstreams: %d candidates", n, len(first))
 		}
 		if n > 2*maxCandidates && len(second) < maxCandidates {
-			t.Errorf("of %d: %d more candidates", n, len(second))
+			t.Errorf("%d upstreams: %d more candidates", n, len(second))
 		}
 	}
 }
 
-// Guards against a roster's page that leaves a service's list out of order, with an
-// upstream twice, or with one that is gone: a request would be sent there.
-func TestServicesListThoseThatServe(t *testing.T) {
+// Guards against a page of the roster that leaves a service's list out of order, with an
+// upstream twice, or with one that is gone, to which a request would be sent.
+func TestServiceListsServingUpstreams(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	s := g.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	up := func(id string, state roster.State, born uint64) roster.Upstream {
-		return roster.Upstream{ID: id, Service: "llm", Address: id + ":1", State: state, StartedMs: born}
+	up := func(id string, state roster.State, startedMs uint64) roster.Upstream {
+		return roster.Upstream{ID: id, Service: "llm", Address: id + ":1", State: state, StartedMs: startedMs}
 	}
 	at := s.rosterRevision
-	tell := func(since uint64, more bool, list ...roster.Upstream) {
+	apply := func(since uint64, more bool, list ...roster.Upstream) {
 		at++
 		view := &steward.RosterView{Revision: at, Since: since, More: more, Upstreams: list}
 		if !s.canApplyRoster(view, false) {
-			t.Fatalf("a page from %d on is not taken in", since)
+			t.Fatalf("the page since revision %d can't be applied", since)
 		}
 		s.applyRoster(view)
 	}
@@ -80,36 +79,36 @@
 		for _, u := range s.serving["llm"] {
 			got = append(got, u.record.ID)
 			if s.upstreams[u.record.ID] != u {
-				t.Errorf("%s is listed in a former life", u.record.ID)
+				t.Errorf("the listed %s is of a previous incarnation", u.record.ID)
 			}
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("listed %v, want %v", got, want)
 		}
 	}
-	tell(0, true, up("b", roster.Serving, 1), up("a", roster.Serving, 1))
-	tell(at, false, up("c", roster.Serving, 1))
+	apply(0, true, up("b", roster.Serving, 1), up("a", roster.Serving, 1))
+	apply(at, false, up("c", roster.Serving, 1))
 	listed("a", "b", "c")
-	tell(at, false, up("b", roster.Leaving, 1), up("a", roster.Serving, 2))
+	apply(at, false, up("b", roster.Leaving, 1), up("a", roster.Serving, 2))
 	listed("a", "c")
-	tell(at, false, up("b", roster.Serving, 3), up("c", roster.Gone, 1))
+	apply(at, false, up("b", roster.Serving, 3), up("c", roster.Gone, 1))
 	listed("a", "b")
-	// A roster that begins anew: what is held is used until its last page has come.
-	tell(0, true, up("d", roster.Serving, 1))
+	// A complete roster starts: known upstreams stay in use until its last page.
+	apply(0, true, up("d", roster.Serving, 1))
 	listed("a", "b", "d")
-	tell(at, false, up("b", roster.Serving, 3))
+	apply(at, false, up("b", roster.Serving, 3))
 	listed("b", "d")
 	if len(s.upstreams) != 2 {
-		t.Errorf("%d are known", len(s.upstreams))
+		t.Errorf("%d upstreams are known, want 2", len(s.upstreams))
 	}
 	if s.canApplyRoster(&steward.RosterView{Revision: 1}, true) {
-		t.Error("a late answer begins the roster anew")
+		t.Error("a late answer starts a complete roster")
 	}
 }
 
-// Guards against a request that is sent after its time was up, or its caller gone: the
-// process stood still while it waited for room.
-func TestNothingIsSentThatNobodyWaitsFor(t *testing.T) {
+// Guards against a request that is sent after its deadline or after its caller left, because
+// the process was suspended while the request waited for capacity.
+func TestStillWantedAfterDeadlineOrCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := testGateway(t, nil)
 		r, err := g.admit(context.Background(), promptRequest("/stream/x"))
@@ -118,30 +117,30 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		if err := r.stillWanted(ctx); err != nil {
-			t.Errorf("in time: %v", err)
+			t.Errorf("before the deadline: %v", err)
 		}
 		cancel()
 		if err := r.stillWanted(ctx); !errors.Is(err, errCallerGone) {
-			t.Errorf("the caller has gone: %v", err)
+			t.Errorf("after the caller left: %v", err)
 		}
 		time.Sleep(time.Until(r.deadline))
 		var late *outcome.NotRun
 		if err := r.stillWanted(context.Background()); !errors.As(err, &late) || late.Reason != outcome.ReasonDeadline {
-			t.Errorf("the time is up: %v", err)
+			t.Errorf("after the deadline: %v", err)
 		}
 	})
 }
 
 // Guards against requests served by a configuration that may have been replaced: they are
-// refused as not run, and the directory is told that the entry takes none.
-func TestAnEntryThatMayServeByAnOldConfigurationRefuses(t *testing.T) {
+// refused as not run, and the entry is announced as not ready.
+func TestExpiredConfigurationRefusesRequests(t *testing.T) {
 	g, _ := testGateway(t, nil)
-	lapsed := false
-	g.options.ConfigExpired = func(time.Time) bool { return lapsed }
+	expired := false
+	g.options.ConfigExpired = func(time.Time) bool { return expired }
 	if _, err := g.admit(context.Background(), promptRequest("/stream/x")); err != nil || !g.Ready() {
 		t.Fatalf("ready %v: %v", g.Ready(), err)
 	}
-	lapsed = true
+	expired = true
 	var refused *outcome.NotRun
 	if _, err := g.admit(context.Background(), promptRequest("/stream/x")); !errors.As(err, &refused) || refused.RetryAfter == 0 || g.Ready() {
 		t.Errorf("ready %v: %v", g.Ready(), err)
--- a/internal/gateway/capacity_test.go
+++ b/internal/gateway/capacity_test.go
@@ -10,22 +10,22 @@
 	"github.com/lovagereach/lovagereach/placement"
 )
 
-// gate lets answers through one by one.
-type gate struct{ open chan struct{} }
+// gatedBody is an answer's body that ends when its gate opens.
+type gatedBody struct{ open chan struct{} }
 
-func (b *gate) Next() (Piece, error) {
+func (b *gatedBody) Next() (Piece, error) {
 	<-b.open
 	return Piece{}, io.EOF
 }
 
-func (b *gate) Close() {}
+func (b *gatedBody) Close() {}
 
-// Two runners with memory for 50,000 tokens are offered ten prompts of 20,000.
-// Beyond their memory they would fetch parts and drop them unread; the prompts
-// wait at the entry and get their turn.
-func TestPromptsBeyondTheMemoryWait(t *testing.T) {
+// Guards against runners that get more prompts than their memory holds, fetch parts and evict
+// them before the prefill: ten prompts of 20,000 tokens for two runners with memory for
+// 50,000. The excess prompts wait at the entry until it is their turn.
+func TestPromptsBeyondRunnerMemoryWait(t *testing.T) {
 	open := make(chan struct{})
-	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return &Answer{Status: 200, Body: &gate{open}}, nil })
+	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return &Answer{Status: 200, Body: &gatedBody{open}}, nil })
 	g.state.waitLimits = waitLimits{longest: time.Minute, first: 10}
 	var all sync.WaitGroup
 	for i := range 10 {
@@ -35,8 +35,8 @@
 			r.Prompt = prompt(placement.Part{ID: string(rune('a' + i)), Tokens: 16000}, placement.Part{ID: "own", Tokens: 4000})
 			rec := &recorder{}
 			g.Serve(context.Background(), r, rec)
-			if rec.ends != "done" {
-				t.Errorf("prompt %d ends %q: %v", i, rec.ends, rec.cause)
+			if rec.end != "done" {
+				t.Errorf("prompt %d ends %q: %v", i, rec.end, rec.cause)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	g.state.mu.Lock()
 	for id, u := range g.state.upstreams {
 		if u.own.Tokens > 42500 {
-			t.Errorf("%s was given %d tokens", id, u.own.Tokens)
+			t.Errorf("%s has %d tokens under way", id, u.own.Tokens)
 		}
 	}
 	g.state.mu.Unlock()
@@ -66,9 +66,9 @@
 	}
 }
 
-// A short prompt of a team with a low rank must not be refused because long
-// ones wait: it takes next to nothing.
-func TestQueueIsInOrderOfSizeAndRank(t *testing.T) {
+// Guards against a short prompt of a team with a low rank that is refused because long prompts
+// wait, although it takes almost no capacity.
+func TestQueueOrdersBySizeAndRank(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	s := g.state
 	index := g.Index()
@@ -96,11 +96,11 @@
 	}
 }
 
-// After a restart of all processes those come back that were cut off, beside those
-// that come for the first time. The first are late whenever they are served, and are
-// lost if they are refused again; the others can still be in time. So the others go
-// first, and the first wait as long, and are not refused because others wait.
-func TestCallersThatReturnWaitBehindTheOthers(t *testing.T) {
+// After a restart of all processes, callers that were cut off retry beside first attempts. The
+// retries are late whenever they are served, and lost if they are refused again, while first
+// attempts can be in time: these go first. Retries wait as long, and are not refused because
+// first attempts wait.
+func TestRetriesWaitBehindFirstAttempts(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	s, route, now := g.state, g.Index().Route("h", "/stream/x"), time.Now()
 	waiting := func(id string, wait time.Duration) *run {
@@ -119,7 +119,7 @@
 		t.Fatalf("waiting in order %s", got)
 	}
 	if s.mayWait(waiting("fourth", 5*time.Second)) || !s.mayWait(waiting("again", 4*time.Second)) {
-		t.Error("the places of those that come for the first time are taken, the others' are not")
+		t.Error("want the limit reached for first attempts, but not for retries")
 	}
 	fresh := waiting("fresh", 5*time.Second)
 	if a, b := fresh.longestWait(s.waitLimits, now), returned.longestWait(s.waitLimits, now); a != 300*time.Millisecond || b != a {
@@ -127,13 +127,12 @@
 	}
 }
 
-// The budget is a promise of all entries together: eight of them that each
-// take all they may, twice over because they were restarted once, must stay
-// within what the deployment allows in a window.
-func TestBudgetsAddUp(t *testing.T) {
+// The retry budget holds for all entries together: eight entries that use all of their shares,
+// twice because they restarted once, have to stay within the deployment's allowance.
+func TestRetryBudgetsOfAllEntriesAddUp(t *testing.T) {
 	limits := BudgetLimits{Ratio: 0.2, Extra: 58}
 	const entries, perEntry = 8, 400
-	taken := 0
+	retries := 0
 	for range entries * 2 {
 		b := newBudgets()
 		b.limits = limits
@@ -142,17 +141,17 @@
 			now = now.Add(20 * time.Millisecond)
 			b.countRequest("app", now)
 			for b.allowRetry("app", entries, now) {
-				taken++
+				retries++
 			}
 		}
 	}
 	allowed := limits.Ratio*entries*perEntry + float64(limits.Extra)
-	if float64(taken) > allowed || taken == 0 {
-		t.Fatalf("%d further sends, %v are allowed", taken, allowed)
+	if float64(retries) > allowed || retries == 0 {
+		t.Fatalf("%d retries, %v are allowed", retries, allowed)
 	}
 }
 
-func TestBudgetWindowSlides(t *testing.T) {
+func TestRetryBudgetWindowSlides(t *testing.T) {
 	b := newBudgets()
 	b.limits = BudgetLimits{Extra: 32}
 	take := func(at time.Duration) (n int) {
@@ -162,49 +161,49 @@
 		return n
 	}
 	if first, again := take(0), take(9*time.Second); first != 2 || again != 0 {
-		t.Fatalf("%d, then %d within the window", first, again)
+		t.Fatalf("%d retries, then %d more within the window", first, again)
 	}
 	if later := take(11 * time.Second); later != 2 {
-		t.Fatalf("%d after the window", later)
+		t.Fatalf("%d retries after the window", later)
 	}
 }
 
-func TestTrustComesBack(t *testing.T) {
+func TestUpstreamIsReinstated(t *testing.T) {
 	var u health
 	now := time.Unix(100, 0)
 	u.failed(now)
 	if u.penalty(now, false) < ejectedCost {
-		t.Fatal("a failed upstream is not avoided")
+		t.Fatal("a failed upstream is not ejected")
 	}
 	if u.penalty(now.Add(maxEjection), false) >= ejectedCost {
-		t.Fatal("an upstream is avoided for ever")
+		t.Fatal("an upstream is never reinstated")
 	}
 	for range 50 {
 		u.answered(true, now)
 	}
 	if cost := u.penalty(now, false); cost != 0 {
-		t.Fatalf("a well upstream costs %v", cost)
+		t.Fatalf("a healthy upstream has a penalty of %v", cost)
 	}
 }
 
-func TestPaceForgetsASlowTime(t *testing.T) {
+func TestSlowdownExpires(t *testing.T) {
 	var p slowdown
 	now := time.Unix(100, 0)
 	for range 5 {
 		p.observe(8, now)
 	}
 	if p.current(now) < 4 {
-		t.Fatalf("five transfers 8 times as long count as %v", p.current(now))
+		t.Fatalf("the slowdown after five transfers 8 times as long is %v", p.current(now))
 	}
 	if p.current(now.Add(slowdownTTL+1)) != 1 {
-		t.Fatal("a slow store is never tried again")
+		t.Fatal("the slowdown of a store doesn't expire")
 	}
 }
 
-// What an upstream says of itself with an answer is newer than what the other
-// entries told: a replica that is full by its own word gets no further request
-// while another has room.
-func TestToldLoadDecidesBetweenReplicas(t *testing.T) {
+// The load that an upstream reports with an answer is newer than that reported by the other
+// entries: a replica that reports itself full gets no further request while another has
+// capacity.
+func TestReportedLoadDecidesBetweenReplicas(t *testing.T) {
 	g, sender := testGateway(t, func(_ int, s *Send) (*Answer, error) {
 		a := status(200)
 		a.Load = &Load{Running: 0, Slots: 4}
@@ -223,15 +222,14 @@
 		}
 	}
 	if others > 2 {
-		t.Fatalf("%d of 30 requests went to replicas that said they were full", others)
+		t.Fatalf("%d of 30 requests were sent to replicas that reported themselves full", others)
 	}
 }
 
-// Sixteen short prompts wait at an entry because their runners are full. A call of
-// another service waits behind them, and an upstream of that service has room again.
-// The call has to be sent there; looked for among the first of the queue only, it
-// would be refused for lack of room although there is some.
-func TestRoomOfOneServiceIsGivenPastTheQueueOfAnother(t *testing.T) {
+// Guards against a request refused for lack of capacity although its service has some: sixteen
+// short prompts wait for full runners, and a request of another service behind them. When an
+// upstream of that service has capacity, dispatch has to look past the first of the queue.
+func TestDispatchPassesQueueOfAnotherService(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	s, index := g.state, g.Index()
 	for _, service := range []string{"app", "llm"} {
@@ -262,6 +260,6 @@
 	select {
 	case <-call.granted:
 	default:
-		t.Errorf("the call still waits, with %d others", len(s.waiting)-1)
+		t.Errorf("the request still waits, with %d others", len(s.waiting)-1)
 	}
 }
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -12,8 +12,8 @@
 	"github.com/lovagereach/lovagereach/placement"
 )
 
-// spreadOver places the test's upstreams in two data centres, by turns.
-func spreadOver(g *Gateway) {
+// spreadOverDataCentres places the upstreams alternately in two data centres.
+func spreadOverDataCentres(g *Gateway) {
 	answer := testAnswer()
 	answer.Inventories, answer.StoreStates = nil, nil
 	for i := range answer.Roster.Upstreams {
@@ -23,21 +23,21 @@
 	g.ApplyAnswer(answer, time.Now())
 }
 
-func evacuated(g *Gateway, revision uint64, dataCentres ...string) {
+func evacuate(g *Gateway, revision uint64, dataCentres ...string) {
 	g.ApplyAnswer(&steward.WatchAnswer{Partial: true, Evacuation: &evacuation.View{Revision: revision, DataCentres: dataCentres}}, time.Now())
 }
 
-// Guards against work that is sent to a data centre after its evacuation is in force, by
-// first sends, repeats, resumed streams and prompts whose parts lie there.
-func TestNothingIsSentToAnEvacuatedDataCentre(t *testing.T) {
+// Guards against requests sent to a data centre after its evacuation is in force, by first
+// sends, retries, resumed streams and prompts whose parts are cached there.
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	g, sender := testGateway(t, func(n int, s *Send) (*Answer, error) {
 		if n%2 == 1 {
-			return nil, lost()
+			return nil, connectionLost()
 		}
 		return stream(io.EOF, "1"), nil
 	})
-	spreadOver(g)
-	evacuated(g, 1, "south")
+	spreadOverDataCentres(g)
+	evacuate(g, 1, "south")
 	for range 20 {
 		serve(g, request("/safe/x"))
 		r := request("/resume/x")
@@ -52,7 +52,7 @@
 			t.Fatalf("sent to %s", send.Upstream)
 		}
 	}
-	evacuated(g, 2)
+	evacuate(g, 2)
 	sent := sender.count()
 	for range 40 {
 		serve(g, request("/unsafe/x"))
@@ -62,26 +62,26 @@
 		back = back || send.Upstream == "a2"
 	}
 	if !back {
-		t.Error("nothing is sent there after the withdrawal")
+		t.Error("no request is sent there after the evacuation is withdrawn")
 	}
 }
 
-// Guards against an older word, which comes late, that undoes an evacuation.
-func TestALateWordDoesNotUndoAnEvacuation(t *testing.T) {
+// Guards against a stale answer that undoes an evacuation.
+func TestStaleAnswerDoesNotUndoEvacuation(t *testing.T) {
 	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
-	evacuated(g, 2, "south")
-	evacuated(g, 1)
+	evacuate(g, 2, "south")
+	evacuate(g, 1)
 	if ask := g.NextRequest(); ask.Evacuation != 2 || !g.state.evacuation.Evacuated("south") {
 		t.Errorf("revision %d", ask.Evacuation)
 	}
 }
 
-// Guards against callers that wait for nothing: where all data centres of a service are
-// evacuated, they are told at once that it has not run, and when to come back.
-func TestAllEvacuatedIsToldAtOnce(t *testing.T) {
+// Guards against callers that wait for nothing: if all data centres of a service are
+// evacuated, a request is refused immediately as not run, with a time to retry.
+func TestAllDataCentresEvacuatedRefusesImmediately(t *testing.T) {
 	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
-	spreadOver(g)
-	evacuated(g, 1, "north", "south")
+	spreadOverDataCentres(g)
+	evacuate(g, 1, "north", "south")
 	began := time.Now()
 	got := serve(g, request("/safe/x"))
 	var unsent *outcome.NotRun
@@ -90,11 +90,11 @@
 	}
 }
 
-// Guards against reading again what an evacuated runner holds: others fetch it there.
-func TestAnEvacuatedRunnerIsASource(t *testing.T) {
+// Guards against recomputing what an evacuated runner has cached: other runners fetch it.
+func TestEvacuatedRunnerIsFetchSource(t *testing.T) {
 	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
-	spreadOver(g)
-	evacuated(g, 1, "south")
+	spreadOverDataCentres(g)
+	evacuate(g, 1, "south")
 	g.state.mu.Lock()
 	defer g.state.mu.Unlock()
 	candidates := []*upstreamState{g.state.upstreams["l2"]}
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -20,13 +20,13 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// scriptedSender answers sends by a function and remembers them.
+// scriptedSender answers sends by a function and records them.
 type scriptedSender struct {
 	mu     sync.Mutex
 	sends  []*Send
 	script func(n int, s *Send) (*Answer, error)
-	// ended are the upstreams whose processes have ended.
-	ended map[string]bool
+	// crashed holds the upstreams whose processes have crashed.
+	crashed map[string]bool
 }
 
 func (f *scriptedSender) Send(_ context.Context, s *Send) (*Answer, error) {
@@ -41,7 +41,7 @@
 func (f *scriptedSender) Crashed(_ context.Context, s *Send) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ended[s.Upstream]
+	return f.crashed[s.Upstream]
 }
 
 func (f *scriptedSender) count() int {
@@ -50,7 +50,7 @@
 	return len(f.sends)
 }
 
-// events is a Body of events that may break.
+// events is a Body of events that may break off.
 type events struct {
 	pieces []Piece
 	end    error
@@ -84,14 +84,14 @@
 	return &Answer{Status: 503, Header: http.Header{}, Refusal: r, Body: &events{end: io.EOF}}
 }
 
-// recorder is a Responder that remembers what the caller got.
+// recorder is a Responder that records what the caller received.
 type recorder struct {
 	status int
 	body   string
-	// ends is "done", "broken" or "refused".
-	ends  string
+	// end is "done", "broken" or "refused".
+	end   string
 	cause error
-	// gone makes the caller vanish.
+	// gone simulates a caller that has closed its connection.
 	gone bool
 }
 
@@ -108,11 +108,11 @@
 	return nil
 }
 
-func (r *recorder) Done()              { r.ends += "done" }
-func (r *recorder) Abort()             { r.ends += "broken" }
-func (r *recorder) Refuse(cause error) { r.ends += "refused"; r.cause = cause }
+func (r *recorder) Done()              { r.end += "done" }
+func (r *recorder) Abort()             { r.end += "broken" }
+func (r *recorder) Refuse(cause error) { r.end += "refused"; r.cause = cause }
 
-// kept is a part that stands in the store of the test's configuration.
+// keptPart is a part in the store of the test's configuration.
 var keptPart = cacheindex.Key{Salt: "m.1", Part: "kept"}
 
 func testDocument() *catalog.Document {
@@ -185,10 +185,10 @@
 	return rec
 }
 
-func lost() error {
+func connectionLost() error {
 	return &outcome.Unknown{Reason: outcome.ReasonConnectionLost, Detail: "reset"}
 }
 
-func undialled() error {
+func dialRefused() error {
 	return &outcome.NotRun{Reason: outcome.ReasonDial, Detail: "refused"}
 }
--- a/internal/gateway/fleet_callers_test.go
+++ b/internal/gateway/fleet_callers_test.go
@@ -14,7 +14,7 @@
 	"github.com/lovagereach/lovagereach/placement"
 )
 
-// timing notes when the caller had the first event.
+// timing records when the caller received the first event.
 type timing struct {
 	recorder
 	began time.Time
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// call is one caller, who comes back once when it is told to.
+// call simulates one caller, which retries once if the refusal allows it.
 func (f *modelFleet) call(kind string, parts []placement.Part, output, entry, second int) {
 	wait, target := 6*time.Second, 600*time.Millisecond
 	if kind == "short" {
@@ -37,7 +37,7 @@
 	began := time.Now()
 	c := &timing{began: began}
 	for try := range 2 {
-		c.ends, c.cause = "", nil
+		c.end, c.cause = "", nil
 		r := &Request{
 			ID: fmt.Sprintf("%p-%d", c, try), Method: "POST", Host: "h", Target: "/" + kind + "/x", Path: "/" + kind + "/x",
 			Header: http.Header{}, Wait: wait - time.Since(began), Arrived: time.Now(),
@@ -45,15 +45,15 @@
 		}
 		f.gateways[(entry+try*7)%len(f.gateways)].Serve(context.Background(), r, c)
 		var refused *outcome.NotRun
-		if c.ends == "done" || !errors.As(c.cause, &refused) || refused.RetryAfter <= 0 || refused.RetryAfter > (wait-time.Since(began))/3 {
+		if c.end == "done" || !errors.As(c.cause, &refused) || refused.RetryAfter <= 0 || refused.RetryAfter > (wait-time.Since(began))/3 {
 			break
 		}
 		time.Sleep(refused.RetryAfter)
 	}
 	f.count(func(r *fleetResult) {
-		r.asked[kind]++
-		r.askedBySecond[second]++
-		if c.ends != "done" {
+		r.sent[kind]++
+		r.sentBySecond[second]++
+		if c.end != "done" {
 			return
 		}
 		r.served[kind]++
@@ -69,22 +69,22 @@
 	return min(max(int(mean*math.Exp(spread*random.NormFloat64()-spread*spread/2)), 1), most)
 }
 
-// play lets callers come for the length of the shape.
-func (f *modelFleet) play() *fleetResult {
+// run simulates the callers for the length of the shape.
+func (f *modelFleet) run() *fleetResult {
 	ctx, stop := context.WithCancel(context.Background())
-	var words, callers sync.WaitGroup
+	var watches, callers sync.WaitGroup
 	for i := range f.gateways {
-		words.Go(func() { f.word(ctx, i) })
+		watches.Go(func() { f.watch(ctx, i) })
 	}
 	random := rand.New(rand.NewPCG(1+f.shape.seed, 2))
-	sizes := func(things int, mean, spread float64, most int) []int {
-		list := make([]int, things)
+	sizes := func(n int, mean, spread float64, most int) []int {
+		list := make([]int, n)
 		for i := range list {
 			list[i] = lognormal(random, mean, spread, most)
 		}
 		return list
 	}
-	long, short := sizes(f.shape.longThings, 12800, 0.6, 34000), sizes(f.shape.shortThings, 246, 0.6, 656)
+	long, short := sizes(f.shape.longParts, 12800, 0.6, 34000), sizes(f.shape.shortParts, 246, 0.6, 656)
 	if f.shape.stored {
 		for i, tokens := range long {
 			f.store(placement.Part{ID: fmt.Sprintf("l%d", i), Tokens: tokens})
@@ -96,14 +96,14 @@
 		time.Sleep(time.Until(begin.Add(at)))
 		entry, second := random.IntN(len(f.gateways)), int(at/time.Second)
 		if random.Float64() < f.shape.longPerS/rate {
-			thing := random.IntN(len(long))
-			parts := []placement.Part{{ID: fmt.Sprintf("l%d", thing), Tokens: long[thing]}, {ID: "own", Tokens: lognormal(random, 4260, 0.7, 17000)}}
+			part := random.IntN(len(long))
+			parts := []placement.Part{{ID: fmt.Sprintf("l%d", part), Tokens: long[part]}, {ID: "own", Tokens: lognormal(random, 4260, 0.7, 17000)}}
 			callers.Go(func() { f.call("long", parts, 8, entry, second) })
 			continue
 		}
-		thing := random.IntN(len(short))
+		part := random.IntN(len(short))
 		parts := []placement.Part{
-			{ID: fmt.Sprintf("h%d", thing%160), Tokens: 55}, {ID: fmt.Sprintf("s%d", thing), Tokens: short[thing]},
+			{ID: fmt.Sprintf("h%d", part%160), Tokens: 55}, {ID: fmt.Sprintf("s%d", part), Tokens: short[part]},
 			{ID: "own", Tokens: lognormal(random, 82, 0.7, 328)},
 		}
 		callers.Go(func() { f.call("short", parts, 3, entry, second) })
@@ -111,7 +111,7 @@
 	callers.Wait()
 	f.saves.Wait()
 	stop()
-	words.Wait()
+	watches.Wait()
 	most, total := 0, 0
 	for _, runner := range f.runners {
 		most, total = max(most, runner.arrivals), total+runner.arrivals
@@ -120,18 +120,18 @@
 	return &f.result
 }
 
-// store keeps a part in the first store by hash that has room.
+// store saves a part to the first store by hash that has capacity.
 func (f *modelFleet) store(part placement.Part) {
 	f.seen[part.ID] = true
 	var list []placement.Store
 	var addresses []string
-	for i := range f.shape.quick + f.shape.slow {
+	for i := range f.shape.fastStores + f.shape.slowStores {
 		store := f.stores[fmt.Sprintf("store%02d:1", i)]
 		addresses = append(addresses, store.address)
 		list = append(list, placement.Store{Address: store.address, LinkMbps: store.mbps, FirstByte: store.first, Capacity: store.capacity, Used: store.used, Open: true})
 	}
 	rates := placement.DefaultRates()
 	if at := placement.KeepAt(&rates, "m.1", part, 18432, list); at >= 0 {
-		f.saved(f.stores[addresses[at]], part, "m.1")
+		f.addSaved(f.stores[addresses[at]], part, "m.1")
 	}
 }
--- a/internal/gateway/fleet_cold_test.go
+++ b/internal/gateway/fleet_cold_test.go
@@ -11,16 +11,16 @@
 	"github.com/lovagereach/lovagereach/warmup"
 )
 
-// coldReturn is a data centre whose runners go down together and come back cold, without
-// a load and with nothing in memory.
-type coldReturn struct {
+// coldRestart is a data centre whose runners go down together and are cold when they restart,
+// without load and with empty caches.
+type coldRestart struct {
 	zone string
-	// down and back are when they go and come, after begin; cold is how long they are
-	// cold then, and announced how long after their start the entries can know.
+	// down and back are the times of the crash and the restart after begin. cold is how long
+	// the runners are cold after that, announced the delay after which the entries can know.
 	down, back, cold, announced time.Duration
 	begin                       time.Time
-	// perSecond is what each bears while cold.
-	perSecond float64
+	// sustained is the number of requests per second that each runner sustains while cold.
+	sustained float64
 
 	mu       sync.Mutex
 	arrivals map[string][]time.Time
@@ -29,8 +29,8 @@
 	entries  []string
 }
 
-// arrive counts a request to a cold runner. It reports false for one that is down.
-func (c *coldReturn) arrive(m *modelRunner) bool {
+// arrive counts a request to a cold runner. It reports false for a runner that is down.
+func (c *coldRestart) arrive(m *modelRunner) bool {
 	if c == nil || m.zone != c.zone {
 		return true
 	}
@@ -46,8 +46,8 @@
 	return true
 }
 
-// tell adds to an answer what the control hosts know of the cold runners.
-func (c *coldReturn) tell(answer *steward.WatchAnswer, host string) {
+// addTo adds the control hosts' knowledge of the cold runners to an answer.
+func (c *coldRestart) addTo(answer *steward.WatchAnswer, host string) {
 	at := time.Since(c.begin)
 	if at < c.back+c.announced {
 		return
@@ -63,7 +63,7 @@
 			u.Sequence, u.ColdMs = 2, 0
 		}
 		view.Upstreams = append(view.Upstreams, u)
-		cold = append(cold, warmup.Cold{Upstream: u.ID, PerSecond: c.perSecond})
+		cold = append(cold, warmup.Cold{Upstream: u.ID, PerSecond: c.sustained})
 	}
 	if warm {
 		view.Revision, cold = 3, nil
@@ -74,9 +74,9 @@
 	answer.Grants, answer.GrantsAt = warmup.GrantsFor(grants, host), revision
 }
 
-// most is the largest number of requests to one cold runner in a second, and total how
-// many the cold runners got in all.
-func (c *coldReturn) most() (most, total int) {
+// maxPerSecond returns the largest number of requests to one cold runner in a second, and the
+// total number that the cold runners received.
+func (c *coldRestart) maxPerSecond() (most, total int) {
 	for _, list := range c.arrivals {
 		total += len(list)
 		from := 0
@@ -90,24 +90,24 @@
 	return most, total
 }
 
-// coldBurst has a third of 72 runners go down for half a second and come back cold in a
-// burst of 1.7 times the usual callers, before so many entries. guarded tells the entries
-// what a cold runner bears.
-func coldBurst(t *testing.T, entries int, guarded bool) (*coldReturn, *fleetResult) {
+// coldBurst crashes a third of 72 runners for half a second and restarts them cold during a
+// burst of 1.7 times the usual load, with the given number of entries. If guarded, the entries
+// know the rate that a cold runner sustains.
+func coldBurst(t *testing.T, entries int, guarded bool) (*coldRestart, *fleetResult) {
 	t.Helper()
-	const bears, burst = 22, 1.7
+	const sustained, burst = 22, 1.7
 	shape := fleetShape{
-		zones: 3, entries: entries, runners: 72, slots: 12, queue: 36, memory: 87000, readPerMs: 112,
-		quick: 8, slow: 9, quickTokens: 607000, slowTokens: 1718000,
-		longPerS: 129 * burst, shortPerS: 1231 * burst, longThings: 800, shortThings: 8600,
-		wordEvery: 250 * time.Millisecond, wordLag: 100 * time.Millisecond, length: 3 * time.Second, stored: true,
+		zones: 3, entries: entries, runners: 72, slots: 12, queue: 36, memory: 87000, prefillPerMs: 112,
+		fastStores: 8, slowStores: 9, fastStoreTokens: 607000, slowStoreTokens: 1718000,
+		longPerS: 129 * burst, shortPerS: 1231 * burst, longParts: 800, shortParts: 8600,
+		answerInterval: 250 * time.Millisecond, answerLag: 100 * time.Millisecond, length: 3 * time.Second, stored: true,
 	}
 	if guarded {
-		shape.coldPerS = bears
+		shape.coldPerS = sustained
 	}
-	c := &coldReturn{
+	c := &coldRestart{
 		zone: "z0", down: 500 * time.Millisecond, back: time.Second, cold: 1900 * time.Millisecond,
-		announced: 100 * time.Millisecond, perSecond: bears, arrivals: make(map[string][]time.Time),
+		announced: 100 * time.Millisecond, sustained: sustained, arrivals: make(map[string][]time.Time),
 	}
 	var result *fleetResult
 	synctest.Test(t, func(t *testing.T) {
@@ -122,29 +122,29 @@
 			}
 		}
 		f.cold = c
-		result = f.play()
+		result = f.run()
 	})
 	return c, result
 }
 
-// Guards against a data centre of cold runners that crash under the first requests of all
-// entries, and against runners that get nothing until they are warm. Entries that don't
-// hold back go beyond the bound under the same load.
-func TestColdRunnersGetWhatTheyBear(t *testing.T) {
+// Guards against cold runners of a data centre that crash under the first requests of all
+// entries, and against runners that get no requests until they are warm. As a control, entries
+// without the limit exceed the bound under the same load.
+func TestColdRunnersGetNoMoreThanTheySustain(t *testing.T) {
 	const bound = 22*1.5 + 5
 	unguarded, _ := coldBurst(t, 9, false)
-	if most, _ := unguarded.most(); most <= bound {
-		t.Errorf("entries that don't hold back send %d requests in a second: the load shows nothing", most)
+	if most, _ := unguarded.maxPerSecond(); most <= bound {
+		t.Errorf("entries without the limit send only %d requests in a second: the load doesn't test the bound", most)
 	}
 	for _, entries := range []int{9, 300} {
 		c, result := coldBurst(t, entries, true)
-		most, total := c.most()
+		most, total := c.maxPerSecond()
 		t.Logf("%d entries: at most %d a second, %d in all; %v", entries, most, total, result)
 		if most > bound {
-			t.Errorf("%d entries: a cold runner got %d requests in a second, it bears %v", entries, most, bound)
+			t.Errorf("%d entries: a cold runner got %d requests in a second, bound %v", entries, most, bound)
 		}
 		if len(c.arrivals) < len(c.records) {
-			t.Errorf("%d entries: %d of %d cold runners got nothing", entries, len(c.records)-len(c.arrivals), len(c.records))
+			t.Errorf("%d entries: %d of %d cold runners got no request", entries, len(c.records)-len(c.arrivals), len(c.records))
 		}
 	}
 }
--- a/internal/gateway/fleet_model_test.go
+++ b/internal/gateway/fleet_model_test.go
@@ -20,99 +20,101 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// eventLag is how long after a part stands whole in a store the entries know of it.
+// eventLag is the delay after which the entries know of a complete part in a store.
 const eventLag = 200 * time.Millisecond
 
-// fleetShape is a deployment for the model: its sizes and what its callers send.
+// fleetShape describes a deployment for the model: its sizes and its load.
 type fleetShape struct {
 	zones, entries, runners int
 	slots, queue, memory    int
-	// readPerMs is the pace of reading in tokens a millisecond, between the answers
+	// prefillPerMs is the prefill rate in tokens per millisecond, as it is beside the answers
 	// under way.
-	readPerMs               float64
-	quick, slow             int
-	quickTokens, slowTokens int
-	longPerS, shortPerS     float64
-	longThings, shortThings int
-	// wordEvery is the time between two words on others' loads to one entry, and
-	// wordLag how old they are when they come.
-	wordEvery, wordLag time.Duration
-	length             time.Duration
-	// seed draws other callers.
+	prefillPerMs                     float64
+	fastStores, slowStores           int
+	fastStoreTokens, slowStoreTokens int
+	longPerS, shortPerS              float64
+	longParts, shortParts            int
+	// answerInterval is the time between two answers with the other entries' loads to one
+	// entry, answerLag their age on arrival.
+	answerInterval, answerLag time.Duration
+	length                    time.Duration
+	// seed selects another sequence of callers.
 	seed uint64
-	// stored begins with all shared parts of long prompts in stores.
+	// stored indicates that all shared parts of long prompts are in stores from the start.
 	stored bool
-	// coldPerS is how many requests a second a cold runner bears, 0 where none is cold.
+	// coldPerS is the number of requests per second that a cold runner sustains, 0 if no
+	// runner is cold.
 	coldPerS float64
 }
 
-// largeFleet has 291 entries before 130 runners, with as much work as they take at
-// about half of their pace if nothing were reused.
+// largeFleet has 291 entries and 130 runners, with the load that the runners would sustain at
+// about half of their rate if nothing were reused.
 func largeFleet() fleetShape {
 	return fleetShape{
-		zones: 5, entries: 291, runners: 130, slots: 8, queue: 24, memory: 90000, readPerMs: 112,
-		quick: 16, slow: 18, quickTokens: 576000, slowTokens: 1630000,
-		longPerS: 376, shortPerS: 1729, longThings: 3009, shortThings: 13831,
-		wordEvery: 150 * time.Millisecond, wordLag: 100 * time.Millisecond, length: 6 * time.Second,
+		zones: 5, entries: 291, runners: 130, slots: 8, queue: 24, memory: 90000, prefillPerMs: 112,
+		fastStores: 16, slowStores: 18, fastStoreTokens: 576000, slowStoreTokens: 1630000,
+		longPerS: 376, shortPerS: 1729, longParts: 3009, shortParts: 13831,
+		answerInterval: 150 * time.Millisecond, answerLag: 100 * time.Millisecond, length: 6 * time.Second,
 	}
 }
 
-// smallFleet is its twin of a nineteenth.
+// smallFleet is the same fleet at a nineteenth of the size.
 func smallFleet() fleetShape {
 	f := largeFleet()
 	f.zones, f.entries, f.runners = 3, 15, 7
-	f.quick, f.slow = 3, 1
-	f.quickTokens, f.slowTokens = 190000, 1630000
+	f.fastStores, f.slowStores = 3, 1
+	f.fastStoreTokens, f.slowStoreTokens = 190000, 1630000
 	f.longPerS, f.shortPerS = 376/19.0, 1729/19.0
-	f.longThings, f.shortThings = 3009/19, 13831/19
+	f.longParts, f.shortParts = 3009/19, 13831/19
 	return f
 }
 
-// fleetResult is what became of the callers.
+// fleetResult counts the results of the callers.
 type fleetResult struct {
 	mu sync.Mutex
-	// asked, inTime and served count callers by kind.
-	asked, inTime, served map[string]int
-	// sharedTokens passed through the runners, readTokens of them were read, and
-	// againTokens read though some runner had read them before.
-	sharedTokens, readTokens, againTokens int
-	arrivals, full                        int
-	busiest                               float64
-	inTimeBySecond, askedBySecond         []int
+	// sent, inTime and served count callers by kind.
+	sent, inTime, served map[string]int
+	// sharedTokens is the number of tokens of shared parts that reached runners, prefillTokens
+	// the number of them computed by a runner, recomputedTokens the number computed although
+	// some runner had computed them before.
+	sharedTokens, prefillTokens, recomputedTokens int
+	arrivals, full                                int
+	busiest                                       float64
+	inTimeBySecond, sentBySecond                  []int
 }
 
 func (r *fleetResult) share(of map[string]int, kind string) float64 {
-	return float64(of[kind]) / float64(max(r.asked[kind], 1))
+	return float64(of[kind]) / float64(max(r.sent[kind], 1))
 }
 
 func (r *fleetResult) String() string {
 	line := ""
 	for _, kind := range []string{"long", "short"} {
-		line += fmt.Sprintf("%s: %d asked, %.3f served, %.3f in time; ", kind, r.asked[kind], r.share(r.served, kind), r.share(r.inTime, kind))
+		line += fmt.Sprintf("%s: %d sent, %.3f served, %.3f in time; ", kind, r.sent[kind], r.share(r.served, kind), r.share(r.inTime, kind))
 	}
-	line += fmt.Sprintf("turned away %.3f of %d arrivals; busiest %.2f of the mean; read %.3f, again %.3f of %d shared tokens; by second",
-		float64(r.full)/float64(r.arrivals), r.arrivals, r.busiest, float64(r.readTokens)/float64(r.sharedTokens),
-		float64(r.againTokens)/float64(r.sharedTokens), r.sharedTokens)
-	for i := range r.askedBySecond {
-		line += fmt.Sprintf(" %.2f", float64(r.inTimeBySecond[i])/float64(max(r.askedBySecond[i], 1)))
+	line += fmt.Sprintf("refused as full %.3f of %d arrivals; busiest %.2f of the mean; computed %.3f, recomputed %.3f of %d shared tokens; by second",
+		float64(r.full)/float64(r.arrivals), r.arrivals, r.busiest, float64(r.prefillTokens)/float64(r.sharedTokens),
+		float64(r.recomputedTokens)/float64(r.sharedTokens), r.sharedTokens)
+	for i := range r.sentBySecond {
+		line += fmt.Sprintf(" %.2f", float64(r.inTimeBySecond[i])/float64(max(r.sentBySecond[i], 1)))
 	}
 	return line
 }
 
-// modelFleet is a fleet in virtual time. The entries are the product's, what they
-// talk to are models.
+// modelFleet simulates a fleet in virtual time. Its entries are real gateways; the runners,
+// stores and control hosts are models.
 type modelFleet struct {
 	shape    fleetShape
 	gateways []*Gateway
 	runners  map[string]*modelRunner
 	stores   map[string]*modelStore
-	book     *cacheindex.Index
+	caches   *cacheindex.Index
 	mu       sync.Mutex
 	loads    []map[string]steward.Load
 	seen     map[string]bool
 	saves    sync.WaitGroup
 	result   fleetResult
-	cold     *coldReturn
+	cold     *coldRestart
 }
 
 type modelStore struct {
@@ -129,17 +131,17 @@
 	t.Helper()
 	f := &modelFleet{
 		shape: shape, runners: make(map[string]*modelRunner), stores: make(map[string]*modelStore),
-		book: cacheindex.NewIndex(false), seen: make(map[string]bool),
+		caches: cacheindex.NewIndex(false), seen: make(map[string]bool),
 	}
 	seconds := int(shape.length/time.Second) + 1
 	f.result = fleetResult{
-		asked: make(map[string]int), inTime: make(map[string]int), served: make(map[string]int),
-		inTimeBySecond: make([]int, seconds), askedBySecond: make([]int, seconds),
+		sent: make(map[string]int), inTime: make(map[string]int), served: make(map[string]int),
+		inTimeBySecond: make([]int, seconds), sentBySecond: make([]int, seconds),
 	}
 	answer := f.describe()
-	f.book.StartTerm(1)
+	f.caches.StartTerm(1)
 	for address := range f.stores {
-		f.book.Write(cacheindex.Record{Address: address, Cleared: true, Incarnation: 1, Next: 1})
+		f.caches.Write(cacheindex.Record{Address: address, Cleared: true, Incarnation: 1, Next: 1})
 	}
 	quiet := log.New(io.Discard)
 	for i := range shape.entries {
@@ -151,7 +153,7 @@
 			t.Fatal(err)
 		}
 		g.ApplyAnswer(answer, time.Now())
-		g.state.caches = f.book
+		g.state.caches = f.caches
 		for _, store := range f.stores {
 			g.state.store(store.address).open = true
 		}
@@ -176,11 +178,11 @@
 		}}},
 	}
 	var states []steward.StoreState
-	for i := range f.shape.quick + f.shape.slow {
+	for i := range f.shape.fastStores + f.shape.slowStores {
 		store := &modelStore{address: fmt.Sprintf("store%02d:1", i), zone: f.zone(i), mbps: 130000, first: 500 * time.Microsecond,
-			capacity: f.shape.quickTokens, held: make(map[string]bool), next: 2}
-		if i >= f.shape.quick {
-			store.mbps, store.first, store.capacity = 83000, 6*time.Millisecond, f.shape.slowTokens
+			capacity: f.shape.fastStoreTokens, held: make(map[string]bool), next: 2}
+		if i >= f.shape.fastStores {
+			store.mbps, store.first, store.capacity = 83000, 6*time.Millisecond, f.shape.slowStoreTokens
 		}
 		f.stores[store.address] = store
 		d.Services = append(d.Services, catalog.Service{Name: store.address, Store: &catalog.Store{
@@ -196,7 +198,7 @@
 			Loaded: []roster.Loaded{{Model: "m", Version: 1}},
 		})
 		f.runners[id] = &modelRunner{
-			fleet: f, id: id, zone: f.zone(i), slots: make(chan struct{}, f.shape.slots), room: make(chan struct{}),
+			fleet: f, id: id, zone: f.zone(i), slots: make(chan struct{}, f.shape.slots), freed: make(chan struct{}),
 			cached: make(map[string]*list.Element), order: list.New(),
 		}
 	}
@@ -206,11 +208,11 @@
 	}
 }
 
-// word brings one entry the others' loads, as they were wordLag ago.
-func (f *modelFleet) word(ctx context.Context, index int) {
+// watch delivers the other entries' loads, delayed by answerLag, to one entry.
+func (f *modelFleet) watch(ctx context.Context, index int) {
 	g := f.gateways[index]
 	random := rand.New(rand.NewPCG(uint64(index), 5))
-	time.Sleep(time.Duration(random.Int64N(int64(f.shape.wordEvery))))
+	time.Sleep(time.Duration(random.Int64N(int64(f.shape.answerInterval))))
 	for ctx.Err() == nil {
 		sent, request := time.Now(), g.NextRequest()
 		own := make(map[string]steward.Load, len(request.Loads))
@@ -235,19 +237,19 @@
 			answer.Loads = append(answer.Loads, sum)
 		}
 		if f.cold != nil {
-			f.cold.tell(answer, g.options.Host)
+			f.cold.addTo(answer, g.options.Host)
 		}
-		time.Sleep(f.shape.wordLag)
-		answer.StateAge = f.shape.wordLag
+		time.Sleep(f.shape.answerLag)
+		answer.StateAge = f.shape.answerLag
 		g.ApplyAnswer(answer, sent)
 		g.state.mu.Lock()
 		g.state.inventoriesAt = time.Now()
 		g.state.mu.Unlock()
-		time.Sleep(f.shape.wordEvery - f.shape.wordLag)
+		time.Sleep(f.shape.answerInterval - f.shape.answerLag)
 	}
 }
 
-// locked changes what all entries read of the stores.
+// locked changes the inventories, which all entries share, under the locks of all.
 func (f *modelFleet) locked(change func()) {
 	for _, g := range f.gateways {
 		g.state.mu.Lock()
@@ -258,8 +260,8 @@
 	}
 }
 
-// saved tells the entries of parts that stand whole in a store.
-func (f *modelFleet) saved(store *modelStore, part placement.Part, salt string) {
+// addSaved makes a complete part in a store known to the entries.
+func (f *modelFleet) addSaved(store *modelStore, part placement.Part, salt string) {
 	f.mu.Lock()
 	if store.held[part.ID] || store.used+part.Tokens > store.capacity {
 		f.mu.Unlock()
@@ -270,14 +272,14 @@
 	f.mu.Unlock()
 	f.locked(func() {
 		store.next++
-		f.book.Write(cacheindex.Record{Address: store.address, Change: cacheindex.Change{Key: cacheindex.Key{Salt: salt, Part: part.ID}, Tokens: part.Tokens}, Next: store.next})
+		f.caches.Write(cacheindex.Record{Address: store.address, Change: cacheindex.Change{Key: cacheindex.Key{Salt: salt, Part: part.ID}, Tokens: part.Tokens}, Next: store.next})
 		for _, g := range f.gateways {
 			delete(g.state.stores[store.address].pending, cacheindex.Key{Salt: salt, Part: part.ID})
 		}
 	})
 }
 
-// link takes a part's turn on a store's link and returns when the transfer ends.
+// link queues a transfer on a store's link and returns its end time.
 func (f *modelFleet) link(store *modelStore, tokens int, zone string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -301,8 +303,8 @@
 // Crashed implements Sender.
 func (f *modelFleet) Crashed(context.Context, *Send) bool { return false }
 
-func (f *modelFleet) count(note func(*fleetResult)) {
+func (f *modelFleet) count(record func(*fleetResult)) {
 	f.result.mu.Lock()
 	defer f.result.mu.Unlock()
-	note(&f.result)
+	record(&f.result)
 }
--- a/internal/gateway/fleet_runner_test.go
+++ b/internal/gateway/fleet_runner_test.go
@@ -12,25 +12,25 @@
 	"github.com/lovagereach/lovagereach/placement"
 )
 
-// modelRunner takes prompts in turn, reads them one after the other and keeps what
-// it has read as long as its memory has room.
+// modelRunner takes prompts in order of arrival, prefills them one after the other, and caches
+// the parts as long as its memory has capacity.
 type modelRunner struct {
-	fleet    *modelFleet
-	id, zone string
-	mu       sync.Mutex
-	slots    chan struct{}
-	present  int
-	arrivals int
-	running  int
-	tokens   int
-	readFree time.Time
-	room     chan struct{}
-	cached   map[string]*list.Element
-	order    *list.List
-	kept     int
+	fleet       *modelFleet
+	id, zone    string
+	mu          sync.Mutex
+	slots       chan struct{}
+	present     int
+	arrivals    int
+	running     int
+	tokens      int
+	prefillFree time.Time
+	freed       chan struct{}
+	cached      map[string]*list.Element
+	order       *list.List
+	kept        int
 }
 
-type keptPartOf struct {
+type cachedPart struct {
 	id     string
 	tokens int
 }
@@ -69,10 +69,10 @@
 		if m.running == 0 || m.tokens+size <= m.fleet.shape.memory {
 			break
 		}
-		room := m.room
+		freed := m.freed
 		m.mu.Unlock()
 		select {
-		case <-room:
+		case <-freed:
 		case <-ctx.Done():
 			<-m.slots
 			leave()
@@ -82,7 +82,7 @@
 	m.running++
 	m.tokens += size
 	m.evict()
-	ready := m.read(s)
+	ready := m.prefill(s)
 	load := m.load()
 	step := time.Duration((3.41 + 0.097*float64(m.running)) * float64(time.Millisecond))
 	m.mu.Unlock()
@@ -95,8 +95,8 @@
 			m.keep(part)
 		}
 		m.evict()
-		close(m.room)
-		m.room = make(chan struct{})
+		close(m.freed)
+		m.freed = make(chan struct{})
 		m.mu.Unlock()
 		<-m.slots
 		leave()
@@ -110,8 +110,8 @@
 	return &Answer{Status: 200, Header: http.Header{}, Load: load, Length: -1, Body: body}, nil
 }
 
-// read returns when the prompt will be read. The caller holds the lock.
-func (m *modelRunner) read(s *Send) time.Time {
+// prefill returns the time at which the prefill of the prompt ends. The caller holds the lock.
+func (m *modelRunner) prefill(s *Send) time.Time {
 	f, now := m.fleet, time.Now()
 	parts, prompt := s.Request.Prompt.Parts, s.Prompt
 	fetched, tokens, chain := now, 0, true
@@ -120,7 +120,7 @@
 			tokens += part.Tokens
 			break
 		}
-		again, read := 0, 0
+		recomputed, prefilled := 0, 0
 		_, held := m.cached[part.ID]
 		switch {
 		case held && chain:
@@ -131,32 +131,36 @@
 		default:
 			chain = false
 			tokens += part.Tokens
-			read = part.Tokens
+			prefilled = part.Tokens
 			f.mu.Lock()
 			if f.seen[part.ID] {
-				again = part.Tokens
+				recomputed = part.Tokens
 			}
 			f.seen[part.ID] = true
 			f.mu.Unlock()
 		}
-		f.count(func(r *fleetResult) { r.sharedTokens += part.Tokens; r.readTokens += read; r.againTokens += again })
+		f.count(func(r *fleetResult) {
+			r.sharedTokens += part.Tokens
+			r.prefillTokens += prefilled
+			r.recomputedTokens += recomputed
+		})
 	}
 	begin := fetched
-	if m.readFree.After(begin) {
-		begin = m.readFree
+	if m.prefillFree.After(begin) {
+		begin = m.prefillFree
 	}
-	m.readFree = begin.Add(time.Duration(float64(tokens) / f.shape.readPerMs * float64(time.Millisecond)))
-	read := m.readFree
+	m.prefillFree = begin.Add(time.Duration(float64(tokens) / f.shape.prefillPerMs * float64(time.Millisecond)))
+	prefilled := m.prefillFree
 	for i, address := range prompt.Save {
 		if store := f.stores[address]; store != nil {
 			f.saves.Go(func() {
-				time.Sleep(time.Until(read))
+				time.Sleep(time.Until(prefilled))
 				time.Sleep(time.Until(f.link(store, parts[i].Tokens, m.zone)) + eventLag)
-				f.saved(store, parts[i], prompt.Salt)
+				f.addSaved(store, parts[i], prompt.Salt)
 			})
 		}
 	}
-	return read
+	return prefilled
 }
 
 func (m *modelRunner) load() *Load {
@@ -168,14 +172,14 @@
 		m.order.MoveToFront(at)
 		return
 	}
-	m.cached[part.ID] = m.order.PushFront(keptPartOf{id: part.ID, tokens: part.Tokens})
+	m.cached[part.ID] = m.order.PushFront(cachedPart{id: part.ID, tokens: part.Tokens})
 	m.kept += part.Tokens
 }
 
 func (m *modelRunner) evict() {
 	for m.kept+m.tokens > m.fleet.shape.memory && m.order.Len() > 0 {
 		last := m.order.Back()
-		part := last.Value.(keptPartOf)
+		part := last.Value.(cachedPart)
 		m.order.Remove(last)
 		delete(m.cached, part.id)
 		m.kept -= part.tokens
@@ -183,14 +187,14 @@
 }
 
 type modelBody struct {
-	rest  time.Duration
-	begun bool
-	end   func()
+	rest    time.Duration
+	started bool
+	end     func()
 }
 
 func (b *modelBody) Next() (Piece, error) {
-	if !b.begun {
-		b.begun = true
+	if !b.started {
+		b.started = true
 		return Piece{Data: []byte("id: 1\n\n"), ID: "1"}, nil
 	}
 	time.Sleep(b.rest)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -15,8 +15,8 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// What a caller is told must be true. Each case is one request and what its
-// upstreams do; "refused" as not run is allowed only if no send may have run.
+// The final answer to a caller must be true. Each case is one request and the behaviour of its
+// upstreams; a refusal as not run is allowed only if no send may have run.
 func TestFinalAnswers(t *testing.T) {
 	type script = func(n int, s *Send) (*Answer, error)
 	always := func(a func() *Answer, err error) script {
@@ -42,52 +42,52 @@
 		name, path string
 		script     script
 		sends      int
-		ends       string
+		end        string
 		kind       outcome.Kind
 		status     int
 	}{
-		{"safe, whole", "/safe/x", always(func() *Answer { return status(200) }, nil), 1, "done", outcome.KindDone, 200},
-		{"safe, lost once", "/safe/x", inTurn(lost(), status(200)), 2, "done", outcome.KindDone, 200},
+		{"safe, complete", "/safe/x", always(func() *Answer { return status(200) }, nil), 1, "done", outcome.KindDone, 200},
+		{"safe, lost once", "/safe/x", inTurn(connectionLost(), status(200)), 2, "done", outcome.KindDone, 200},
 		{"safe, failed once", "/safe/x", inTurn(status(500), status(200)), 2, "done", outcome.KindDone, 200},
 		{"safe, failed twice: the second failure is passed on", "/safe/x", inTurn(status(500), status(500)), 2, "done", outcome.KindDone, 500},
-		{"safe, lost twice", "/safe/x", inTurn(lost(), lost()), 2, "refused", outcome.KindUnknown, 0},
-		{"safe, lost and then full: it may have run", "/safe/x", inTurn(lost(), refusal(Full)), 2, "refused", outcome.KindUnknown, 0},
+		{"safe, lost twice", "/safe/x", inTurn(connectionLost(), connectionLost()), 2, "refused", outcome.KindUnknown, 0},
+		{"safe, lost and then full: it may have run", "/safe/x", inTurn(connectionLost(), refusal(Full)), 2, "refused", outcome.KindUnknown, 0},
 		{"safe, failed and then full: it has run", "/safe/x", inTurn(status(500), refusal(Full)), 2, "refused", outcome.KindUnknown, 0},
-		{"unsafe, lost: never sent again", "/unsafe/x", inTurn(lost()), 1, "refused", outcome.KindUnknown, 0},
+		{"unsafe, lost: never sent again", "/unsafe/x", inTurn(connectionLost()), 1, "refused", outcome.KindUnknown, 0},
 		{"unsafe, failed: never sent again", "/unsafe/x", inTurn(status(500)), 1, "done", outcome.KindDone, 500},
 		{"unsafe, full: not run", "/unsafe/x", inTurn(refusal(Full)), 1, "refused", outcome.KindNotRun, 0},
-		{"unsafe, unsent once: another upstream", "/unsafe/x", inTurn(undialled(), status(200)), 2, "done", outcome.KindDone, 200},
-		{"unsafe, never sent: not run", "/unsafe/x", inTurn(undialled()), 3, "refused", outcome.KindNotRun, 0},
+		{"unsafe, unsent once: another upstream", "/unsafe/x", inTurn(dialRefused(), status(200)), 2, "done", outcome.KindDone, 200},
+		{"unsafe, never sent: not run", "/unsafe/x", inTurn(dialRefused()), 3, "refused", outcome.KindNotRun, 0},
 		{"unsafe with more attempts, full once", "/bids/x", inTurn(refusal(Full), status(200)), 2, "done", outcome.KindDone, 200},
-		{"unsafe with more attempts, lost", "/bids/x", inTurn(refusal(Full), lost()), 2, "refused", outcome.KindUnknown, 0},
-		{"unsafe, the address is another's", "/unsafe/x", inTurn(refusal(OtherUpstream)), 1, "refused", outcome.KindNotRun, 0},
-		{"no such place", "/none/x", inTurn(status(200)), 0, "refused", outcome.KindNotRun, 0},
+		{"unsafe with more attempts, lost", "/bids/x", inTurn(refusal(Full), connectionLost()), 2, "refused", outcome.KindUnknown, 0},
+		{"unsafe, the address belongs to another upstream", "/unsafe/x", inTurn(refusal(OtherUpstream)), 1, "refused", outcome.KindNotRun, 0},
+		{"no such route", "/none/x", inTurn(status(200)), 0, "refused", outcome.KindNotRun, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g, sender := testGateway(t, c.script)
 			rec := serve(g, request(c.path))
-			if sender.count() != c.sends || rec.ends != c.ends || rec.status != c.status {
-				t.Fatalf("%d sends, ends %q with status %d (%v)", sender.count(), rec.ends, rec.status, rec.cause)
+			if sender.count() != c.sends || rec.end != c.end || rec.status != c.status {
+				t.Fatalf("%d sends, ends %q with status %d (%v)", sender.count(), rec.end, rec.status, rec.cause)
 			}
 			if got := outcome.KindOf(rec.cause); got != c.kind {
-				t.Fatalf("told %v (%v), want %v", got, rec.cause, c.kind)
+				t.Fatalf("outcome %v (%v), want %v", got, rec.cause, c.kind)
 			}
 		})
 	}
 }
 
-// A stream that breaks off must never look whole, and one that may be resumed
-// goes on after the last event that the caller has, without a gap or a repeat.
+// A stream that breaks off must never look complete, and a resumable one continues after the
+// last event that the caller has, without a gap or a repetition.
 func TestStreams(t *testing.T) {
 	broken := errors.New("reset")
 	cases := []struct {
 		name, path  string
 		first, next *Answer
-		ends, body  string
+		end, body   string
 		resumeAfter string
 	}{
-		{"whole", "/stream/x", stream(io.EOF, "1", "2"), nil, "done", "id: 1\n\nid: 2\n\n", ""},
+		{"complete", "/stream/x", stream(io.EOF, "1", "2"), nil, "done", "id: 1\n\nid: 2\n\n", ""},
 		{"broken, not resumable", "/stream/x", stream(broken, "1"), stream(io.EOF, "2"), "broken", "id: 1\n\n", ""},
 		{"broken before its first event, not resumable", "/stream/x", stream(broken), nil, "refused", "", ""},
 		{"broken before its first event, resumable", "/resume/x", stream(broken), stream(io.EOF, "1"), "done", "id: 1\n\n", ""},
@@ -105,11 +105,11 @@
 			r := request(c.path)
 			r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
 			rec := serve(g, r)
-			if rec.ends != c.ends || rec.body != c.body {
-				t.Fatalf("ends %q with %q", rec.ends, rec.body)
+			if rec.end != c.end || rec.body != c.body {
+				t.Fatalf("ends %q with %q", rec.end, rec.body)
 			}
-			if c.ends == "refused" && outcome.KindOf(rec.cause) != outcome.KindUnknown {
-				t.Fatalf("a stream that may have run is told as %v", rec.cause)
+			if c.end == "refused" && outcome.KindOf(rec.cause) != outcome.KindUnknown {
+				t.Fatalf("the outcome of a stream that may have run is %v", rec.cause)
 			}
 			if c.resumeAfter != "" && sender.sends[1].ResumeAfter != c.resumeAfter {
 				t.Fatalf("resumed after %q", sender.sends[1].ResumeAfter)
@@ -121,16 +121,16 @@
 	}
 }
 
-// The caller of a safe request would get the head of one answer with the body
-// of another. The first upstream answers with a head and dies before its body
-// is whole; the request is repeated; nothing of the first answer may be left.
-func TestRepeatedRequestsShowOneAnswer(t *testing.T) {
+// Guards against the head of one answer with the body of another: the first upstream crashes
+// before the body of its answer is complete, and the request is retried. Nothing of the first
+// answer may reach the caller.
+func TestRetriedRequestYieldsOneAnswer(t *testing.T) {
 	broken := errors.New("reset")
 	cases := []struct {
 		name  string
 		first []string
 		body  string
-		ends  string
+		end   string
 		sends int
 	}{
 		{"no body came", nil, "second", "done", 2},
@@ -149,13 +149,13 @@
 			return &Answer{Status: 200 + n, Body: body}, nil
 		})
 		rec := serve(g, request("/safe/x"))
-		if rec.body != c.body || rec.ends != c.ends || rec.status != 200+c.sends || sender.count() != c.sends {
-			t.Errorf("%s: status %d, %d bytes, ends %q after %d sends", c.name, rec.status, len(rec.body), rec.ends, sender.count())
+		if rec.body != c.body || rec.end != c.end || rec.status != 200+c.sends || sender.count() != c.sends {
+			t.Errorf("%s: status %d, %d bytes, ends %q after %d sends", c.name, rec.status, len(rec.body), rec.end, sender.count())
 		}
 	}
 }
 
-func TestKeysDecideTheTeam(t *testing.T) {
+func TestKeyDeterminesTeam(t *testing.T) {
 	cases := []struct {
 		name, key, team string
 		reason          outcome.Reason
@@ -182,26 +182,25 @@
 	}
 }
 
-// An entry that has just started must not tell a caller that its route does
-// not exist: the route may be in force everywhere else.
-func TestWithoutAConfigurationCallersComeBack(t *testing.T) {
+// An entry that has just started must not refuse a request for lack of a route: the route may
+// be in force at all other entries.
+func TestNoConfigurationRefusesWithRetryAfter(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	g.state.index = nil
 	rec := serve(g, request("/safe/x"))
 	var refused *outcome.NotRun
 	if !errors.As(rec.cause, &refused) || refused.Reason != ReasonNoConfig || refused.RetryAfter <= 0 {
-		t.Fatalf("told %v", rec.cause)
+		t.Fatalf("refused with %v", rec.cause)
 	}
 	if g.Ready() {
 		t.Fatal("ready without a configuration")
 	}
 }
 
-// An answer that comes late, after a younger one, still brings a configuration
-// that the younger one had not. Of upstreams that are silent, of loads and of the
-// leader's term it tells what was, and callers would be sent to those that are
-// lost.
-func TestPartialAnswersBringOnlyWhatHasRevisions(t *testing.T) {
+// A late answer, applied after a newer one, may still bring a configuration that the newer one
+// did not have. Its silent upstreams, loads and term are outdated: if they were applied,
+// requests would be sent to lost upstreams.
+func TestPartialAnswerAppliesOnlyRevisionedState(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	now := testAnswer()
 	now.Term, now.Document, now.Silent = 2, nil, []string{"a1"}
@@ -220,7 +219,7 @@
 	}
 }
 
-// An answer of a control host that lags brings an older configuration.
+// An answer of a control host that lags contains an older configuration.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	older := testAnswer()
@@ -232,7 +231,7 @@
 	}
 }
 
-func TestUpstreamsThatLeaveGetNothingNew(t *testing.T) {
+func TestLeavingUpstreamsGetNoRequests(t *testing.T) {
 	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
 	left := testAnswer()
 	left.Document = nil
@@ -248,14 +247,14 @@
 	}
 	for _, s := range sender.sends {
 		if s.Upstream != "a2" {
-			t.Fatalf("%s was sent a request", s.Upstream)
+			t.Fatalf("a request was sent to %s", s.Upstream)
 		}
 	}
 }
 
-// Memory of one weight version, or of an isolated team, must never serve
-// another: the salt and the version that the runner must have go together.
-func TestSaltsKeepVersionsAndIsolatedTeamsApart(t *testing.T) {
+// The cache of one weight version, or of an isolated team, must never serve another: the salt
+// and the version that the runner must have belong together.
+func TestSaltSeparatesVersionsAndIsolatedTeams(t *testing.T) {
 	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
 	send := func(key string) *PromptSend {
 		r := request("/stream/x")
@@ -264,15 +263,15 @@
 		serve(g, r)
 		return sender.sends[sender.count()-1].Prompt
 	}
-	open, walled := send("k"), send("kb")
-	if open.Version != 1 || open.Salt == walled.Salt || !strings.Contains(walled.Salt, "bank") {
-		t.Fatalf("salts %q and %q, version %d", open.Salt, walled.Salt, open.Version)
+	open, isolated := send("k"), send("kb")
+	if open.Version != 1 || open.Salt == isolated.Salt || !strings.Contains(isolated.Salt, "bank") {
+		t.Fatalf("salts %q and %q, version %d", open.Salt, isolated.Salt, open.Version)
 	}
 	if open.Fetch == nil || open.Fetch[0].Address != "store:1" || open.Fetch[0].Tokens != 9000 {
 		t.Fatalf("the kept part is not fetched: %+v", open)
 	}
-	if walled.Fetch != nil {
-		t.Fatalf("an isolated team fetches what others made: %+v", walled.Fetch)
+	if isolated.Fetch != nil {
+		t.Fatalf("an isolated team fetches a part of other teams: %+v", isolated.Fetch)
 	}
 	swapped := testAnswer()
 	swapped.Document, swapped.Inventories.Batches = nil, nil
@@ -286,9 +285,9 @@
 	}
 }
 
-// What an entry knows of the stores goes stale; a store may have restarted
-// since, and what it fetches could be half written.
-func TestStoresAreReadOnlyWhileKnowledgeIsFresh(t *testing.T) {
+// Inventories of stores become outdated: a store may have restarted since, and a part fetched
+// from it could be half written.
+func TestStoresAreUsedOnlyWithFreshInventories(t *testing.T) {
 	cases := []struct {
 		name  string
 		spoil func(*steward.WatchAnswer) time.Time
@@ -296,9 +295,9 @@
 	}{
 		{"fresh", func(*steward.WatchAnswer) time.Time { return time.Now() }, true},
 		{"old", func(*steward.WatchAnswer) time.Time { return time.Now().Add(-steward.InventoryMaxAge) }, false},
-		{"newer parts beside the old word", func(a *steward.WatchAnswer) time.Time { a.Inventories.More = true; return time.Now() }, false},
+		{"newer parts with old store states", func(a *steward.WatchAnswer) time.Time { a.Inventories.More = true; return time.Now() }, false},
 		{"closed", func(a *steward.WatchAnswer) time.Time { a.StoreStates[0].Open = false; return time.Now() }, false},
-		{"no state told", func(a *steward.WatchAnswer) time.Time { a.StoreStates = nil; return time.Now() }, false},
+		{"no store state", func(a *steward.WatchAnswer) time.Time { a.StoreStates = nil; return time.Now() }, false},
 	}
 	for _, c := range cases {
 		g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
@@ -313,29 +312,29 @@
 			t.Errorf("%s: fetch %v, save %v", c.name, p.Fetch, p.Save)
 		}
 		if c.fetch && (p.FetchDeadlineMs < 1000 || p.FetchDeadlineMs > 1000+2*steward.FetchPermit.Milliseconds()) {
-			t.Errorf("%s: the fetch may last until %d", c.name, p.FetchDeadlineMs)
+			t.Errorf("%s: the fetch deadline is %d", c.name, p.FetchDeadlineMs)
 		}
 	}
 }
 
-// A runner has the new weights before this entry was told. It refuses without
-// having run the request, which then goes to the same runner under its version.
-func TestOtherVersionIsAskedAgainAtTheSameRunner(t *testing.T) {
+// A runner has new weights before this entry knows. It refuses without having run the request,
+// which is then sent to the same runner with the new version.
+func TestOtherVersionRetriesSameRunner(t *testing.T) {
 	g, sender := testGateway(t, func(n int, _ *Send) (*Answer, error) {
 		if n == 1 {
 			return refusal(OtherVersion), nil
 		}
 		return stream(io.EOF, "1"), nil
 	})
-	named := testAnswer()
-	named.Document, named.Roster = nil, nil
-	named.Weights = &steward.WeightsView{Revision: 2, Newest: []roster.Loaded{{Model: "m", Version: 2}}}
-	g.ApplyAnswer(named, time.Now())
+	targeted := testAnswer()
+	targeted.Document, targeted.Roster = nil, nil
+	targeted.Weights = &steward.WeightsView{Revision: 2, Newest: []roster.Loaded{{Model: "m", Version: 2}}}
+	g.ApplyAnswer(targeted, time.Now())
 	r := request("/stream/x")
 	r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100}, placement.Part{ID: "own", Tokens: 10})
 	rec := serve(g, r)
-	if rec.ends != "done" || sender.count() != 2 {
-		t.Fatalf("ends %q after %d sends: %v", rec.ends, sender.count(), rec.cause)
+	if rec.end != "done" || sender.count() != 2 {
+		t.Fatalf("ends %q after %d sends: %v", rec.end, sender.count(), rec.cause)
 	}
 	a, b := sender.sends[0], sender.sends[1]
 	if a.Upstream != b.Upstream || a.Prompt.Version != 1 || b.Prompt.Version != 2 || a.Prompt.Salt == b.Prompt.Salt {
@@ -343,7 +342,7 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheSend(t *testing.T) {
+func TestCallerDisconnectClosesAnswer(t *testing.T) {
 	body := &events{end: io.EOF, pieces: []Piece{{Data: []byte("x")}}}
 	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return &Answer{Status: 200, Body: body}, nil })
 	rec := &recorder{gone: true}
@@ -352,17 +351,17 @@
 		t.Fatalf("%d sends, upstream's answer closed: %t", sender.count(), body.closed)
 	}
 	if u := g.state.upstreams[sender.sends[0].Upstream]; u.own.Requests != 0 || u.health.consecutive != 0 {
-		t.Fatalf("accounted %+v, trust %+v", u.own, u.health)
+		t.Fatalf("load %+v, health %+v", u.own, u.health)
 	}
 }
 
-func TestAccountsEndWithTheRequests(t *testing.T) {
+func TestAccountingEndsWithRequest(t *testing.T) {
 	scripts := map[string]func(int, *Send) (*Answer, error){
-		"whole":   func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil },
-		"broken":  func(int, *Send) (*Answer, error) { return stream(errors.New("reset"), "1"), nil },
-		"refused": func(int, *Send) (*Answer, error) { return refusal(Full), nil },
-		"lost":    func(int, *Send) (*Answer, error) { return nil, lost() },
-		"unsent":  func(int, *Send) (*Answer, error) { return nil, undialled() },
+		"complete": func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil },
+		"broken":   func(int, *Send) (*Answer, error) { return stream(errors.New("reset"), "1"), nil },
+		"refused":  func(int, *Send) (*Answer, error) { return refusal(Full), nil },
+		"lost":     func(int, *Send) (*Answer, error) { return nil, connectionLost() },
+		"unsent":   func(int, *Send) (*Answer, error) { return nil, dialRefused() },
 	}
 	for name, script := range scripts {
 		g, _ := testGateway(t, script)
@@ -371,23 +370,22 @@
 		serve(g, r)
 		for id, u := range g.state.upstreams {
 			if u.own != (steward.Load{}) {
-				t.Errorf("%s: %s keeps %+v", name, id, u.own)
+				t.Errorf("%s: load of %s after the request: %+v", name, id, u.own)
 			}
 		}
 		for address, store := range g.state.stores {
 			if store.own != 0 {
-				t.Errorf("%s: %d tokens wait at %s for ever", name, store.own, address)
+				t.Errorf("%s: %d tokens stay queued at %s", name, store.own, address)
 			}
 		}
 	}
 }
 
-// A stream breaks off and goes on at another runner; meanwhile a new
-// configuration has dropped the runners' service. Sent on by the new one, the
-// prompt would go without the names that keep versions and isolated teams apart in
-// a runner's memory, and the caller could be told what another team's prompt left
-// there. A request goes by the configuration that it was admitted under.
-func TestRequestsGoByOneConfiguration(t *testing.T) {
+// Guards against a prompt that is sent without the salt of its version and team, so that its
+// caller could get what another team's prompt left in a cache: a stream breaks off, and a new
+// configuration drops the service before it is resumed. A request keeps the configuration that
+// it was admitted under.
+func TestRequestKeepsItsConfiguration(t *testing.T) {
 	var g *Gateway
 	g, sender := testGateway(t, func(n int, _ *Send) (*Answer, error) {
 		if n > 1 {
@@ -398,19 +396,19 @@
 		dropped.Routes = dropped.Routes[:3]
 		dropped.Services = []catalog.Service{{Name: "app"}}
 		g.ApplyAnswer(&steward.WatchAnswer{Term: 1, Document: dropped, EntryCount: 1}, time.Now())
-		return stream(lost(), "1"), nil
+		return stream(connectionLost(), "1"), nil
 	})
 	r := request("/resume/x")
 	r.Prompt = prompt(placement.Part{ID: "own", Tokens: 100})
 	rec := serve(g, r)
-	if g.Index().Version() != 8 || sender.count() != 2 || rec.ends != "done" {
-		t.Fatalf("version %d, %d sends, ends %q: %v", g.Index().Version(), sender.count(), rec.ends, rec.cause)
+	if g.Index().Version() != 8 || sender.count() != 2 || rec.end != "done" {
+		t.Fatalf("version %d, %d sends, ends %q: %v", g.Index().Version(), sender.count(), rec.end, rec.cause)
 	}
 	first, second := sender.sends[0].Prompt, sender.sends[1].Prompt
 	if second == nil || second.Salt != first.Salt || second.Version != first.Version {
 		t.Fatalf("sent as %+v, and again as %+v", first, second)
 	}
-	if rec := serve(g, request("/resume/x")); rec.ends != "refused" {
-		t.Fatalf("a request that came later ends %q", rec.ends)
+	if rec := serve(g, request("/resume/x")); rec.end != "refused" {
+		t.Fatalf("a later request ends %q", rec.end)
 	}
 }
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// An upstream fails some requests, as one does that ends and starts again. From
-// then on it is sound. While others have failed nothing, each request goes to one
-// of them, so no answer ever lowers the share of failures that keeps requests
-// away: only time can.
-func TestFailuresAreForgottenInTime(t *testing.T) {
+// Guards against an upstream that gets no requests after it has recovered from failures. While
+// others have no failures, each request goes to them, so no answer lowers the upstream's share
+// of failures; only time does.
+func TestFailureShareDecays(t *testing.T) {
 	now := time.Now()
 	var u health
 	for range 3 {
--- a/internal/gateway/learned_test.go
+++ b/internal/gateway/learned_test.go
@@ -10,26 +10,25 @@
 	"github.com/lovagereach/lovagereach/placement"
 )
 
-// The same entry serves engines that read 3 times slower and 3 times faster than those
-// it was written for, and prompts 4 times smaller and larger. Nobody tells it. After
-// 150 prompts to idle runners, its choices have to be those that it would make if it
-// knew the pace: else it keeps parts that are not worth it, or has slow engines given
-// seconds of work.
-func TestChoicesFollowThePaceThatIsObserved(t *testing.T) {
+// Guards against choices that assume a wrong prefill rate, which save parts that aren't worth
+// it, or give slow engines seconds of work. Engines prefill 3 times slower to 3 times faster
+// than assumed, and prompts are 4 times smaller or larger. After 150 prompts to idle runners,
+// the choices have to be those made with the true rate.
+func TestChoicesFollowObservedPrefillRate(t *testing.T) {
 	for _, perMs := range []float64{22, 40, 120, 360} {
 		for _, scale := range []float64{0.25, 1, 4} {
-			synctest.Test(t, func(t *testing.T) { testChoicesFollowThePace(t, perMs, scale) })
+			synctest.Test(t, func(t *testing.T) { testChoicesFollowPrefillRate(t, perMs, scale) })
 		}
 	}
 }
 
-func testChoicesFollowThePace(t *testing.T, perMs, scale float64) {
+func testChoicesFollowPrefillRate(t *testing.T, perMs, scale float64) {
 	random := rand.New(rand.NewPCG(1, uint64(perMs)))
 	size := func(mean float64) int { return int(scale * mean * (0.5 + random.Float64())) }
 	g, _ := testGateway(t, func(_ int, s *Send) (*Answer, error) {
 		tokens := s.Request.Prompt.size() - s.Request.Prompt.Output
 		first := 15 + float64(tokens)/perMs + 4*random.Float64()
-		return &Answer{Status: 200, Body: &timed{first: time.Duration(first * float64(time.Millisecond))}}, nil
+		return &Answer{Status: 200, Body: &delayedBody{first: time.Duration(first * float64(time.Millisecond))}}, nil
 	})
 	for i := range 150 {
 		r := request("/stream/x")
@@ -62,6 +61,6 @@
 		all += 2
 	}
 	if share := float64(differ) / float64(all); share > 0.03 {
-		t.Errorf("%v tokens a ms, sizes times %v: %.3f of the choices differ (%.0f tokens a ms learnt)", perMs, scale, share, learned.PrefillPerMs)
+		t.Errorf("%v tokens a ms, sizes times %v: %.3f of the choices differ (%.0f tokens a ms learned)", perMs, scale, share, learned.PrefillPerMs)
 	}
 }
--- a/internal/gateway/lost_test.go
+++ b/internal/gateway/lost_test.go
@@ -9,11 +9,11 @@
 	"github.com/lovagereach/lovagereach/quarantine"
 )
 
-// All that tells one attempt from the next must leave the print alone, and whatever
-// makes it another request must change it: another team may say the same.
-func TestPrintsTellRequestsApart(t *testing.T) {
+// What differs between attempts of one request must not change the fingerprint; whatever makes
+// it another request must, such as another team.
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	g, _ := testGateway(t, nil)
-	print := func(change func(*Request)) quarantine.Fingerprint {
+	fingerprint := func(change func(*Request)) quarantine.Fingerprint {
 		r := request("/resume/x")
 		r.Body = []byte("body")
 		change(r)
@@ -23,14 +23,14 @@
 		}
 		return run.fingerprint
 	}
-	first := print(func(*Request) {})
+	first := fingerprint(func(*Request) {})
 	for name, change := range map[string]func(*Request){
 		"another attempt":  func(r *Request) { r.ID = "id-2" },
 		"a resumed stream": func(r *Request) { r.ResumeAfter = "3" },
 		"less time":        func(r *Request) { r.Wait = time.Second },
 	} {
-		if print(change) != first {
-			t.Errorf("%s has another print", name)
+		if fingerprint(change) != first {
+			t.Errorf("%s has another fingerprint", name)
 		}
 	}
 	for name, change := range map[string]func(*Request){
@@ -40,34 +40,34 @@
 		"another method": func(r *Request) { r.Method = "PUT" },
 		"moved bytes":    func(r *Request) { r.Target, r.Body = r.Target+"b", []byte("ody") },
 	} {
-		if print(change) == first {
-			t.Errorf("%s has the same print", name)
+		if fingerprint(change) == first {
+			t.Errorf("%s has the same fingerprint", name)
 		}
 	}
 }
 
-// Requests that break off at a runner are noted together, and it is looked at once:
-// a connection that was reset by itself must not look like a runner's end.
-func TestLostUpstreamsAreLookedAtOnce(t *testing.T) {
+// Guards against a runner that counts as crashed because one connection was reset: the
+// requests that break off at a runner are recorded together, and it is checked once.
+func TestLostUpstreamIsCheckedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, sender := testGateway(t, func(_ int, s *Send) (*Answer, error) {
 			if s.Upstream == "l1" {
 				time.Sleep(50 * time.Millisecond)
-				return nil, lost()
+				return nil, connectionLost()
 			}
 			return status(200), nil
 		})
-		sender.ended = map[string]bool{"l1": true}
+		sender.crashed = map[string]bool{"l1": true}
 		for range 8 {
 			go func() { serve(g, request("/resume/x")) }()
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if ends := g.meter.crashes.Get(); ends != 1 {
-			t.Fatalf("%d ends seen, want 1", ends)
+		if crashes := g.meter.crashes.Get(); crashes != 1 {
+			t.Fatalf("%d crashes counted, want 1", crashes)
 		}
 		if g.state.lost.Len() != 0 {
-			t.Fatal("broken sends are kept after the look")
+			t.Fatal("broken sends are kept after the check")
 		}
 	})
 }
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -50,8 +50,8 @@
 		if kind > 0 {
 			name = catalog.Kind(kind).String()
 		}
-		for end := range m.ended[kind] {
-			m.ended[kind][end] = m.set.NewCounter(fmt.Sprintf(`lovagereach_gateway_requests_total{kind=%q,outcome=%q}`, name, outcome.Kind(end)))
+		for result := range m.ended[kind] {
+			m.ended[kind][result] = m.set.NewCounter(fmt.Sprintf(`lovagereach_gateway_requests_total{kind=%q,outcome=%q}`, name, outcome.Kind(result)))
 		}
 		m.first[kind] = m.set.NewHistogram(fmt.Sprintf(`lovagereach_gateway_first_seconds{kind=%q}`, name))
 		m.waited[kind] = m.set.NewHistogram(fmt.Sprintf(`lovagereach_gateway_waited_seconds{kind=%q}`, name))
--- a/internal/gateway/meter_test.go
+++ b/internal/gateway/meter_test.go
@@ -17,15 +17,15 @@
 	return text.String()
 }
 
-// An operator finds the kind of a failure in the counters before any log is
-// read: each request counts once, under how it ended and why it did not run.
-func TestCountersTellHowRequestsEnded(t *testing.T) {
+// Each request counts once in the metrics, under its outcome and the reason why it did not
+// run, so that an operator finds the kind of a failure without the log.
+func TestCountersByOutcome(t *testing.T) {
 	g, _ := testGateway(t, func(n int, s *Send) (*Answer, error) {
 		switch n {
 		case 1:
-			return nil, lost()
+			return nil, connectionLost()
 		case 3:
-			return stream(lost(), "1"), nil
+			return stream(connectionLost(), "1"), nil
 		}
 		return stream(io.EOF, "1"), nil
 	})
@@ -59,14 +59,14 @@
 }
 
 // The dump must show why an upstream or a store gets no requests.
-func TestDumpShowsWhatIsAvoided(t *testing.T) {
-	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return nil, lost() })
+func TestDumpShowsUnusedUpstreams(t *testing.T) {
+	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return nil, connectionLost() })
 	unsafe := request("/unsafe/x")
 	serve(g, unsafe)
-	told := testAnswer()
-	told.Document, told.Roster, told.Inventories = nil, nil, nil
-	told.Silent, told.Loads = []string{"l1"}, []steward.Load{{Upstream: "l2", Requests: 3}}
-	g.ApplyAnswer(told, time.Now())
+	answer := testAnswer()
+	answer.Document, answer.Roster, answer.Inventories = nil, nil, nil
+	answer.Silent, answer.Loads = []string{"l1"}, []steward.Load{{Upstream: "l2", Requests: 3}}
+	g.ApplyAnswer(answer, time.Now())
 	d := g.Dump()
 	found := map[string]bool{}
 	for _, u := range d.Upstreams {
--- a/internal/gateway/plan_bench_test.go
+++ b/internal/gateway/plan_bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// BenchmarkPlan is one decision on a prompt among 72, 300 and 12,000 runners.
+// BenchmarkPlan measures one decision on a prompt among 72, 300 and 12,000 runners.
 func BenchmarkPlan(b *testing.B) {
 	for _, runners := range []int{72, 300, 12000} {
 		b.Run(fmt.Sprint(runners), func(b *testing.B) {
--- a/internal/gateway/resumed_test.go
+++ b/internal/gateway/resumed_test.go
@@ -5,11 +5,10 @@
 	"testing"
 )
 
-// A stream breaks off after an event and goes on at another upstream, which
-// answers with a failure of its own instead of events. The caller has the head of
-// a success and a part of the events: if the failure's body is passed on and the
-// answer ended, the stream looks whole after the event at which it broke off.
-func TestAFailureIsNoEndOfAResumedStream(t *testing.T) {
+// Guards against a resumed stream that looks complete after the event at which it broke off:
+// the upstream that it is resumed at answers with a failure, whose body must not be forwarded,
+// since the caller has the head of a success and a part of the events.
+func TestFailureDoesNotCompleteResumedStream(t *testing.T) {
 	for _, code := range []int{400, 500, 503, 504} {
 		g, sender := testGateway(t, func(n int, _ *Send) (*Answer, error) {
 			if n == 1 {
@@ -18,8 +17,8 @@
 			return status(code), nil
 		})
 		rec := serve(g, request("/resume/x"))
-		if rec.ends != "broken" || rec.body != "id: 1\n\n" {
-			t.Errorf("resumed at an upstream that answers %d: %d sends, ends %q with %q", code, sender.count(), rec.ends, rec.body)
+		if rec.end != "broken" || rec.body != "id: 1\n\n" {
+			t.Errorf("resumed at an upstream that answers %d: %d sends, ends %q with %q", code, sender.count(), rec.end, rec.body)
 		}
 	}
 }
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -14,22 +14,23 @@
 	"github.com/lovagereach/lovagereach/placement"
 )
 
-// After a restart of all processes callers come back before an election has
-// ended. Most of them come back once only: a caller that is refused twice during
-// one election is lost. The entry keeps the request until it knows where to send
-// it, gives up in time for the caller to come back, and says when.
-func TestEntryThatHasJustStartedKeepsRequests(t *testing.T) {
+// Guards against callers lost by two refusals during one election: after a restart of all
+// processes callers retry before an election has ended, most of them once only. The entry
+// keeps the request until it knows where to send it, and refuses it in time for a retry, with
+// the delay.
+func TestRequestsWaitForEntryStart(t *testing.T) {
 	cases := []struct {
 		name string
-		// told is when the configuration comes, wait the caller's own time.
-		told, wait time.Duration
-		ends       string
-		after      time.Duration
+		// configAfter is the time at which the configuration arrives, wait the caller's own time
+		// limit.
+		configAfter, wait time.Duration
+		end               string
+		after             time.Duration
 	}{
-		{"told in time", 400 * time.Millisecond, 4 * time.Second, "done", 400 * time.Millisecond},
-		{"told after hosts started apart and an election", 900 * time.Millisecond, 4 * time.Second, "done", 900 * time.Millisecond},
-		{"told too late", 2 * time.Second, 4 * time.Second, "refused", startWait},
-		{"little time of its own", time.Second, 300 * time.Millisecond, "refused", 150 * time.Millisecond},
+		{"configured in time", 400 * time.Millisecond, 4 * time.Second, "done", 400 * time.Millisecond},
+		{"configured after staggered host starts and an election", 900 * time.Millisecond, 4 * time.Second, "done", 900 * time.Millisecond},
+		{"configured too late", 2 * time.Second, 4 * time.Second, "refused", startWait},
+		{"short time limit", time.Second, 300 * time.Millisecond, "refused", 150 * time.Millisecond},
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
@@ -44,27 +45,27 @@
 			}
 			began := time.Now()
 			go func() {
-				time.Sleep(c.told)
+				time.Sleep(c.configAfter)
 				g.ApplyAnswer(testAnswer(), time.Now())
 			}()
 			r := request("/safe/x")
 			r.Wait = c.wait
 			rec := serve(g, r)
-			if took := time.Since(began); rec.ends != c.ends || took != c.after {
-				t.Errorf("%s: %s after %v, want %s after %v (%v)", c.name, rec.ends, took, c.ends, c.after, rec.cause)
+			if took := time.Since(began); rec.end != c.end || took != c.after {
+				t.Errorf("%s: %s after %v, want %s after %v (%v)", c.name, rec.end, took, c.end, c.after, rec.cause)
 			}
 			var refused *outcome.NotRun
-			if c.ends == "refused" && (!errors.As(rec.cause, &refused) || refused.RetryAfter <= 0) {
-				t.Errorf("%s: not told when to come back: %v", c.name, rec.cause)
+			if c.end == "refused" && (!errors.As(rec.cause, &refused) || refused.RetryAfter <= 0) {
+				t.Errorf("%s: no time to retry in the refusal: %v", c.name, rec.cause)
 			}
-			time.Sleep(c.told)
+			time.Sleep(c.configAfter)
 		})
 	}
 }
 
-// A large prompt that goes out before the entry knows what the stores hold is
-// read from its first token; after a restart of all, every prompt is.
-func TestLargePromptsWaitForTheFirstWordOnStores(t *testing.T) {
+// Guards against large prompts that are computed from the first token because they are sent
+// before the entry knows the inventories of the stores, as after a restart of all processes.
+func TestLargePromptsWaitForInventories(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
 		full := testAnswer()
@@ -92,20 +93,19 @@
 	})
 }
 
-// An entry and its control hosts start together. The entry's first question waits for
-// a host that is not up yet; the answer comes 1.1 s later and tells what the stores
-// held 1.1 s ago at the earliest, too old to rely on. Prompts that are let go by it
-// are all read from the start. They have to wait for the next answer, and the
-// entry has to ask for it at once.
-func TestAnAnswerThatIsTooOldIsNoFirstWordOnStores(t *testing.T) {
+// Guards against prompts recomputed from the first token at an entry that starts together with
+// its control hosts. Its first request waits for a host that is not up yet; the answer arrives
+// 1.1 s later with inventories that are at least 1.1 s old, too old to rely on. Prompts have
+// to wait for the next answer, which the entry has to request immediately.
+func TestStaleFirstInventoriesAreNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
 		g.state = newState(placement.DefaultRates().PrefillPerMs)
-		asked := time.Now()
+		requested := time.Now()
 		time.Sleep(1100 * time.Millisecond)
-		g.ApplyAnswer(testAnswer(), asked)
+		g.ApplyAnswer(testAnswer(), requested)
 		if g.NextRequest().Term != 0 {
-			t.Error("a question without the wait for news would be answered at once")
+			t.Error("the watch request asks for an answer only after a change, want an immediate one")
 		}
 		go func() {
 			time.Sleep(30 * time.Millisecond)
@@ -119,7 +119,7 @@
 			t.Fatalf("sent after %v with %+v", took, sender.sends[0].Prompt)
 		}
 		if g.NextRequest().Term == 0 {
-			t.Error("the word is fresh, and the question is to be answered at once")
+			t.Error("the inventories are fresh, but the watch request asks for an immediate answer")
 		}
 	})
 }
--- a/internal/gateway/versions_test.go
+++ b/internal/gateway/versions_test.go
@@ -13,50 +13,49 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// Callers were answered on weights that the operator had replaced 22 s before. The
-// loader had not reached the runner, and the entry went on to send it prompts. Past
-// the bound it must send it none, whatever the loader does, and say so with a time
-// to come back when no runner is left; calls without a prompt are not concerned.
-func TestPromptsDoNotBeginOnWeightsPastTheirBound(t *testing.T) {
+// Guards against answers from weights that were replaced long ago (22 s were seen), because
+// the loader did not reach a runner. Below the minimum version a runner gets no prompts,
+// whatever the loader does; if no runner is left, the refusal contains a time to retry.
+// Requests without a prompt are not affected.
+func TestPromptsAvoidRunnersBelowMinVersion(t *testing.T) {
 	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return stream(io.EOF, "1"), nil })
-	word := testAnswer()
-	word.Document, word.Inventories = nil, nil
-	word.Roster.Upstreams[3].Loaded = []roster.Loaded{{Model: "m", Version: 2}}
-	word.MinVersions = []roster.Loaded{{Model: "m", Version: 2}}
-	g.ApplyAnswer(word, time.Now())
-	ask := func() *recorder {
+	answer := testAnswer()
+	answer.Document, answer.Inventories = nil, nil
+	answer.Roster.Upstreams[3].Loaded = []roster.Loaded{{Model: "m", Version: 2}}
+	answer.MinVersions = []roster.Loaded{{Model: "m", Version: 2}}
+	g.ApplyAnswer(answer, time.Now())
+	send := func() *recorder {
 		r := request("/stream/x")
 		r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
 		return serve(g, r)
 	}
 	for range 20 {
-		ask()
+		send()
 	}
 	for _, send := range sender.sends {
 		if send.Upstream != "l1" || send.Prompt.Version != 2 {
 			t.Fatalf("a prompt was sent to %s for version %d", send.Upstream, send.Prompt.Version)
 		}
 	}
-	// An answer of a host that has not heard of the bound takes nothing back.
-	older := *word
+	// An answer of a control host that doesn't know the minimum version doesn't lower it.
+	older := *answer
 	older.MinVersions, older.Roster = nil, nil
 	g.ApplyAnswer(&older, time.Now())
 	sent := sender.count()
-	word.MinVersions = []roster.Loaded{{Model: "m", Version: 3}}
-	g.ApplyAnswer(word, time.Now())
+	answer.MinVersions = []roster.Loaded{{Model: "m", Version: 3}}
+	g.ApplyAnswer(answer, time.Now())
 	g.ApplyAnswer(&older, time.Now())
 	var unsent *outcome.NotRun
-	if got := ask(); sender.count() != sent || got.ends != "refused" || !errors.As(got.cause, &unsent) || unsent.RetryAfter == 0 {
-		t.Fatalf("%d sends, answered %q: %v", sender.count()-sent, got.ends, got.cause)
+	if got := send(); sender.count() != sent || got.end != "refused" || !errors.As(got.cause, &unsent) || unsent.RetryAfter == 0 {
+		t.Fatalf("%d sends, answered %q: %v", sender.count()-sent, got.end, got.cause)
 	}
 }
 
-// A runner refuses a prompt because it has other weights than the entry asked for. It
-// has loaded the version before the newest. If the entry takes it for one that has the
-// newest, all prompts go there before any other runner, and the runner refuses each of
-// them, for as long as it takes to load once more; callers are turned away though
-// another runner would answer them.
-func TestARunnerBetweenTwoVersionsDrawsNoPromptsThatItRefuses(t *testing.T) {
+// Guards against a runner that attracts all prompts and refuses them. It has loaded the
+// version before the newest and refuses a prompt for another version. If the entry assumed the
+// newest, all prompts would go there first until its next load, and callers would be refused
+// although another runner could answer.
+func TestRunnerBetweenVersionsAttractsNoPrompts(t *testing.T) {
 	has := map[string]uint64{"l1": 2, "l2": 1}
 	g, _ := testGateway(t, func(_ int, s *Send) (*Answer, error) {
 		if s.Prompt.Version != has[s.Upstream] {
@@ -64,49 +63,49 @@
 		}
 		return stream(io.EOF, "1"), nil
 	})
-	named := testAnswer()
-	named.Document, named.Roster = nil, nil
-	named.Weights = &steward.WeightsView{Revision: 3, Newest: []roster.Loaded{{Model: "m", Version: 3}}}
-	g.ApplyAnswer(named, time.Now())
+	targeted := testAnswer()
+	targeted.Document, targeted.Roster = nil, nil
+	targeted.Weights = &steward.WeightsView{Revision: 3, Newest: []roster.Loaded{{Model: "m", Version: 3}}}
+	g.ApplyAnswer(targeted, time.Now())
 	const callers = 30
 	refused := 0
 	for range callers {
 		r := request("/stream/x")
 		r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
-		if serve(g, r).ends != "done" {
+		if serve(g, r).end != "done" {
 			refused++
 		}
 	}
 	if refused > 3 {
-		t.Errorf("%d of %d callers were turned away", refused, callers)
+		t.Errorf("%d of %d callers were refused", refused, callers)
 	}
 }
 
-// A route leads to a service whose upstreams hold no models, and its callers send
-// prompts there all the same. Weights of the model are past their bound elsewhere.
-// That concerns runners of the model only: callers of this service are to be answered.
-func TestTheFloorConcernsNoUpstreamsWithoutModels(t *testing.T) {
+// A route leads to a service whose upstreams have no models, and callers send prompts there. A
+// minimum version of the model applies to runners of the model only: these callers are
+// answered.
+func TestMinVersionIgnoresUpstreamsWithoutModels(t *testing.T) {
 	g, _ := testGateway(t, func(int, *Send) (*Answer, error) { return status(200), nil })
-	word := testAnswer()
-	word.Document, word.Inventories = nil, nil
-	for i := range word.Roster.Upstreams {
-		if word.Roster.Upstreams[i].Service == "app" {
-			word.Roster.Upstreams[i].Loaded = nil
+	answer := testAnswer()
+	answer.Document, answer.Inventories = nil, nil
+	for i := range answer.Roster.Upstreams {
+		if answer.Roster.Upstreams[i].Service == "app" {
+			answer.Roster.Upstreams[i].Loaded = nil
 		}
 	}
-	word.MinVersions = []roster.Loaded{{Model: "m", Version: 2}}
-	g.ApplyAnswer(word, time.Now())
+	answer.MinVersions = []roster.Loaded{{Model: "m", Version: 2}}
+	g.ApplyAnswer(answer, time.Now())
 	r := request("/safe/x")
 	r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
-	if got := serve(g, r); got.ends != "done" {
-		t.Fatalf("ends %q: %v", got.ends, got.cause)
+	if got := serve(g, r); got.end != "done" {
+		t.Fatalf("ends %q: %v", got.end, got.cause)
 	}
 }
 
-// A runner refuses the version that it was known for, and the entry tries the newest
-// with the same request. Only an answer makes that a belief: refused again, the runner
-// would be preferred for weights that it does not have.
-func TestAGuessedVersionIsBelievedOnceItIsConfirmed(t *testing.T) {
+// A runner refuses the version that it was known for, and the entry tries the newest with the
+// same request. The version counts as known only after an answer: a runner that refuses again
+// would be preferred for weights that it doesn't have.
+func TestGuessedVersionNeedsConfirmation(t *testing.T) {
 	for has, want := range map[uint64]uint64{2: 1, 3: 3} {
 		g, _ := testGateway(t, func(_ int, s *Send) (*Answer, error) {
 			if s.Prompt.Version != has {
@@ -114,34 +113,34 @@
 			}
 			return stream(io.EOF, "1"), nil
 		})
-		named := testAnswer()
-		named.Document, named.Roster.Upstreams = nil, named.Roster.Upstreams[3:4]
-		named.Weights = &steward.WeightsView{Revision: 3, Newest: []roster.Loaded{{Model: "m", Version: 3}}}
-		g.ApplyAnswer(named, time.Now())
+		targeted := testAnswer()
+		targeted.Document, targeted.Roster.Upstreams = nil, targeted.Roster.Upstreams[3:4]
+		targeted.Weights = &steward.WeightsView{Revision: 3, Newest: []roster.Loaded{{Model: "m", Version: 3}}}
+		g.ApplyAnswer(targeted, time.Now())
 		r := request("/stream/x")
 		r.Prompt = prompt(placement.Part{ID: "p", Tokens: 100})
 		serve(g, r)
 		if got := g.state.upstreams["l1"].versionOf("m"); got != want {
-			t.Errorf("a runner with version %d is believed to have %d, want %d", has, got, want)
+			t.Errorf("a runner with version %d counts as version %d, want %d", has, got, want)
 		}
 	}
 }
 
-// An upstream of a plain service answers 421 and names no instance, so that the answer
-// looks like that of a runner with other weights. There is no prompt to send again with
-// another version; the caller gets an answer, and no connection that breaks off.
-func TestOtherWeightsThanNoneAreARefusal(t *testing.T) {
+// An upstream of a plain service answers 421 and names no instance, which looks like the
+// answer of a runner with other weights. There is no prompt to send with another version; the
+// caller gets an answer instead of a broken connection.
+func TestOtherVersionWithoutPromptIsRefusal(t *testing.T) {
 	g, sender := testGateway(t, func(int, *Send) (*Answer, error) { return refusal(OtherVersion), nil })
-	if got := serve(g, request("/unsafe/x")); got.ends != "refused" || sender.count() != 1 {
-		t.Fatalf("%d sends, ends %q: %v", sender.count(), got.ends, got.cause)
+	if got := serve(g, request("/unsafe/x")); got.end != "refused" || sender.count() != 1 {
+		t.Fatalf("%d sends, ends %q: %v", sender.count(), got.end, got.cause)
 	}
 }
 
-// One runner has new weights and no room, the other the weights before. A prompt is
-// sent to the second. What the first has cached of the older weights must not count as
-// the second's: it would be given a prompt as if it had little to read, and prompts
-// that come after would wait behind what nobody counted.
-func TestACacheOfAnotherRunnerDoesNotCountAtOlderWeights(t *testing.T) {
+// Guards against a prompt placed by the cache of another runner. One runner has new weights
+// and no capacity, so the prompt goes to the other one with the old weights. Parts that the
+// first has cached of the old weights must not count for the second: prompts behind it would
+// wait for a prefill that was not accounted for.
+func TestCacheOfOtherRunnerDoesNotCountAtOlderVersion(t *testing.T) {
 	g, _ := testGateway(t, nil)
 	s, now := g.state, time.Now()
 	newer, older := s.upstreams["l1"], s.upstreams["l2"]
@@ -159,9 +158,9 @@
 	if err != nil || p == nil || p.upstream != older {
 		t.Fatalf("plan %+v, %v", p, err)
 	}
-	// Of the shared part, 0.15 are to be read where nothing is known, 0.1 where it is
-	// known to be cached.
+	// Of the shared part, 0.15 count as prefill if nothing is known of the caches, 0.1 if the
+	// part is known to be cached.
 	if p.prefillTokens < 1800 {
-		t.Errorf("%d tokens count as to be read, as if the other runner's cache were its own; want 1850", p.prefillTokens)
+		t.Errorf("%d tokens of prefill, as if the other runner's cache were its own; want 1850", p.prefillTokens)
 	}
 }
