--- a/internal/steward/takers_test.go
+++ b/internal/steward/activeentries_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Guards against shares of the retry budget that are less than one further send, because
-// they are cut for a thousand entries of which forty are told to callers; and against shares
-// that add up to more than the budget when callers are told others.
-func TestSharesAreThoseOfEntriesInUse(t *testing.T) {
+// Guards against shares of the retry budget that are less than one further send, because they
+// are computed for a thousand entries of which callers use forty; and against shares that add
+// up to more than the budget when callers switch to other entries.
+func TestActiveCountCoversRecentEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLeadership()
 		views := make([]EntryView, 1000)
@@ -23,20 +23,20 @@
 			}
 		}
 		use(0, 40)
-		if got := l.takerCount(views, time.Now()); got != 1000 {
-			t.Errorf("%d for a leader that has seen nothing yet", got)
+		if got := l.activeCount(views, time.Now()); got != 1000 {
+			t.Errorf("%d counted by a new leader, want all 1000", got)
 		}
-		time.Sleep(takersOver)
-		if got := l.takerCount(views, time.Now()); got != 40 {
+		time.Sleep(activeWindow)
+		if got := l.activeCount(views, time.Now()); got != 40 {
 			t.Errorf("%d of 40 are in use", got)
 		}
 		use(100, 150)
 		time.Sleep(silentEvery)
-		if got := l.takerCount(views, time.Now()); got != 90 {
+		if got := l.activeCount(views, time.Now()); got != 90 {
 			t.Errorf("%d are in use, 90 were within the window", got)
 		}
-		time.Sleep(takersOver + silentEvery)
-		if got := l.takerCount(views, time.Now()); got != 50 {
+		time.Sleep(activeWindow + silentEvery)
+		if got := l.activeCount(views, time.Now()); got != 50 {
 			t.Errorf("%d of 50 are in use", got)
 		}
 	})
--- a/internal/steward/announcing_test.go
+++ b/internal/steward/announceinterval_test.go
@@ -9,14 +9,14 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// Guards against upstreams that count as silent between two announcements where these are
-// seconds apart: callers get nothing from them, and every entry is told thousands of names
-// in each answer.
-func TestUpstreamsAreSilentByTheirOwnInterval(t *testing.T) {
+// Guards against upstreams that count as silent between two announcements when the interval is
+// several seconds: they would get no requests, and each answer would carry thousands of IDs to
+// every entry.
+func TestSilenceFollowsAnnounceInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, every := range []time.Duration{0, time.Second, 5 * time.Second} {
 			l := testLeadership()
-			l.announcing = announcing(every)
+			l.announceEvery = announceInterval(every)
 			interval := max(every, DefaultAnnounceEvery)
 			if every > 0 {
 				interval = every
@@ -24,7 +24,7 @@
 			var ids []string
 			for i := range 100 {
 				ids = append(ids, fmt.Sprint("u", i))
-				l.beat(ids[i], time.Now())
+				l.recordContact(ids[i], time.Now())
 			}
 			time.Sleep(2 * interval)
 			if silent := l.silentOf(ids, time.Now()); len(silent) != 0 {
@@ -38,39 +38,39 @@
 	})
 }
 
-// Guards against answers that repeat who is silent: with a data centre's upstreams lost,
-// thousands of names to a thousand entries several times a second.
-func TestWhoIsSilentIsToldOnce(t *testing.T) {
+// Guards against answers that repeat the list of silent upstreams: if a data centre's upstreams
+// are lost, that sends thousands of IDs to a thousand entries several times a second.
+func TestSilentListIsSentOncePerRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLeadership(1)
-		l.steward.meter = newMeter(l.steward)
+		l.steward.counters = newControlMetrics(l.steward)
 		l.steward.leading.Store(l)
-		time.Sleep(2 * l.announcing.silentAfter())
-		request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Document: 1, Roster: l.steward.machine.held().roster}
+		time.Sleep(2 * l.announceEvery.silentAfter())
+		request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Document: 1, Roster: l.steward.machine.currentRevisions().roster}
 		first := l.steward.watch(t.Context(), entryPeer("e1"), request)
 		if len(first.Silent) != 1 || first.SilentAt == 0 {
-			t.Fatalf("told %v at %d", first.Silent, first.SilentAt)
+			t.Fatalf("silent %v at revision %d", first.Silent, first.SilentAt)
 		}
 		request.Term, request.SilentAt = first.Term, first.SilentAt
 		if again := l.steward.watch(t.Context(), entryPeer("e1"), request); again.Silent != nil || again.SilentAt != first.SilentAt {
-			t.Errorf("told again: %v", again.Silent)
+			t.Errorf("sent again: %v", again.Silent)
 		}
-		l.beat("a", time.Now())
+		l.recordContact("a", time.Now())
 		time.Sleep(silentEvery)
-		if heard := l.steward.watch(t.Context(), entryPeer("e1"), request); heard.SilentAt == first.SilentAt || len(heard.Silent) != 0 {
-			t.Errorf("not told that it is heard: %v at %d", heard.Silent, heard.SilentAt)
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.SilentAt == first.SilentAt || len(answer.Silent) != 0 {
+			t.Errorf("the contact was not reported: silent %v at %d", answer.Silent, answer.SilentAt)
 		}
 	})
 }
 
-// manyUpstreams announces n upstreams to a machine.
-func manyUpstreams(m *Machine, n int) {
-	words := make([]roster.Upstream, n)
-	for i := range words {
-		words[i] = roster.Upstream{
+// announceUpstreams announces n upstreams to a machine.
+func announceUpstreams(m *Machine, n int) {
+	announcements := make([]roster.Upstream, n)
+	for i := range announcements {
+		announcements[i] = roster.Upstream{
 			ID: fmt.Sprintf("i-%010x", i), Service: "llm", Address: fmt.Sprintf("10.1.%d.%d:8389", i/250, i%250), DataCentre: "north",
 			State: roster.Serving, Slots: 8, Sequence: 1, StartedMs: 1777679230518, Loaded: []roster.Loaded{{Model: "m", Version: 1}},
 		}
 	}
-	m.applyUpstreams(words)
+	m.applyUpstreams(announcements)
 }
--- a/internal/steward/enrol_test.go
+++ b/internal/steward/announcements_test.go
@@ -12,23 +12,23 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// Guards against a control group that never recovers from a restart: three thousand
-// upstreams announce themselves at once, are answered late, and announce themselves again.
-func TestAnnouncementsOfARestartShareCommands(t *testing.T) {
+// Guards against a control group that never recovers from a restart: three thousand upstreams
+// announce themselves together, get late answers, and announce themselves again.
+func TestAnnouncementsAreBatchedAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const upstreams, perCommand = 3000, 30 * time.Millisecond
-		commands, carried := 0, make(map[string]int)
-		g := newGatherer(func(_ context.Context, words []roster.Upstream) []wordVerdict {
+		commands, delivered := 0, make(map[string]int)
+		g := newBatcher(func(_ context.Context, announcements []roster.Upstream) []announceResult {
 			time.Sleep(perCommand)
 			commands++
-			verdicts := make([]wordVerdict, len(words))
-			for i, u := range words {
-				carried[u.ID]++
+			results := make([]announceResult, len(announcements))
+			for i, u := range announcements {
+				delivered[u.ID]++
 				if u.Service == "nobody" {
-					verdicts[i] = wordForeign
+					results[i] = announceForeign
 				}
 			}
-			return verdicts
+			return results
 		})
 		began := time.Now()
 		var all sync.WaitGroup
@@ -48,17 +48,17 @@
 		if took := time.Since(began); took > 1200*time.Millisecond {
 			t.Errorf("the last is answered after %v", took)
 		}
-		if len(carried) != upstreams || commands > 40 {
-			t.Errorf("%d upstreams in %d commands", len(carried), commands)
+		if len(delivered) != upstreams || commands > 40 {
+			t.Errorf("%d upstreams in %d commands", len(delivered), commands)
 		}
 	})
 }
 
-// Guards against an announcement that counts as taken in although its batch was not
-// committed, and against one that waits for ever.
-func TestAnnouncementsOfAFailedBatchAreUncertain(t *testing.T) {
+// Guards against an announcement that is reported as applied although its batch was not
+// committed, and against one that waits indefinitely.
+func TestFailedBatchReturnsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGatherer(func(ctx context.Context, _ []roster.Upstream) []wordVerdict {
+		g := newBatcher(func(ctx context.Context, _ []roster.Upstream) []announceResult {
 			<-ctx.Done()
 			return nil
 		})
--- a/internal/steward/stepped_test.go
+++ b/internal/steward/clockstepfree_test.go
@@ -12,7 +12,7 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// refusingReplica commits nothing, and counts what it was to commit.
+// refusingReplica commits nothing, and counts the proposals.
 type refusingReplica struct {
 	leasedReplica
 	proposed int
@@ -24,8 +24,8 @@
 }
 
 // Guards against a part that is freed while a runner fetches it: the upstreams' clock has
-// stepped back, and the fetch was permitted until a time that the clock reaches later.
-func TestNoPartIsFreedUnderAPermitThatAStepBackHasProlonged(t *testing.T) {
+// stepped back, and the fetch is permitted until a time that the clock reaches later.
+func TestClockStepBackDelaysFree(t *testing.T) {
 	const step, retiredBefore = 5 * time.Second, time.Second
 	for timeout, least := range map[time.Duration]time.Duration{
 		time.Minute: retiredBefore + step + FetchPermit,
@@ -37,25 +37,25 @@
 			replica := &refusingReplica{leasedReplica: leasedReplica{steward: l.steward}}
 			var opened port.Replica = replica
 			l.steward.opened.Store(&opened)
-			l.steward.meter = newMeter(l.steward)
+			l.steward.counters = newControlMetrics(l.steward)
 			store := &catalog.Store{Address: "store:1", CapacityTokens: 100, Managed: true}
 			l.steward.machine.applyDocument(&catalog.Document{
 				Version: 1, Routes: []catalog.Route{{Name: "r", Timeout: timeout}}, Services: []catalog.Service{{Name: "store", Store: store}},
 			})
 			old := cacheindex.Change{Key: cacheindex.Key{Salt: cacheindex.Salt("m", 1, ""), Part: "old"}, Tokens: 90}
-			l.steward.book.replace(store.Address, StoreEvents{Incarnation: 1, Next: 1, Changes: []cacheindex.Change{old}})
-			l.steward.book.reopen(store.Address, time.Now(), 0)
+			l.steward.index.replace(store.Address, StoreEvents{Incarnation: 1, Next: 1, Changes: []cacheindex.Change{old}})
+			l.steward.index.reopen(store.Address, time.Now(), 0)
 			clock := int64(100_000)
-			l.shelves.noteClock(clock)
+			l.inventories.recordClock(clock)
 			o := newRetirer(l)
-			passed := passedBy(l.steward.machine.live())
-			o.tend(t.Context(), store, passed)
+			upgraded := upgradedShare(l.steward.machine.live())
+			o.maintain(t.Context(), store, upgraded)
 			retired := time.Now()
 			time.Sleep(retiredBefore)
-			l.shelves.noteClock(clock + retiredBefore.Milliseconds() - step.Milliseconds())
+			l.inventories.recordClock(clock + retiredBefore.Milliseconds() - step.Milliseconds())
 			for replica.proposed == 0 && time.Since(retired) < time.Minute {
 				time.Sleep(retireEvery)
-				o.tend(t.Context(), store, passed)
+				o.maintain(t.Context(), store, upgraded)
 			}
 			if freed := time.Since(retired); freed < least || freed > least+2*time.Second {
 				t.Errorf("timeout %v: freed %v after it was retired, a fetch may last for %v", timeout, freed, least)
--- a/internal/steward/clockback_test.go
+++ b/internal/steward/clocksteps_test.go
@@ -12,16 +12,17 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// recovery is how long a group may take to serve again once a quorum of its disks is back.
+// recovery is the time within which a group must serve again once a quorum of its disks is
+// back.
 const recovery = 12 * time.Second
 
-// clockOf stands for the incarnation of a process that starts at a time of day.
-func clockOf(seconds int) ident.Incarnation {
+// incarnationAt is the incarnation of a process that starts at a wall-clock time.
+func incarnationAt(seconds int) ident.Incarnation {
 	return ident.Incarnation(time.Duration(seconds) * time.Second / time.Microsecond)
 }
 
-// within fails the test unless something holds in time.
-func (f *fleet) within(limit time.Duration, what string, holds func() bool) {
+// within fails the test unless the condition holds within the limit.
+func (f *testGroup) within(limit time.Duration, what string, holds func() bool) {
 	f.t.Helper()
 	for deadline := time.Now().Add(limit); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -30,21 +31,21 @@
 	}
 }
 
-// Guards against a control host that is refused by the others for as long as it runs since
-// its clock stepped back before it started again: the next lost disk leaves no quorum.
-func TestAGroupBearsALostDiskAfterAHostsClockSteppedBack(t *testing.T) {
-	f := newFleet(t)
+// Guards against a control host that the others refuse for as long as it runs because its clock
+// stepped back before it restarted: the next lost disk would leave no quorum.
+func TestGroupSurvivesLostDiskAfterClockStepsBack(t *testing.T) {
+	f := newTestGroup(t)
 	for i := 1; i <= 3; i++ {
-		f.incarnations[hostName(i)] = clockOf(100)
+		f.incarnations[hostName(i)] = incarnationAt(100)
 	}
 	f.startThree()
 	f.put(1, "one")
 	f.kill(hostName(3))
-	f.incarnations[hostName(3)] = clockOf(95)
+	f.incarnations[hostName(3)] = incarnationAt(95)
 	f.start(hostName(3), "disk3", false)
 	f.put(2, "two")
 	f.kill(hostName(2))
-	f.incarnations[hostName(2)] = clockOf(130)
+	f.incarnations[hostName(2)] = incarnationAt(130)
 	f.start(hostName(2), "empty", false)
 	f.within(recovery, "every host reads back what was acknowledged", func() bool {
 		for _, s := range f.hosts() {
@@ -56,18 +57,18 @@
 	})
 }
 
-// Guards against control hosts that refuse one another for good since their clocks stepped
-// back and two of them started again one after the other.
-func TestControlHostsWhoseClocksSteppedBackElectALeader(t *testing.T) {
-	f := newFleet(t)
+// Guards against control hosts that refuse one another permanently because their clocks stepped
+// back and two of them restarted one after the other.
+func TestLeaderIsElectedAfterClocksStepBack(t *testing.T) {
+	f := newTestGroup(t)
 	for i := 1; i <= 3; i++ {
-		f.incarnations[hostName(i)] = clockOf(100)
+		f.incarnations[hostName(i)] = incarnationAt(100)
 	}
 	f.startThree()
 	f.put(1, "one")
 	for i := 1; i <= 2; i++ {
 		f.kill(hostName(i))
-		f.incarnations[hostName(i)] = clockOf(95 + i)
+		f.incarnations[hostName(i)] = incarnationAt(95 + i)
 		f.start(hostName(i), fmt.Sprint("disk", i), false)
 		time.Sleep(2 * electionMax)
 	}
@@ -77,19 +78,19 @@
 	})
 }
 
-// Guards against entries that no control host answers since their clocks stepped back
-// before they started again.
-func TestAnEntryWhoseClockSteppedBackFollowsTheLeader(t *testing.T) {
-	f := newFleet(t)
+// Guards against entries that no control host answers because their clocks stepped back before
+// they restarted.
+func TestEntryFollowsAfterClockStepsBack(t *testing.T) {
+	f := newTestGroup(t)
 	f.startThree()
 	f.put(1, "one")
-	for _, incarnation := range []ident.Incarnation{clockOf(100), clockOf(99)} {
+	for _, incarnation := range []ident.Incarnation{incarnationAt(100), incarnationAt(99)} {
 		f.followOnce("127.0.0.9", incarnation)
 	}
 }
 
-// followOnce starts an entry, and ends it once it has the configuration.
-func (f *fleet) followOnce(host ident.Host, incarnation ident.Incarnation) {
+// followOnce starts an entry, and stops it once it has the configuration.
+func (f *testGroup) followOnce(host ident.Host, incarnation ident.Incarnation) {
 	f.t.Helper()
 	follower, err := NewEntryFollower(EntryOptions{
 		Cluster: "test", Key: []byte("a key of the test processes"), Host: host, DataCentre: "north", Incarnation: incarnation,
@@ -99,13 +100,13 @@
 		f.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	told, done := make(chan struct{}, 1), make(chan struct{})
+	received, done := make(chan struct{}, 1), make(chan struct{})
 	go func() {
 		defer close(done)
 		follower.Run(ctx, func() *WatchRequest { return &WatchRequest{Entry: &EntryView{Host: string(host)}} }, func(answer *WatchAnswer, _ time.Time) {
 			if answer.Document != nil {
 				select {
-				case told <- struct{}{}:
+				case received <- struct{}{}:
 				default:
 				}
 			}
@@ -113,14 +114,14 @@
 	}()
 	defer func() { cancel(); <-done }()
 	select {
-	case <-told:
+	case <-received:
 	case <-time.After(recovery):
-		f.t.Fatalf("incarnation %d was told no configuration within %s", incarnation, recovery)
+		f.t.Fatalf("incarnation %d received no configuration within %s", incarnation, recovery)
 	}
 }
 
 // hosts lists the running hosts.
-func (f *fleet) hosts() []*Steward {
+func (f *testGroup) hosts() []*Steward {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var hosts []*Steward
--- a/internal/steward/directory.go
+++ b/internal/steward/directory.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	// addressesKept is how long an answer of the directory is given again. Callers keep it
-	// for seconds, and thousands of them ask.
-	addressesKept = 100 * time.Millisecond
-	// maxPlaces bounds the data centres whose answers are kept: callers may name any.
-	maxPlaces = 64
+	// addressCacheTTL is the time for which an answer of the directory is reused. Callers keep
+	// an answer for seconds, and thousands of them send requests.
+	addressCacheTTL = 100 * time.Millisecond
+	// maxCachedQueries bounds the cached answers: callers may name any data centre.
+	maxCachedQueries = 64
 )
 
-// entryList returns the entries as this host knows them.
+// entryList returns this host's current list of entries.
 func (s *Steward) entryList() []EntryView {
 	if l := s.leading.Load(); l != nil {
 		return l.watchers.recentEntries(time.Now())
 	}
-	return s.branch.entries(s.branch.now())
+	return s.relay.entries(s.relay.now())
 }
 
-// directory keeps the answers that callers are given, by data centre.
+// directory caches the answers to callers, by data centre and limit.
 type directory struct {
-	mu    sync.Mutex
-	given map[place]givenAddresses
+	mu     sync.Mutex
+	cached map[addressQuery]cachedAddresses
 }
 
-// place is where a caller asks from, and for how many addresses.
-type place struct {
+// addressQuery is a caller's data centre and the number of addresses that it requests.
+type addressQuery struct {
 	dataCentre string
 	limit      int
 }
 
-type givenAddresses struct {
+type cachedAddresses struct {
 	at        time.Time
 	addresses []string
 }
 
-// Addresses lists the listeners that callers in a data centre are to use, limit at
-// most. The list must not be changed.
+// Addresses lists the listeners that callers in a data centre should use, at most limit of
+// them. The list must not be changed.
 func (s *Steward) Addresses(dataCentre string, limit int) []string {
-	d, from, now := &s.directory, place{dataCentre: dataCentre, limit: limit}, time.Now()
+	d, from, now := &s.directory, addressQuery{dataCentre: dataCentre, limit: limit}, time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if known, given := d.given[from]; given && now.Sub(known.at) < addressesKept {
+	if known, given := d.cached[from]; given && now.Sub(known.at) < addressCacheTTL {
 		return known.addresses
 	}
-	if d.given == nil || len(d.given) >= maxPlaces {
-		d.given = make(map[place]givenAddresses)
+	if d.cached == nil || len(d.cached) >= maxCachedQueries {
+		d.cached = make(map[addressQuery]cachedAddresses)
 	}
 	addresses := chooseAddresses(s.entryList(), dataCentre, limit)
-	d.given[from] = givenAddresses{at: now, addresses: addresses}
+	d.cached[from] = cachedAddresses{at: now, addresses: addresses}
 	return addresses
 }
 
--- a/internal/steward/entry.go
+++ b/internal/steward/entry.go
@@ -11,7 +11,7 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// roleEntry is the role of entries among the processes.
+// roleEntry is the peer role of entries.
 const roleEntry = "entry"
 
 // EntryOptions configure the follower of an entry.
@@ -20,17 +20,18 @@
 	Key        []byte
 	Host       ident.Host
 	DataCentre ident.DataCentre
-	// Incarnation tells this run of the process from others on its host; zero draws one.
+	// Incarnation distinguishes this run of the process from others on its host; zero draws a
+	// random one.
 	Incarnation ident.Incarnation
 	Seeds       []ident.Host
 	PeerPort    int
-	// ApplyWithin is within what time after its acknowledgement a configuration must be
-	// in force; 0 where that is not told.
+	// ApplyWithin is the time after its acknowledgement within which a configuration must be in
+	// force; 0 if no bound is configured.
 	ApplyWithin time.Duration
 	Log         *log.Logger
 }
 
-// NewEntryFollower returns an entry's follower with connections of its own.
+// NewEntryFollower returns a follower for an entry, with its own connections.
 func NewEntryFollower(o EntryOptions) (*Follower, error) {
 	if o.Incarnation == 0 {
 		o.Incarnation = peer.NewIncarnation()
--- a/internal/steward/evacuate.go
+++ b/internal/steward/evacuate.go
@@ -10,12 +10,12 @@
 	"github.com/lovagereach/lovagereach/evacuation"
 )
 
-// ErrInvalid reports an order that can never be carried out. Nothing was changed.
+// ErrInvalid reports an order that can never be executed. Nothing was changed.
 var ErrInvalid = errors.New("steward: the order is not valid")
 
-// Evacuate has the upstreams of a data centre get no new work, or get it again.
-// Without an error the order is in the log of a quorum, and in force at every entry
-// that asks for news; the same order may be sent again at any time.
+// Evacuate stops new work for the upstreams of a data centre, or resumes it. Without an error
+// the order is in the log of a quorum, and in force at every entry that watches the group; the
+// same order may be sent again at any time.
 func (s *Steward) Evacuate(ctx context.Context, o evacuation.Order) error {
 	if err := o.Check(s.dataCentres()); err != nil {
 		return errors.Join(ErrInvalid, err)
@@ -27,8 +27,9 @@
 	return err
 }
 
-// dataCentres are those that an order may name: of the settings and, as one may be
-// added while processes run, of the upstreams. None where the settings list none.
+// dataCentres lists the data centres that an order may name: those of the settings and those of
+// the upstreams, since a data centre may be added while processes run. It returns nil if the
+// settings list none.
 func (s *Steward) dataCentres() []string {
 	if len(s.options.DataCentres) == 0 {
 		return nil
@@ -42,8 +43,8 @@
 	return known
 }
 
-// applyEvacuation carries an order out. Upstreams may have turned cold while nothing
-// was sent there: they count as cold from the withdrawal on. The caller holds the
+// applyEvacuation applies an order. Upstreams may have turned cold while they received no
+// requests: they count as cold from the withdrawal of the evacuation on. The caller holds the
 // lock.
 func (m *Machine) applyEvacuation(o evacuation.Order) {
 	if !m.evacuation.Apply(o) {
@@ -55,34 +56,34 @@
 	m.notifyOrder()
 }
 
-// evacuated returns the evacuations.
+// evacuated returns the evacuations in the replicated state.
 func (m *Machine) evacuated() evacuation.View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.evacuation.View()
 }
 
-// heldEvacuation returns the revision from which on an order holds, false where it
-// does not hold yet.
-func (m *Machine) heldEvacuation(o evacuation.Order) (uint64, bool) {
+// evacuationState returns the current revision of the evacuations, and whether an order is
+// already applied.
+func (m *Machine) evacuationState(o evacuation.Order) (uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.evacuation.Revision(), m.evacuation.Holds(o)
 }
 
-// carryOutEvacuation commits an order on the leader, if it does not hold yet, and waits
+// executeEvacuation commits an order on the leader, unless it is already applied, and waits
 // until it is in force.
-func (s *Steward) carryOutEvacuation(ctx context.Context, o evacuation.Order) error {
+func (s *Steward) executeEvacuation(ctx context.Context, o evacuation.Order) error {
 	l := s.leading.Load()
 	if l == nil {
 		return ErrUnavailable
 	}
-	if _, holds := s.machine.heldEvacuation(o); !holds {
+	if _, holds := s.machine.evacuationState(o); !holds {
 		if _, err := s.propose(ctx, command{Evacuate: &o}); err != nil {
 			return err
 		}
 	}
-	revision, holds := s.machine.heldEvacuation(o)
+	revision, holds := s.machine.evacuationState(o)
 	if !holds {
 		return eris.Wrap(ErrUnavailable, "another order has come in between, or too many data centres are evacuated")
 	}
--- a/internal/steward/evacuate_test.go
+++ b/internal/steward/evacuate_test.go
@@ -16,12 +16,12 @@
 )
 
 // evacuate sends an order to any host until it is acknowledged.
-func (f *fleet) evacuate(o evacuation.Order) {
+func (f *testGroup) evacuate(o evacuation.Order) {
 	f.t.Helper()
 	f.await("an acknowledgement", func() bool { return f.any().Evacuate(context.Background(), o) == nil })
 }
 
-// evacuatedAt reports whether a host has a data centre as evacuated.
+// evacuatedAt reports whether a data centre is evacuated in a host's state.
 func evacuatedAt(s *Steward, dataCentre string) bool {
 	view := s.machine.evacuated()
 	return view.Evacuated(dataCentre)
@@ -30,7 +30,7 @@
 // Guards against an acknowledged evacuation that is lost: with the leader's disk, by a
 // change of leaders, or when all hosts are killed at once.
 func TestEvacuationsSurviveLostDisksAndRestarts(t *testing.T) {
-	f := newFleet(t)
+	f := newTestGroup(t)
 	f.startThree()
 	f.put(1, "one")
 	north, south := evacuation.Order{DataCentre: "north"}, evacuation.Order{DataCentre: "south"}
@@ -42,7 +42,7 @@
 	host := lead.options.Self
 	f.kill(host)
 	wiped := f.start(host, "empty", false)
-	f.await("the wiped host has it", func() bool { return evacuatedAt(wiped, "north") && !evacuatedAt(wiped, "south") })
+	f.await("the wiped host has the evacuation", func() bool { return evacuatedAt(wiped, "north") && !evacuatedAt(wiped, "south") })
 	f.evacuate(north)
 	f.stopAll()
 	for i := 1; i <= 3; i++ {
@@ -52,14 +52,14 @@
 		}
 		f.start(hostName(i), folder, false)
 	}
-	f.await("a leader that has it", func() bool {
+	f.await("a leader that has the evacuation", func() bool {
 		l := f.leader()
 		return l != nil && evacuatedAt(l, "north") && !evacuatedAt(l, "south")
 	})
 }
 
 // Guards against a snapshot that drops evacuations.
-func TestSnapshotsHoldEvacuations(t *testing.T) {
+func TestSnapshotIncludesEvacuations(t *testing.T) {
 	m, again := NewMachine(), NewMachine()
 	m.Apply(1, wire.MustMarshal(command{Evacuate: &evacuation.Order{DataCentre: "north"}}))
 	data, err := m.Snapshot()
@@ -69,15 +69,15 @@
 	if err := again.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if view := again.evacuated(); !view.Evacuated("north") || again.held() != m.held() {
+	if view := again.evacuated(); !view.Evacuated("north") || again.currentRevisions() != m.currentRevisions() {
 		t.Errorf("restored %+v", view)
 	}
 }
 
-// Guards against orders that can never hold being repeated for ever, and against orders
-// that are refused because a data centre is new.
+// Guards against invalid orders that are retried indefinitely, and against orders that are
+// refused because a data centre is new.
 func TestUnknownDataCentresAreRefused(t *testing.T) {
-	f := newFleet(t)
+	f := newTestGroup(t)
 	f.startThree()
 	f.put(1, "one")
 	s := f.any()
@@ -92,9 +92,9 @@
 	})
 }
 
-// Guards against an acknowledgement before the order is in force at an entry that asks
-// for news, and against one that never comes because an entry has ended.
-func TestAnEvacuationIsInForceAtEveryEntry(t *testing.T) {
+// Guards against an acknowledgement before the order is in force at an entry that watches the
+// group, and against one that never comes because an entry has ended.
+func TestEvacuationAwaitsEveryEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		l := &leadership{since: now.Add(-time.Minute), watchers: newWatchers(log.New(io.Discard))}
@@ -102,7 +102,7 @@
 			return func(v *EntryView) bool { return v.Evacuation < revision }
 		}
 		watch := func(host string, held uint64) {
-			l.follow(entryPeer(host), &WatchRequest{Entry: &EntryView{Host: host}, Evacuation: held}, time.Now())
+			l.recordWatcher(entryPeer(host), &WatchRequest{Entry: &EntryView{Host: host}, Evacuation: held}, time.Now())
 		}
 		watch("e1", 3)
 		watch("e2", 2)
@@ -110,7 +110,7 @@
 			t.Errorf("one entry is behind: %v", err)
 		}
 		if took := time.Since(now); took > inForceWait+50*time.Millisecond {
-			t.Errorf("told after %v", took)
+			t.Errorf("returned after %v", took)
 		}
 		go func() {
 			time.Sleep(200 * time.Millisecond)
@@ -121,14 +121,14 @@
 			t.Errorf("all have it: %v", err)
 		}
 		watch("e1", 4)
-		time.Sleep(watcherKept + time.Millisecond)
+		time.Sleep(watcherTTL + time.Millisecond)
 		watch("e1", 4)
 		if err := l.awaitInForce(context.Background(), behind(4)); err != nil {
 			t.Errorf("an entry that has ended: %v", err)
 		}
-		// A relay tells what the entries that ask it hold, and an entry that turned from one to
-		// another is as far as the earlier word.
-		l.follow(entryPeer("c2"), &WatchRequest{Relay: true, RelayedEntries: []EntryView{{Host: "e1", Evacuation: 3}}}, time.Now())
+		// A relay reports the revisions of the entries that watch it; an entry that turned from
+		// one relay to another counts with the lower of its two revisions.
+		l.recordWatcher(entryPeer("c2"), &WatchRequest{Relay: true, RelayedEntries: []EntryView{{Host: "e1", Evacuation: 3}}}, time.Now())
 		if late := l.watchers.countIf(behind(4), time.Now()); late != 1 {
 			t.Errorf("%d behind", late)
 		}
@@ -139,9 +139,8 @@
 	})
 }
 
-// Guards against the full load of a data centre that is used again while its upstreams
-// are cold.
-func TestUpstreamsAreColdAfterAWithdrawal(t *testing.T) {
+// Guards against full load on a data centre that is used again while its upstreams are cold.
+func TestUpstreamsAreColdAfterEvacuationIsWithdrawn(t *testing.T) {
 	m := NewMachine()
 	d := testDocument(1, "one")
 	d.Services[0].ColdStart, d.Services[0].ColdPerS = 3*time.Second, 22
--- a/internal/steward/troubles_test.go
+++ b/internal/steward/faultkinds_test.go
@@ -12,9 +12,9 @@
 	"github.com/lovagereach/lovagereach/internal/wait"
 )
 
-// disturb does one thing to the group. Only where spare is set may a disk be lost, and
-// it reports whether one was.
-func (g *troubledGroup) disturb(spare, clocks bool) bool {
+// injectFault injects one random fault. A disk may be lost only if spare is set; it reports
+// whether one was.
+func (g *faultyGroup) injectFault(spare, clocks bool) bool {
 	h := g.any()
 	kinds := 18
 	if clocks {
@@ -22,26 +22,26 @@
 	}
 	switch kind := g.random.IntN(kinds); kind {
 	case 0, 1:
-		g.note("kill %s", h.name)
+		g.logf("kill %s", h.name)
 		h.end(false)
 	case 2:
 		times := 1 + g.random.IntN(6)
-		g.note("kill %s %d times", h.name, times)
+		g.logf("kill %s %d times", h.name, times)
 		least := []time.Duration{5, 50, 500}[g.random.IntN(3)] * time.Millisecond
 		for range times {
 			g.restart(h, g.random.IntN(4) == 0)
 			g.pause(least)
 		}
 	case 3:
-		g.note("%s loses power", h.name)
+		g.logf("%s loses power", h.name)
 		h.end(true)
 	case 4, 5:
 		power := kind == 5
-		g.note("all end, power lost: %v", power)
+		g.logf("all end, power lost: %v", power)
 		if power && g.random.IntN(2) == 0 {
 			// The last operations of the disks are cut short at any point.
 			for _, h := range g.hosts {
-				if h.life.Load() == nil {
+				if h.process.Load() == nil {
 					continue
 				}
 				h.files.EndAfter(g.random.IntN(20))
@@ -57,14 +57,14 @@
 			g.pause(200 * time.Millisecond)
 		}
 	case 6:
-		g.note("stop %s", h.name)
+		g.logf("stop %s", h.name)
 		h.drain()
 	case 7:
-		g.note("all again")
+		g.logf("start all hosts")
 		g.up()
 	case 8:
 		other := g.any()
-		g.note("cut %s to %s", h.name, other.name)
+		g.logf("cut %s to %s", h.name, other.name)
 		both := g.random.IntN(2) == 0
 		g.net.change(func() {
 			g.net.cut[[2]ident.Host{h.name, other.name}] = true
@@ -73,7 +73,7 @@
 			}
 		})
 	case 9:
-		g.note("cut off %s", h.name)
+		g.logf("cut off %s", h.name)
 		g.net.change(func() {
 			for _, other := range g.hosts {
 				g.net.cut[[2]ident.Host{h.name, other.name}] = true
@@ -81,13 +81,13 @@
 			}
 		})
 	case 10:
-		g.note("healed")
-		g.net.change(func() { clear(g.net.cut); clear(g.net.frozen) })
+		g.logf("network restored")
+		g.net.change(func() { clear(g.net.cut); clear(g.net.suspended) })
 	case 11:
-		g.note("freeze %s", h.name)
-		g.net.change(func() { g.net.frozen[h.name] = true })
+		g.logf("suspend %s", h.name)
+		g.net.change(func() { g.net.suspended[h.name] = true })
 	case 12:
-		g.note("disk of %s", h.name)
+		g.logf("disk of %s", h.name)
 		switch g.random.IntN(4) {
 		case 0:
 			h.files.LimitRoom(0)
@@ -102,24 +102,24 @@
 			h.files.FailSync(g.random.IntN(5))
 		}
 	case 13:
-		g.note("connections silent")
+		g.logf("connections silent")
 		g.net.silence()
 	case 14:
-		g.note("connections of %s reset", h.name)
+		g.logf("connections of %s reset", h.name)
 		g.net.reset(h.name)
 	case 15:
 		busy := time.Duration(g.random.IntN(400)) * time.Millisecond
-		g.note("links slower by up to %s", busy)
+		g.logf("links slower by up to %s", busy)
 		g.net.change(func() { g.net.busy = busy })
 	case 16, 17:
 		if spare {
-			g.lose(h)
+			g.loseDisk(h)
 			return true
 		}
 	default:
 		ahead := time.Duration(g.random.IntN(2)*g.random.IntN(5000)) * time.Millisecond
 		again := g.random.IntN(2) == 0
-		g.note("clock of %s ahead by %s, started again: %v", h.name, ahead, again)
+		g.logf("clock of %s ahead by %s, started again: %v", h.name, ahead, again)
 		h.ahead.Store(int64(ahead))
 		if again {
 			g.restart(h, false)
@@ -128,24 +128,24 @@
 	return false
 }
 
-// lose has a host lose its disk, or go for good and another come in its place.
-func (g *troubledGroup) lose(h *troubledHost) {
+// loseDisk wipes a host's disk, or replaces the host permanently by a new one.
+func (g *faultyGroup) loseDisk(h *faultyHost) {
 	others := g.random.IntN(3)
 	if g.random.IntN(3) == 0 {
-		g.note("%s gone for good", h.name)
+		g.logf("%s removed permanently", h.name)
 		h.end(g.random.IntN(2) == 0)
 		g.mu.Lock()
-		g.hosts = slices.DeleteFunc(g.hosts, func(x *troubledHost) bool { return x == h })
+		g.hosts = slices.DeleteFunc(g.hosts, func(x *faultyHost) bool { return x == h })
 		g.mu.Unlock()
 		h = g.add()
 	} else {
-		g.note("%s loses its disk", h.name)
+		g.logf("%s loses its disk", h.name)
 		h.end(true)
 		h.wipe()
 	}
 	for _, other := range g.hosts {
 		if other != h && others > 0 {
-			g.note("%s ends beside it, power lost: %v", other.name, others == 1)
+			g.logf("%s ends beside it, power lost: %v", other.name, others == 1)
 			other.end(others == 1)
 		}
 	}
@@ -158,17 +158,17 @@
 		if s := h.steward(); s != nil {
 			s.SetSeeds(slices.Clone(g.seeds))
 		}
-		if h.life.Load() == nil && (others > 0 || h.name == g.hosts[len(g.hosts)-1].name || g.random.IntN(4) > 0) {
+		if h.process.Load() == nil && (others > 0 || h.name == g.hosts[len(g.hosts)-1].name || g.random.IntN(4) > 0) {
 			h.start(false)
 			g.pause(200 * time.Millisecond)
 		}
 	}
 }
 
-// calm ends all trouble.
-func (g *troubledGroup) calm() {
-	g.note("calm")
-	g.net.change(func() { clear(g.net.cut); clear(g.net.frozen); g.net.busy = 0 })
+// endFaults clears all faults.
+func (g *faultyGroup) endFaults() {
+	g.logf("faults end")
+	g.net.change(func() { clear(g.net.cut); clear(g.net.suspended); g.net.busy = 0 })
 	for _, h := range g.hosts {
 		h.heal()
 		h.ahead.Store(0)
@@ -176,8 +176,8 @@
 	g.up()
 }
 
-// put tries a change at some host, until ctx ends or it is acknowledged.
-func (g *troubledGroup) put(ctx context.Context, h *troubledHost) bool {
+// put tries a change at one host and reports whether it was acknowledged.
+func (g *faultyGroup) put(ctx context.Context, h *faultyHost) bool {
 	s := h.steward()
 	if s == nil {
 		return false
@@ -199,7 +199,7 @@
 }
 
 // operate sends changes to one host after the other until ctx ends.
-func (g *troubledGroup) operate(ctx context.Context, every time.Duration) {
+func (g *faultyGroup) operate(ctx context.Context, every time.Duration) {
 	for i := 0; wait.For(ctx, every); i++ {
 		g.mu.Lock()
 		hosts := slices.Clone(g.hosts)
@@ -208,8 +208,9 @@
 	}
 }
 
-// check returns what is wrong some time after the last trouble, empty when nothing is.
-func (g *troubledGroup) check() string {
+// check returns the failure that remains some time after the last fault, empty if there is
+// none.
+func (g *faultyGroup) check() string {
 	began := time.Now()
 	for _, h := range g.hosts {
 		for {
@@ -240,17 +241,17 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	for !g.whole() {
-		if time.Since(began) > wholeWithin {
-			return "the group is not whole"
+	for !g.complete() {
+		if time.Since(began) > completeWithin {
+			return "the group is not complete"
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return ""
 }
 
-// whole reports whether all hosts vote and follow closely.
-func (g *troubledGroup) whole() bool {
+// complete reports whether all hosts vote and follow closely.
+func (g *faultyGroup) complete() bool {
 	for _, h := range g.hosts {
 		s := h.steward()
 		if s == nil || s.replica() == nil || s.leading.Load() == nil {
@@ -270,8 +271,8 @@
 	return false
 }
 
-// describe tells what each host knows.
-func (g *troubledGroup) describe() string {
+// describe returns the state of each host.
+func (g *faultyGroup) describe() string {
 	var b strings.Builder
 	for _, h := range g.hosts {
 		s := h.steward()
@@ -285,15 +286,15 @@
 	return b.String()
 }
 
-func (g *troubledGroup) close() {
+func (g *faultyGroup) close() {
 	for _, h := range g.hosts {
 		h.end(false)
 	}
 	g.net.stop()
-	g.lives.Wait()
-	// What the lives left under way ends within its own bounds.
+	g.processes.Wait()
+	// Calls that the processes left in flight end within their own bounds.
 	time.Sleep(10 * time.Second)
-	// Finished days stay reachable until the whole test has ended.
+	// Finished scenarios stay reachable until the whole test has ended.
 	for _, h := range g.hosts {
 		h.files = nil
 	}
--- a/internal/steward/follower.go
+++ b/internal/steward/follower.go
@@ -20,48 +20,48 @@
 )
 
 const (
-	// watchTimeout is how long a host is waited for: the wait, two ways and a busy
-	// leader. After it another is asked.
+	// watchTimeout is the time allowed for a host's answer: the wait of a watch, two network
+	// transits and a busy leader. After it another host is tried.
 	watchTimeout = 600 * time.Millisecond
-	// lateMost is until when an answer is taken in that comes after watchTimeout.
-	// Where hosts, or this one, are always later than that, no other ever comes.
-	lateMost = 2 * time.Second
-	// overdueAfter is how old the word on the configuration may be before the
-	// leader is asked for it. Usual is up to 0.25 s, and a configuration must be
-	// in force within 2 s.
+	// lateTimeout is the time within which an answer is still applied that arrives after
+	// watchTimeout. If the hosts, or this one, are always slower than watchTimeout, no other
+	// answer ever arrives.
+	lateTimeout = 2 * time.Second
+	// overdueAfter is the age of the configuration state from which the leader is queried for
+	// it. The usual age is up to 0.25 s, and a configuration must be in force within 2 s.
 	overdueAfter = 800 * time.Millisecond
-	// idleOverdueAfter is the same for an entry without requests. Its watches are kept open
-	// longer, and it serves nothing by what it was told.
+	// idleOverdueAfter replaces overdueAfter on an entry without requests. Its watches are kept
+	// open longer, and it serves nothing by its state.
 	idleOverdueAfter = 1400 * time.Millisecond
-	// staleAfter is how old it may be before the log tells. An election may take
-	// 1 s.
+	// staleAfter is the age of the configuration state from which a warning is logged. An
+	// election may take 1 s.
 	staleAfter = 1500 * time.Millisecond
-	// followPause is the least time between two watches.
+	// followPause is the minimum time between two watches.
 	followPause = 20 * time.Millisecond
-	// silentFor is how long a host is not asked again that did not answer. A
+	// silentBackoff is the time for which a host that didn't answer is not tried again. A
 	// control host is back within about 1 s of its end.
-	silentFor = 2 * time.Second
-	// firstSpread is over how long entries without any word turn to the leader: what
-	// they all lack takes it five times as long to tell as its usual answers.
-	firstSpread = 4 * time.Second
-	// silentMost is after how many silent hosts the leader is asked to answer
-	// itself. Each costs watchTimeout, and a configuration must be in force
-	// within 2 s.
-	silentMost = 2
-	// elsewhereFor is the same for a host that had nothing to pass on. After an
-	// election it has within 0.1 s. Each such answer in a row doubles it, up to
-	// silentFor: hosts behind a cut answer so until it heals, each after a wait, and
-	// would be asked by turns with none left for the others.
-	elsewhereFor = 200 * time.Millisecond
-	// leaderBusyFor is how long, on average, a leader is not asked again that sent this
-	// entry to other hosts. Entries differ in it, so that they don't all come back at once.
-	leaderBusyFor = 500 * time.Millisecond
-	// idlePause is how often a host that need not follow looks again.
+	silentBackoff = 2 * time.Second
+	// startSpread is the period over which entries without any state spread their first
+	// requests to the leader: an answer with the complete state takes it five times as long as
+	// a usual one.
+	startSpread = 4 * time.Second
+	// maxSilentRelays is the number of silent relays after which the leader is requested to
+	// answer itself. Each costs watchTimeout, and a configuration must be in force within 2 s.
+	maxSilentRelays = 2
+	// redirectBackoff is the time for which a relay is not tried again that had no state to
+	// forward. After an election it has some within 0.1 s. Each such answer in a row doubles
+	// the time, up to silentBackoff: hosts behind a network partition answer so until it heals,
+	// each after a wait, and would take turns so that no other host is tried.
+	redirectBackoff = 200 * time.Millisecond
+	// shedBackoff is the average time for which a leader is not queried again that shed this
+	// entry's watch. The time differs by entry, so that they don't all return together.
+	shedBackoff = 500 * time.Millisecond
+	// idlePause is the polling interval of a host that need not follow.
 	idlePause = 100 * time.Millisecond
 )
 
-// errNoAnswer reports a host that another one is asked instead of.
-var errNoAnswer = errors.New("no answer in time")
+// errNoAnswer reports a host that didn't answer within the timeout.
+var errNoAnswer = errors.New("no answer within the timeout")
 
 // FollowerOptions configure a Follower.
 type FollowerOptions struct {
@@ -69,152 +69,155 @@
 	// Seeds are the control hosts known at the start.
 	Seeds    []ident.Host
 	PeerPort int
-	// Self is left out of the hosts to ask, and DataCentre preferred.
+	// Self is excluded from the hosts to query. Hosts in DataCentre are preferred.
 	Self       ident.Host
 	DataCentre ident.DataCentre
-	// LeaderOnly asks no host but the leader.
+	// LeaderOnly restricts queries to the leader.
 	LeaderOnly bool
-	// ApplyWithin is within what time after its acknowledgement a configuration must be
-	// in force; 0 where that is not told.
+	// ApplyWithin is the time after its acknowledgement within which a configuration must be in
+	// force; 0 if no bound is configured.
 	ApplyWithin time.Duration
-	// Clock tells the time by which the age of what is told counts, nil means time.Now.
+	// Clock is the clock by which the age of received state counts; nil means time.Now.
 	Clock func() time.Time
 	Log   *log.Logger
 }
 
-// Follower keeps watching the leader, or a host that passes on what the leader
-// tells. It is not safe for concurrent use but for SetSeeds and Report.
+// Follower keeps watching the leader, or a relay that forwards the leader's state. It is not
+// safe for concurrent use except for SetSeeds and Report.
 type Follower struct {
 	options FollowerOptions
 	seeds   atomic.Pointer[[]ident.Host]
-	// members are the control hosts of the latest answer, and relays those that
-	// pass on what the leader tells, the best first.
+	// members are the control hosts of the latest answer, and relays the hosts that forward the
+	// leader's state, best first.
 	members []ident.Host
 	relays  []ident.Host
 	leader  ident.Host
-	// avoided are hosts that failed lately. A leader is asked all the same, once
-	// another host names it again.
+	// avoided are hosts that failed recently. A leader is queried all the same once another
+	// host names it again.
 	avoided map[ident.Host]failure
-	// elsewhere counts, by host, the answers in a row that only told to ask others.
-	elsewhere map[ident.Host]int
-	// asked is the host of the latest answer.
-	asked ident.Host
-	// term is the highest of all answers, and entries the number of entries that
-	// the latest told of a leader that knew it.
+	// redirects counts, by host, the consecutive answers that only redirected.
+	redirects map[ident.Host]int
+	// lastHost is the host of the latest answer.
+	lastHost ident.Host
+	// term is the highest term of all answers. entries is the number of entries in the latest
+	// answer whose leader knew it.
 	term    uint64
 	entries int
 	next    int
 	lost    bool
-	// idle tells that the latest question was that of an entry without requests.
+	// idle reports whether the latest request was that of an entry without requests.
 	idle bool
-	// spread is this caller's share of firstSpread.
+	// spread is this follower's position within startSpread, in [0, 1).
 	spread float64
-	// pause is how long the host of the latest answer asked to wait.
+	// pause is the wait requested by the host of the latest answer.
 	pause time.Duration
-	// through is the host of the latest answer of a leader, for reports.
-	through atomic.Pointer[ident.Host]
-	// word is the time as of which everything is known that the leader knew, in
+	// reportHost is the host of the latest answer with a leader's state; reports are sent to it.
+	reportHost atomic.Pointer[ident.Host]
+	// configAsOf is the time as of which the leader's state is completely known here, in
 	// microseconds since epoch.
-	word  atomic.Int64
-	epoch time.Time
-	// led is when a host last answered that knew of a leader, in microseconds since epoch.
-	led atomic.Int64
-	// stale tells that the log was told of an old word, and oldest how old it was.
+	configAsOf atomic.Int64
+	epoch      time.Time
+	// leaderSeen is the time of the latest answer that named a leader, in microseconds since
+	// epoch.
+	leaderSeen atomic.Int64
+	// stale reports whether a stale configuration state was logged, and oldest is the maximum
+	// age since.
 	stale  bool
 	oldest time.Duration
-	// results brings the answers, also late ones. taken counts those taken in.
-	results chan *watched
-	taken   uint64
-	meter   *followMeter
+	// results delivers the answers, including late ones. applied counts the answers that were
+	// applied.
+	results  chan *watchCall
+	applied  uint64
+	counters *followerMetrics
 }
 
-// watched is one call and what became of it.
-type watched struct {
+// watchCall is one watch call with its result.
+type watchCall struct {
 	host ident.Host
 	sent time.Time
-	// after is the number of answers taken in before it was sent.
+	// after is the number of answers applied before the call was sent.
 	after  uint64
 	answer WatchAnswer
 	err    error
 }
 
-// failure is why a host is not asked for a while.
+// failure is the reason for which a host is avoided until a time.
 type failure struct {
 	until time.Time
-	// silent hosts did not answer; others told to ask elsewhere.
+	// silent is set for a host that didn't answer, not for one that redirected.
 	silent bool
 }
 
 // NewFollower returns a follower; Run starts it.
 func NewFollower(options FollowerOptions) *Follower {
 	f := &Follower{
-		options: options, avoided: make(map[ident.Host]failure), elsewhere: make(map[ident.Host]int), results: make(chan *watched), epoch: readClock(options.Clock),
+		options: options, avoided: make(map[ident.Host]failure), redirects: make(map[ident.Host]int), results: make(chan *watchCall), epoch: readClock(options.Clock),
 		spread: float64(xxhash.Sum64String(string(options.Self))>>11) / (1 << 53),
 	}
-	f.meter = newFollowMeter(f)
+	f.counters = newFollowerMetrics(f)
 	f.SetSeeds(options.Seeds)
 	return f
 }
 
 func (f *Follower) now() time.Time { return readClock(f.options.Clock) }
 
-// SetSeeds replaces the control hosts that are asked while no other is known.
+// SetSeeds replaces the control hosts that are queried while no other is known.
 func (f *Follower) SetSeeds(seeds []ident.Host) { f.seeds.Store(&seeds) }
 
-// Run watches until ctx ends. ask returns what to send, nil to pause; told
-// takes each answer and a time before which nothing in it changed. Both are
-// called from one goroutine.
-func (f *Follower) Run(ctx context.Context, ask func() *WatchRequest, told func(*WatchAnswer, time.Time)) {
+// Run watches until ctx ends. next returns the request to send, nil to pause; deliver receives
+// each answer and the time at which its inventories were current at the latest. Both are called
+// from one goroutine.
+func (f *Follower) Run(ctx context.Context, next func() *WatchRequest, deliver func(*WatchAnswer, time.Time)) {
 	for ctx.Err() == nil {
-		request := ask()
+		request := next()
 		if request == nil {
-			// What was asked for before the pause no longer fits what is held.
-			f.taken++
-			f.setWord(f.now())
+			// An answer to a request from before the pause no longer matches the state held.
+			f.applied++
+			f.setConfigTime(f.now())
 			wait.For(ctx, idlePause)
 			continue
 		}
-		f.noteAge(f.now())
-		if !f.once(ctx, request, told) {
+		f.logAge(f.now())
+		if !f.once(ctx, request, deliver) {
 			wait.For(ctx, followPause)
 		}
-		wait.For(ctx, max(followPause, min(f.pause, pauseMost)))
+		wait.For(ctx, max(followPause, min(f.pause, maxPause)))
 	}
 }
 
-// once makes one call and reports whether it was answered by a leader. Meanwhile
-// it takes in late answers to earlier ones.
-func (f *Follower) once(ctx context.Context, request *WatchRequest, told func(*WatchAnswer, time.Time)) bool {
+// once makes one call and reports whether it was answered with a leader's state. Meanwhile it
+// applies late answers to earlier calls.
+func (f *Follower) once(ctx context.Context, request *WatchRequest, deliver func(*WatchAnswer, time.Time)) bool {
 	now := f.now()
 	f.idle = request.Idle
 	host := f.target(now)
 	if host == "" {
 		return false
 	}
-	f.describe(request, host, now)
+	f.addCallerState(request, host, now)
 	call := f.send(ctx, host, request)
 	longest := watchTimeout
 	if request.Idle {
 		longest += idleWait - watchWait
 	}
-	patience := time.NewTimer(longest)
-	defer patience.Stop()
-	turn := time.NewTimer(f.overdueIn(now))
-	defer turn.Stop()
+	timeout := time.NewTimer(longest)
+	defer timeout.Stop()
+	overdue := time.NewTimer(f.overdueIn(now))
+	defer overdue.Stop()
 	for {
 		select {
 		case result := <-f.results:
 			if result == call {
-				return f.settle(call, told)
+				return f.resolve(call, deliver)
 			}
-			f.takeLate(result, told)
-		case <-turn.C:
-			// The call stays open; its answer is taken in when it comes.
+			f.applyLate(result, deliver)
+		case <-overdue.C:
+			// The call stays open; its answer is applied when it arrives.
 			if !request.Overdue && host != f.leader && f.mustAskLeader(f.now()) {
 				return false
 			}
-		case <-patience.C:
-			f.failed(host, errNoAnswer)
+		case <-timeout.C:
+			f.markSilent(host, errNoAnswer)
 			return false
 		case <-ctx.Done():
 			return false
@@ -222,13 +225,13 @@
 	}
 }
 
-// reportTimeout bounds one report: two ways, gathering and a commit.
+// reportTimeout bounds one report: two network transits, gathering and a commit.
 const reportTimeout = proposeTimeout + watchTimeout
 
-// Report tells the control hosts what this entry has seen. Without an error it is in the
-// log of a quorum; after ErrUnavailable it may be, and telling it again does no harm.
+// Report sends the control hosts what this entry has observed. Without an error it is in the
+// log of a quorum; after ErrUnavailable it may be, and sending it again does no harm.
 func (f *Follower) Report(ctx context.Context, r *Report) error {
-	host := f.through.Load()
+	host := f.reportHost.Load()
 	if host == nil {
 		return ErrUnavailable
 	}
@@ -249,23 +252,23 @@
 	return nil
 }
 
-// describe adds to a request what the host that is asked needs to know of the caller.
-func (f *Follower) describe(request *WatchRequest, host ident.Host, now time.Time) {
+// addCallerState adds to a request what the queried host needs to know of the caller.
+func (f *Follower) addCallerState(request *WatchRequest, host ident.Host, now time.Time) {
 	request.Entries = f.entries
-	request.Direct = host == f.leader && f.unreached()
+	request.Direct = host == f.leader && f.relaysSilent()
 	request.Overdue = host == f.leader && f.overdue(now)
 	if request.Overdue {
-		f.meter.overdue.Inc()
+		f.counters.overdue.Inc()
 	}
 }
 
-// send makes a call, whose end comes as one of the results.
-func (f *Follower) send(ctx context.Context, host ident.Host, request *WatchRequest) *watched {
-	call := &watched{host: host, sent: f.now(), after: f.taken}
+// send makes a call; its result is delivered on results.
+func (f *Follower) send(ctx context.Context, host ident.Host, request *WatchRequest) *watchCall {
+	call := &watchCall{host: host, sent: f.now(), after: f.applied}
 	address := net.JoinHostPort(string(host), strconv.Itoa(f.options.PeerPort))
 	body := wire.MustMarshal(request)
 	go func() {
-		bound, cancel := context.WithTimeout(ctx, lateMost)
+		bound, cancel := context.WithTimeout(ctx, lateTimeout)
 		defer cancel()
 		raw, err := f.options.Transport.Call(bound, address, methodWatch, body)
 		if err == nil {
@@ -280,15 +283,15 @@
 	return call
 }
 
-// settle takes in the result of a call that was waited for.
-func (f *Follower) settle(call *watched, told func(*WatchAnswer, time.Time)) bool {
+// resolve applies the result of a call that was still waited for.
+func (f *Follower) resolve(call *watchCall, deliver func(*WatchAnswer, time.Time)) bool {
 	answer := &call.answer
 	if call.err != nil {
-		f.failed(call.host, call.err)
+		f.markSilent(call.host, call.err)
 		return false
 	}
 	if answer.Leader != "" {
-		f.led.Store(f.now().Sub(f.epoch).Microseconds())
+		f.leaderSeen.Store(f.now().Sub(f.epoch).Microseconds())
 	}
 	if len(answer.Members) > 0 {
 		f.members = f.members[:0]
@@ -301,127 +304,126 @@
 		f.pause = answer.Pause
 		return false
 	}
-	if f.lost || f.asked != call.host {
+	if f.lost || f.lastHost != call.host {
 		f.lost = false
 		f.options.Log.Info("leader followed", "leader", answer.Leader, "through", call.host, "term", answer.Term)
 	}
-	f.asked = call.host
-	f.through.Store(&call.host)
-	delete(f.elsewhere, call.host)
+	f.lastHost = call.host
+	f.reportHost.Store(&call.host)
+	delete(f.redirects, call.host)
 	f.leader = ident.Host(answer.Leader)
-	f.relays = f.order(answer.Relays)
-	f.take(call, told)
+	f.relays = f.sortRelays(answer.Relays)
+	f.apply(call, deliver)
 	return true
 }
 
-// takeLate takes in an answer that was no longer waited for. A relay stays
-// avoided, for another may answer in time; the leader is the last to be asked, and
-// a late answer of it better than none.
-func (f *Follower) takeLate(call *watched, told func(*WatchAnswer, time.Time)) {
+// applyLate applies an answer that was no longer waited for. A relay stays avoided, since
+// another one may answer in time; the leader is the last resort, and a late answer of it is
+// better than none.
+func (f *Follower) applyLate(call *watchCall, deliver func(*WatchAnswer, time.Time)) {
 	if call.err != nil || call.answer.Redirect || call.answer.Term < f.term {
 		return
 	}
-	f.meter.late.Inc()
+	f.counters.late.Inc()
 	if leader := ident.Host(call.answer.Leader); leader == call.host {
 		delete(f.avoided, leader)
 		f.leader = leader
 	}
-	f.take(call, told)
+	f.apply(call, deliver)
 }
 
-// take passes an answer on. One that was asked for before another was taken in
-// tells a part only: the rest builds on what was held then.
-func (f *Follower) take(call *watched, told func(*WatchAnswer, time.Time)) {
+// apply passes an answer on. An answer to a request that was sent before another answer was
+// applied is partial: its other parts build on the state held at the request.
+func (f *Follower) apply(call *watchCall, deliver func(*WatchAnswer, time.Time)) {
 	answer := &call.answer
 	if answer.Term > f.term {
-		// Whom a new leader names, it hears. After a restart of all, entries that
-		// kept away from those would all have the leader answer them.
+		// A new leader names only hosts that are in contact with it. Without this, after a
+		// restart of all hosts, the entries that avoid those would all query the leader.
 		clear(f.avoided)
 	}
 	f.term, f.pause = answer.Term, answer.Pause
 	if !answer.Counting {
 		f.entries = answer.EntryCount
 	}
-	answer.Partial = call.after != f.taken
-	// What the answer tells was looked up Held after the question came at the earliest.
-	if word := call.sent.Add(answer.OpenFor - answer.StateAge); word.After(f.wordTime()) {
-		f.setWord(word)
+	answer.Partial = call.after != f.applied
+	// The state in the answer was read OpenFor after the request arrived, at the earliest.
+	if asOf := call.sent.Add(answer.OpenFor - answer.StateAge); asOf.After(f.configTime()) {
+		f.setConfigTime(asOf)
 	}
 	if !answer.Partial {
-		f.taken++
+		f.applied++
 	} else if f.options.LeaderOnly {
 		return
 	}
-	told(answer, call.sent.Add(-answer.InventoryAge))
+	deliver(answer, call.sent.Add(-answer.InventoryAge))
 }
 
-// wordTime is the time as of which everything is known that the leader knew; at
-// the earliest that of the start.
-func (f *Follower) wordTime() time.Time {
-	return f.epoch.Add(time.Duration(f.word.Load()) * time.Microsecond)
+// configTime returns the time as of which the leader's state is completely known here;
+// initially the start time.
+func (f *Follower) configTime() time.Time {
+	return f.epoch.Add(time.Duration(f.configAsOf.Load()) * time.Microsecond)
 }
 
-func (f *Follower) setWord(as time.Time) { f.word.Store(as.Sub(f.epoch).Microseconds()) }
+func (f *Follower) setConfigTime(as time.Time) { f.configAsOf.Store(as.Sub(f.epoch).Microseconds()) }
 
-// overdue reports whether the word on the configuration is so old that the leader
-// should be asked. Hosts that answer too late, or only tell to ask elsewhere, are
-// not silent, and yet bring no news.
+// overdue reports whether the configuration state is so old that the leader should be queried.
+// It covers hosts that are not silent but answer too late, or only redirect.
 func (f *Follower) overdue(now time.Time) bool {
 	return !f.options.LeaderOnly && f.overdueIn(now) <= 0
 }
 
-// overdueIn is how long it is until the word is overdue. An entry that has just
-// started has none, as all others may after a restart of all: it waits for those that
-// are to answer it, and they do not all fall upon the leader at one time.
+// overdueIn returns the time until the configuration state is overdue. An entry that has just
+// started has none, and after a restart of all hosts neither has any other: it waits for the
+// relays, and the waits are spread so that the entries don't all query the leader together.
 func (f *Follower) overdueIn(now time.Time) time.Duration {
 	after := overdueAfter
 	if f.idle {
 		after = idleOverdueAfter
 	}
 	if f.term == 0 {
-		after = relaysWithin + time.Duration(f.spread*float64(firstSpread))
+		after = relaysWithin + time.Duration(f.spread*float64(startSpread))
 	}
-	return f.wordTime().Add(after).Sub(now)
+	return f.configTime().Add(after).Sub(now)
 }
 
-// mustAskLeader reports whether the leader is asked for want of a younger word.
+// mustAskLeader reports whether the leader is queried because the configuration state is
+// overdue.
 func (f *Follower) mustAskLeader(now time.Time) bool {
 	_, avoided := f.avoided[f.leader]
 	return f.overdue(now) && f.leader != "" && f.leader != f.options.Self && !avoided
 }
 
-// noteAge tells the log when the word on the configuration has become old, and
-// when it no longer is.
-func (f *Follower) noteAge(now time.Time) {
-	age := now.Sub(f.wordTime())
+// logAge logs when the configuration state becomes stale, and when it is fresh again.
+func (f *Follower) logAge(now time.Time) {
+	age := now.Sub(f.configTime())
 	switch {
 	case age >= staleAfter:
 		f.oldest = max(f.oldest, age)
 		if !f.stale {
 			f.stale = true
-			f.options.Log.Warn("word on the configuration is old", "age", age, "leader", f.leader, "asked", f.asked, "term", f.term)
+			f.options.Log.Warn("configuration state is stale", "age", age, "leader", f.leader, "asked", f.lastHost, "term", f.term)
 		}
 	case f.stale:
-		f.options.Log.Info("word on the configuration is fresh again", "age", age, "was", f.oldest, "asked", f.asked, "term", f.term)
+		f.options.Log.Info("configuration state is fresh again", "age", age, "was", f.oldest, "asked", f.lastHost, "term", f.term)
 		f.stale, f.oldest = false, 0
 	}
 }
 
-// followMeter holds a follower's counters.
-type followMeter struct {
+// followerMetrics holds a follower's counters.
+type followerMetrics struct {
 	set *metrics.Set
-	// overdue counts the questions to the leader for want of a younger word, and
-	// late the answers taken in that were no longer waited for.
+	// overdue counts the requests to the leader for overdue configuration state, and late the
+	// answers applied after their timeout.
 	overdue, late *metrics.Counter
 }
 
-func newFollowMeter(f *Follower) *followMeter {
+func newFollowerMetrics(f *Follower) *followerMetrics {
 	set := metrics.NewSet()
-	set.NewGauge("lovagereach_follower_config_age_seconds", func() float64 { return f.now().Sub(f.wordTime()).Seconds() })
-	return &followMeter{
+	set.NewGauge("lovagereach_follower_config_age_seconds", func() float64 { return f.now().Sub(f.configTime()).Seconds() })
+	return &followerMetrics{
 		set: set, overdue: set.NewCounter("lovagereach_follower_overdue_total"), late: set.NewCounter("lovagereach_follower_late_answers_total"),
 	}
 }
 
-// Metrics are the follower's metrics.
-func (f *Follower) Metrics() *metrics.Set { return f.meter.set }
+// Metrics returns the follower's metrics.
+func (f *Follower) Metrics() *metrics.Set { return f.counters.set }
--- a/internal/steward/follower_hosts.go
+++ b/internal/steward/follower_hosts.go
@@ -9,44 +9,44 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// unreached reports whether the hosts that pass on what the leader tells are
-// silent. Hosts that answer, but have nothing yet, do not count: after an election
-// the leader would have to answer all entries.
-func (f *Follower) unreached() bool {
+// relaysSilent reports whether the relays are silent. Relays that answer without having any
+// state yet don't count: otherwise the leader would have to answer all entries after an
+// election.
+func (f *Follower) relaysSilent() bool {
 	silent := 0
 	for _, host := range f.relays {
 		if f.avoided[host].silent {
 			silent++
 		}
 	}
-	return silent > 0 && silent >= min(len(f.relays), silentMost)
+	return silent > 0 && silent >= min(len(f.relays), maxSilentRelays)
 }
 
-// redirected turns to the host that an answer names. One that should have
-// passed on what the leader tells, but can't, is left alone for a while. One that
-// knows of no leader, as behind a cut, does not make the one known forgotten.
+// redirected switches to the host that an answer names. A relay that has no state to forward is
+// avoided for redirectBackoff, doubled with each such answer. An answer without a leader, as
+// from behind a network partition, doesn't clear the known leader.
 func (f *Follower) redirected(host ident.Host, answer *WatchAnswer) {
 	if slices.Contains(f.relays, host) {
-		wait := min(elsewhereFor<<min(f.elsewhere[host], 8), silentFor)
+		wait := min(redirectBackoff<<min(f.redirects[host], 8), silentBackoff)
 		f.avoided[host] = failure{until: f.now().Add(wait)}
-		f.elsewhere[host]++
+		f.redirects[host]++
 	}
 	if answer.Leader != "" {
 		f.leader = ident.Host(answer.Leader)
 	}
 	if answer.Shed {
-		f.avoided[host] = failure{until: f.now().Add(time.Duration((0.5 + f.spread) * float64(leaderBusyFor)))}
+		f.avoided[host] = failure{until: f.now().Add(time.Duration((0.5 + f.spread) * float64(shedBackoff)))}
 	}
 	if len(answer.Relays) > 0 {
-		f.relays = f.order(answer.Relays)
+		f.relays = f.sortRelays(answer.Relays)
 	} else if f.leader == host {
 		f.leader = ""
 	}
 }
 
-// order sorts the hosts that pass on what the leader tells: those of this data
-// centre first, and each entry in an order of its own.
-func (f *Follower) order(views []RelayView) []ident.Host {
+// sortRelays sorts the relays: those of this data centre first, and within each group in an
+// order that differs by entry.
+func (f *Follower) sortRelays(views []RelayView) []ident.Host {
 	if f.options.LeaderOnly {
 		return nil
 	}
@@ -65,20 +65,19 @@
 	return hosts
 }
 
-func (f *Follower) failed(host ident.Host, err error) {
+func (f *Follower) markSilent(host ident.Host, err error) {
 	if !f.lost {
 		f.lost = true
 		f.options.Log.Warn("leader lost", "host", host, "cause", err)
 	}
-	f.avoided[host] = failure{until: f.now().Add(silentFor), silent: true}
+	f.avoided[host] = failure{until: f.now().Add(silentBackoff), silent: true}
 	if f.leader == host {
 		f.leader = ""
 	}
 }
 
-// target is the host to ask: one that passes on what the leader tells, or the
-// leader where there is none or the word is overdue, else the next of the known
-// control hosts.
+// target returns the host to query: a relay, or the leader if there is no usable relay or the
+// state is overdue, otherwise the next of the known control hosts.
 func (f *Follower) target(now time.Time) ident.Host {
 	maps.DeleteFunc(f.avoided, func(_ ident.Host, why failure) bool { return !now.Before(why.until) })
 	usable := func(host ident.Host) bool {
@@ -88,7 +87,7 @@
 	if f.mustAskLeader(now) {
 		return f.leader
 	}
-	if i := slices.IndexFunc(f.relays, usable); i >= 0 && (f.leader == "" || !f.unreached()) {
+	if i := slices.IndexFunc(f.relays, usable); i >= 0 && (f.leader == "" || !f.relaysSilent()) {
 		return f.relays[i]
 	}
 	if f.leader != "" && f.leader != f.options.Self {
--- a/internal/steward/follower_test.go
+++ b/internal/steward/follower_test.go
@@ -17,11 +17,11 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// scriptedHosts answer watches by a table; a host without an answer is silent.
+// scriptedHosts answers watches from a table; a host without an answer is silent.
 type scriptedHosts struct {
-	answers map[string]*WatchAnswer
-	asked   string
-	request WatchRequest
+	answers  map[string]*WatchAnswer
+	lastHost string
+	request  WatchRequest
 }
 
 func (s *scriptedHosts) Call(_ context.Context, address string, _ port.Method, body []byte) ([]byte, error) {
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.asked, s.request = host, WatchRequest{}
+	s.lastHost, s.request = host, WatchRequest{}
 	if err := wire.Unmarshal(body, &s.request); err != nil {
 		return nil, err
 	}
@@ -52,67 +52,67 @@
 	return []RelayView{{Host: "c2", DataCentre: "south"}, {Host: "c3", DataCentre: "north"}}
 }
 
-// Requests go by an old configuration while an entry hears nothing. It must find
-// another host at once when the one that it asked is lost or has nothing to
-// tell, and must not fall upon the leader together with all others.
-func TestFollowerTurnsToAnotherHost(t *testing.T) {
+// Guards against an entry that keeps an old configuration because it stays with a host that is
+// lost or has no state. It must switch to another host immediately, and must not query the
+// leader together with all other entries.
+func TestFollowerFailsOver(t *testing.T) {
 	ok := func(term uint64) *WatchAnswer { return &WatchAnswer{Term: term, Leader: "c1", Relays: twoRelays()} }
 	hosts := &scriptedHosts{answers: map[string]*WatchAnswer{"c1": ok(1), "c2": ok(1), "c3": ok(1)}}
 	f := testFollower(hosts)
-	told := 0
+	answers := 0
 	step := func(want string, direct, answered bool) {
 		t.Helper()
-		before := told
-		f.once(context.Background(), &WatchRequest{Entry: &EntryView{Host: "e1"}}, func(*WatchAnswer, time.Time) { told++ })
-		if hosts.asked != want || hosts.request.Direct != direct || (told > before) != answered {
-			t.Fatalf("asked %s (direct %v, answered %v), want %s (direct %v, answered %v)",
-				hosts.asked, hosts.request.Direct, told > before, want, direct, answered)
+		before := answers
+		f.once(context.Background(), &WatchRequest{Entry: &EntryView{Host: "e1"}}, func(*WatchAnswer, time.Time) { answers++ })
+		if hosts.lastHost != want || hosts.request.Direct != direct || (answers > before) != answered {
+			t.Fatalf("queried %s (direct %v, answered %v), want %s (direct %v, answered %v)",
+				hosts.lastHost, hosts.request.Direct, answers > before, want, direct, answered)
 		}
 	}
-	step("c1", false, true) // the seed, which names the relays
+	step("c1", false, true) // the seed, which lists the relays
 	step("c3", false, true) // the relay of its own data centre
 	hosts.answers["c3"] = nil
 	step("c3", false, false)
 	step("c2", false, true) // the other relay
 	hosts.answers["c2"] = &WatchAnswer{Redirect: true, Leader: "c1"}
 	step("c2", false, false)
-	step("c1", false, true) // one relay answers: the leader is asked, but need not serve
+	step("c1", false, true) // one relay answers: the leader is queried, but need not serve
 	hosts.answers["c2"] = nil
 	f.avoided["c2"] = failure{}
 	step("c2", false, false)
 	step("c1", true, true) // no relay answers: the leader must serve
 }
 
-// Requests go by an old configuration for as long as an entry tries one lost host
-// after the other. After two it has the leader answer.
+// Guards against an entry that keeps an old configuration because it tries one lost host after
+// the other. After two it queries the leader directly.
 func TestFollowerTriesFewSilentHosts(t *testing.T) {
 	relays := []RelayView{{Host: "c2"}, {Host: "c3"}, {Host: "c4"}, {Host: "c5"}}
 	hosts := &scriptedHosts{answers: map[string]*WatchAnswer{"c1": {Term: 1, Leader: "c1", Relays: relays}}}
 	f := testFollower(hosts)
-	asked := make(map[string]int)
+	queried := make(map[string]int)
 	for range 4 {
 		f.once(context.Background(), &WatchRequest{Entry: &EntryView{Host: "e1"}}, func(*WatchAnswer, time.Time) {})
-		asked[hosts.asked]++
+		queried[hosts.lastHost]++
 	}
-	if len(asked) != 3 || asked["c1"] != 2 || !hosts.request.Direct {
-		t.Fatalf("asked %v, the last time directly: %v", asked, hosts.request.Direct)
+	if len(queried) != 3 || queried["c1"] != 2 || !hosts.request.Direct {
+		t.Fatalf("queried %v, the last time directly: %v", queried, hosts.request.Direct)
 	}
 }
 
-// Callers get no answer after a restart of all control hosts: each entry has found all
-// of them silent, has the first that leads answer it, and does so for 2 s, though the
-// others are back and that leader names them. It is busy with all entries until it
-// loses the lead. Those that a new leader names are asked again, and each is left
-// alone once more if it is silent still.
-func TestFollowerAsksAgainWhomANewLeaderNames(t *testing.T) {
+// After a restart of all control hosts, each entry has found all of them silent, queries the
+// first leader directly, and continues for 2 s although the relays are back and the leader
+// lists them. Guards against a leader that is busy with all entries until it loses its
+// leadership. Relays that a new leader lists are tried again, and each is avoided once more if
+// it is still silent.
+func TestFollowerRetriesRelaysOfNewLeader(t *testing.T) {
 	ok := func(term uint64) *WatchAnswer { return &WatchAnswer{Term: term, Leader: "c1", Relays: twoRelays()} }
 	hosts := &scriptedHosts{answers: map[string]*WatchAnswer{"c1": ok(1)}}
 	f := testFollower(hosts)
 	step := func(want string, direct bool) {
 		t.Helper()
 		f.once(context.Background(), &WatchRequest{Entry: &EntryView{Host: "e1"}}, func(*WatchAnswer, time.Time) {})
-		if hosts.asked != want || hosts.request.Direct != direct {
-			t.Fatalf("asked %s (direct %v), want %s (direct %v)", hosts.asked, hosts.request.Direct, want, direct)
+		if hosts.lastHost != want || hosts.request.Direct != direct {
+			t.Fatalf("queried %s (direct %v), want %s (direct %v)", hosts.lastHost, hosts.request.Direct, want, direct)
 		}
 	}
 	step("c1", false)
@@ -120,7 +120,7 @@
 	step("c2", false)
 	step("c1", true) // both are silent
 	hosts.answers["c1"], hosts.answers["c3"] = ok(2), ok(2)
-	step("c1", true) // which tells of its election
+	step("c1", true) // the answer has the new term
 	step("c3", false)
 	hosts.answers["c3"] = nil
 	step("c3", false)
@@ -129,9 +129,9 @@
 	step("c1", true)
 }
 
-// A host that was cut off wakes with an old belief. What it tells must not take
-// the place of what a later leader told.
-func TestFollowerKeepsToTheLatestTerm(t *testing.T) {
+// Guards against an answer of a host that was cut off and still has the state of an older term:
+// it must not replace the state of a later leader.
+func TestFollowerIgnoresOlderTerms(t *testing.T) {
 	hosts := &scriptedHosts{answers: map[string]*WatchAnswer{"c1": {Term: 7, Leader: "c1"}}}
 	f := testFollower(hosts)
 	var terms []uint64
@@ -144,11 +144,11 @@
 	hosts.answers["c1"] = &WatchAnswer{Term: 8, Leader: "c1"}
 	watch()
 	if len(terms) != 2 || terms[0] != 7 || terms[1] != 8 {
-		t.Fatalf("took the terms %v", terms)
+		t.Fatalf("applied the terms %v", terms)
 	}
 }
 
-// slowHosts answer watches after a time of their own.
+// slowHosts answers watches after a delay per host.
 type slowHosts struct {
 	mu     sync.Mutex
 	after  map[string]time.Duration
@@ -183,62 +183,60 @@
 	})
 }
 
-// An entry whose calls all last longer than it waits for one hears nothing, ever,
-// if it drops what comes late. But a late answer builds on what the entry held
-// when it asked: beside a younger one it may tell no more than what has revisions.
-func TestFollowerTakesLateAnswers(t *testing.T) {
+// Guards against an entry that never receives state because all its calls take longer than
+// their timeout and it drops late answers. A late answer builds on the state held at its
+// request: after a newer one only the parts with revisions may be applied.
+func TestFollowerAppliesLateAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hosts := &slowHosts{
 			after: map[string]time.Duration{"c1": 700 * time.Millisecond, "c3": 50 * time.Millisecond},
 			answer: func(host string, _ *WatchRequest) WatchAnswer {
-				heard := map[string]time.Duration{"c3": 30 * time.Millisecond}[host]
-				return WatchAnswer{Term: 1, Leader: "c1", Relays: twoRelays(), StateAge: heard}
+				age := map[string]time.Duration{"c3": 30 * time.Millisecond}[host]
+				return WatchAnswer{Term: 1, Leader: "c1", Relays: twoRelays(), StateAge: age}
 			},
 		}
 		f := slowFollower(hosts)
-		type taken struct {
+		type applied struct {
 			partial bool
-			word    time.Duration
+			asOf    time.Duration
 		}
-		var got []taken
+		var got []applied
 		start := time.Now()
 		step := func() {
 			f.once(t.Context(), &WatchRequest{Entry: &EntryView{Host: "e1"}}, func(a *WatchAnswer, _ time.Time) {
-				got = append(got, taken{a.Partial, f.wordTime().Sub(start)})
+				got = append(got, applied{a.Partial, f.configTime().Sub(start)})
 			})
 			time.Sleep(followPause)
 		}
-		step() // c1, given up after 600 ms
-		step() // c1 once more, and the late answer of before
-		if want := (taken{false, 0}); len(got) != 1 || got[0] != want {
-			t.Fatalf("took %+v, want %+v", got, want)
+		step() // c1, times out after 600 ms
+		step() // c1 again, and the late answer to the first call
+		if want := (applied{false, 0}); len(got) != 1 || got[0] != want {
+			t.Fatalf("applied %+v, want %+v", got, want)
 		}
-		f.relays = f.order(twoRelays())
-		step() // c3 answers first, at 1290 ms of what the leader had at 1210
-		if want := (taken{false, 1210 * time.Millisecond}); len(got) != 2 || got[1] != want {
-			t.Fatalf("took %+v, want %+v last", got, want)
+		f.relays = f.sortRelays(twoRelays())
+		step() // c3 answers first, at 1290 ms with the state of the leader at 1210
+		if want := (applied{false, 1210 * time.Millisecond}); len(got) != 2 || got[1] != want {
+			t.Fatalf("applied %+v, want %+v last", got, want)
 		}
 		hosts.after["c3"] = 200 * time.Millisecond
 		step() // the second answer of c1 comes first, at 1320 ms
-		if want := (taken{true, 1210 * time.Millisecond}); len(got) != 4 || got[2] != want || got[3].partial {
-			t.Fatalf("took %+v, want %+v and a whole one", got, want)
+		if want := (applied{true, 1210 * time.Millisecond}); len(got) != 4 || got[2] != want || got[3].partial {
+			t.Fatalf("applied %+v, want %+v and a complete one", got, want)
 		}
 	})
 }
 
-// The relays answer at once, but only to ask elsewhere: their logs are behind, or
-// the leader's answers come to them too late. The leader lists them all the same
-// and sends entries there. Callers are served by an old configuration for as long
-// as an entry goes round in this circle; it must have the leader answer before
-// that, and no oftener than that takes, for all other entries ask it, too. One that
-// has just started serves nobody by an old configuration: it leaves the others the
-// time that they have after an election.
-func TestFollowerWithAnOldWordAsksTheLeader(t *testing.T) {
-	followerWithAnOldWord(t, 1, overdueAfter, 8)
-	followerWithAnOldWord(t, 0, relaysWithin+firstSpread, 3)
+// The relays answer immediately, but only redirect: their logs are behind, or the leader's
+// answers reach them too late, while the leader lists them all the same. Guards against an
+// entry that keeps an old configuration in this cycle: it must query the leader before that,
+// but rarely, since all other entries do too. An entry that has just started serves nothing by
+// an old configuration: it leaves the relays the time that they need after an election.
+func TestFollowerQueriesLeaderWhenOverdue(t *testing.T) {
+	testOverdueFollower(t, 1, overdueAfter, 8)
+	testOverdueFollower(t, 0, relaysWithin+startSpread, 3)
 }
 
-func followerWithAnOldWord(t *testing.T, term uint64, bound time.Duration, least int) {
+func testOverdueFollower(t *testing.T, term uint64, bound time.Duration, least int) {
 	synctest.Test(t, func(t *testing.T) {
 		hosts := &slowHosts{answer: func(host string, request *WatchRequest) WatchAnswer {
 			return WatchAnswer{Redirect: !request.Overdue, Term: 1, Leader: "c1", Relays: twoRelays()}
@@ -248,10 +246,10 @@
 		oldest, answered := time.Duration(0), 0
 		for start := time.Now(); time.Since(start) < 8*time.Second; time.Sleep(followPause) {
 			f.once(t.Context(), &WatchRequest{Entry: &EntryView{Host: "e1"}}, func(*WatchAnswer, time.Time) { answered++ })
-			oldest = max(oldest, time.Since(f.wordTime()))
+			oldest = max(oldest, time.Since(f.configTime()))
 		}
 		if oldest > bound+2*followPause || answered < least || answered > 10 {
-			t.Fatalf("after term %d the word was %v old; the leader answered %d times in 8 s", term, oldest, answered)
+			t.Fatalf("after term %d the configuration state was %v old; the leader answered %d times in 8 s", term, oldest, answered)
 		}
 	})
 }
--- a/internal/steward/formation.go
+++ b/internal/steward/formation.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// formRetry is how often forming the group is tried again. All hosts start
-	// within 0.3 s of each other.
+	// formRetry is the interval between attempts to form the group. All hosts start within 0.3
+	// s of each other.
 	formRetry = 100 * time.Millisecond
-	// formTimeout bounds one trial.
+	// formTimeout bounds one attempt.
 	formTimeout = 2 * time.Second
-	// joinEvery is how often a host that is not a voter asks to be taken in.
+	// joinEvery is the interval between the join requests of a host that is not a voter.
 	joinEvery = 250 * time.Millisecond
-	// askedFor is how long a request to join counts.
-	askedFor = 3 * time.Second
-	// lostAfter is how long a voter must be silent before a waiting host takes
-	// its place. A restart takes about 1 s and a freeze up to 4 s; a voter that
-	// returns later is taken in again.
+	// joinRequestTTL is the time for which a join request is valid.
+	joinRequestTTL = 3 * time.Second
+	// lostAfter is the time for which a voter must be silent before a waiting host replaces it.
+	// A restart takes about 1 s and a suspension up to 4 s; a voter that returns later joins
+	// again.
 	lostAfter = 5 * time.Second
-	// membersEvery is how often the leader looks at the membership.
+	// membersEvery is the interval at which the leader checks the membership.
 	membersEvery = 150 * time.Millisecond
 	// memberTimeout bounds one change of membership.
 	memberTimeout = 3 * time.Second
@@ -40,9 +40,8 @@
 	maxLearners = 4
 )
 
-// open opens what the disk holds of the group. The first of the seeds forms it
-// at the first start of the deployment; every other host with an empty disk
-// waits until the group takes it in.
+// open opens the group from disk. The first of the seeds forms it at the first start of the
+// deployment; every other host with an empty disk waits until the group admits it.
 func (s *Steward) open(ctx context.Context) error {
 	_, _, stored, err := s.folder.Load(group)
 	if err != nil {
@@ -73,8 +72,8 @@
 			return formed, nil
 		}
 		if errors.Is(err, replica.ErrGroupExists) {
-			// The others know the group: this host's disk was wiped, and forming
-			// again would make a second group.
+			// The others know the group: this host's disk was wiped, and forming again would
+			// create a second group.
 			return s.manager.Open(group, s.machine)
 		}
 		s.options.Log.Debug("group not formed yet", "cause", err)
@@ -84,64 +83,64 @@
 	}
 }
 
-// joinQueue remembers which hosts have asked to join.
+// joinQueue holds the hosts that have requested to join.
 type joinQueue struct {
-	mu    sync.Mutex
-	asked map[ident.Host]time.Time
+	mu          sync.Mutex
+	requestedAt map[ident.Host]time.Time
 }
 
-func newJoinQueue() *joinQueue { return &joinQueue{asked: make(map[ident.Host]time.Time)} }
+func newJoinQueue() *joinQueue { return &joinQueue{requestedAt: make(map[ident.Host]time.Time)} }
 
-// maxAsking bounds the hosts that may wait at once.
-const maxAsking = 64
+// maxJoinRequests bounds the hosts that may wait at a time.
+const maxJoinRequests = 64
 
 func (q *joinQueue) add(host ident.Host, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, known := q.asked[host]; known || len(q.asked) < maxAsking {
-		q.asked[host] = now
+	if _, known := q.requestedAt[host]; known || len(q.requestedAt) < maxJoinRequests {
+		q.requestedAt[host] = now
 	}
 }
 
-// waiting lists the hosts that asked lately, in order, and forgets the others.
+// waiting lists, in order, the hosts with a valid request, and drops the others.
 func (q *joinQueue) waiting(now time.Time) []ident.Host {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	maps.DeleteFunc(q.asked, func(_ ident.Host, at time.Time) bool { return now.Sub(at) > askedFor })
-	return slices.Sorted(maps.Keys(q.asked))
+	maps.DeleteFunc(q.requestedAt, func(_ ident.Host, at time.Time) bool { return now.Sub(at) > joinRequestTTL })
+	return slices.Sorted(maps.Keys(q.requestedAt))
 }
 
-func (q *joinQueue) done(host ident.Host) {
+func (q *joinQueue) remove(host ident.Host) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	delete(q.asked, host)
+	delete(q.requestedAt, host)
 }
 
-// askToJoin asks to be taken in while this host is no voter, or knows no
-// leader: one that was removed while it was away is told nothing by the group.
-func (s *Steward) askToJoin(ctx context.Context) {
+// requestJoin sends join requests while this host is no voter, or knows no leader: a host that
+// was removed during an outage is not notified by the group.
+func (s *Steward) requestJoin(ctx context.Context) {
 	for wait.For(ctx, jitter(joinEvery)) {
 		status := s.replica().Status()
 		if slices.Contains(status.Voters, s.options.Self) && status.Leader != "" {
 			continue
 		}
-		s.askOnce(ctx, status)
+		s.requestJoinOnce(ctx, status)
 	}
 }
 
-func (s *Steward) askOnce(ctx context.Context, status port.ReplicaStatus) {
+func (s *Steward) requestJoinOnce(ctx context.Context, status port.ReplicaStatus) {
 	ctx, cancel := context.WithTimeout(ctx, joinEvery)
 	defer cancel()
 	body := wire.MustMarshal(joinRequest{Host: string(s.options.Self)})
-	asked := map[ident.Host]bool{s.options.Self: true}
+	queried := map[ident.Host]bool{s.options.Self: true}
 	hosts := append(slices.Clone(*s.seeds.Load()), status.Voters...)
 	for len(hosts) > 0 && ctx.Err() == nil {
 		host := hosts[0]
 		hosts = hosts[1:]
-		if asked[host] {
+		if queried[host] {
 			continue
 		}
-		asked[host] = true
+		queried[host] = true
 		raw, err := s.transport.Call(ctx, s.peerAddress(host), methodJoin, body)
 		if err != nil {
 			continue
@@ -211,7 +210,7 @@
 		err = s.manager.Remove(ctx, group, plan.host)
 	}
 	if err == nil && plan.action == addVoter {
-		s.joining.done(plan.host)
+		s.joining.remove(plan.host)
 	}
 	return err
 }
@@ -229,7 +228,7 @@
 	maps.DeleteFunc(m.silent, func(host ident.Host, _ time.Time) bool { return !present[host] })
 }
 
-// lost lists the members that have been silent for too long.
+// lost lists the members that have been silent for lostAfter.
 func (m *members) lost(now time.Time) []ident.Host {
 	var hosts []ident.Host
 	for host, since := range m.silent {
--- a/internal/steward/warming.go
+++ b/internal/steward/grants.go
@@ -7,11 +7,11 @@
 	"github.com/lovagereach/lovagereach/warmup"
 )
 
-// grantEvery is the least time between two looks at the cold upstreams: each answer to
-// a watch tells the grants.
+// grantEvery is the minimum time between two checks of the cold upstreams: each answer to a
+// watch carries the grants.
 const grantEvery = 50 * time.Millisecond
 
-// coldUpstreams lists the upstreams that are cold, with what each bears.
+// coldUpstreams lists the cold upstreams, with the rate that each sustains.
 func (m *Machine) coldUpstreams() []warmup.Cold {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -24,8 +24,8 @@
 	return list
 }
 
-// coldRate is how many requests a second a cold upstream of a service bears, 0 where
-// none is told. The caller holds the lock.
+// coldRate returns the number of requests a second that a cold upstream of a service sustains,
+// 0 if none is configured. The caller holds the lock.
 func (m *Machine) coldRate(name string) float64 {
 	if service := m.service(name); service != nil {
 		return service.ColdPerS
@@ -33,8 +33,8 @@
 	return 0
 }
 
-// coldMs is for how long an upstream of a service is cold after its start. The caller
-// holds the lock.
+// coldMs returns the time in milliseconds for which an upstream of a service is cold after its
+// start, 0 if its service has no cold rate. The caller holds the lock.
 func (m *Machine) coldMs(name string) uint64 {
 	if service := m.service(name); service != nil && service.ColdPerS > 0 {
 		return uint64(service.ColdStart.Milliseconds())
@@ -42,8 +42,8 @@
 	return 0
 }
 
-// grants lists what entries may send to cold upstreams, with its revision. A host that
-// is not certain to lead confirms nothing: another leader may have granted the same.
+// grants lists what entries may send to cold upstreams, and its revision. The caller confirms
+// the grants only while it is certain to lead: another leader may have granted the same rates.
 func (l *leadership) grants(now time.Time) ([]warmup.Grant, uint64) {
 	l.grantMu.Lock()
 	defer l.grantMu.Unlock()
@@ -52,13 +52,13 @@
 	}
 	l.grantedAt = now
 	cold := l.steward.machine.coldUpstreams()
-	l.granter.Update(cold, l.takers(now), now)
+	l.granter.Update(cold, l.grantees(now), now)
 	return l.granter.Grants()
 }
 
-// takers are the entries that take callers' requests, all that are ready where none
-// has any yet.
-func (l *leadership) takers(now time.Time) []string {
+// grantees returns the entries that receive callers' requests, or all that are ready if none
+// does yet.
+func (l *leadership) grantees(now time.Time) []string {
 	var busy, ready []string
 	for _, view := range l.watchers.recentEntries(now) {
 		if !view.Ready {
@@ -75,9 +75,9 @@
 	return ready
 }
 
-// tellGrants implements bulletin: entries are told their own grants, and control hosts
-// that hold another revision all of them.
-func (l *leadership) tellGrants(from port.Peer, request *WatchRequest, answer *WatchAnswer, now time.Time) {
+// addGrants implements watchSource: entries receive their own grants, and control hosts that
+// hold another revision receive all of them.
+func (l *leadership) addGrants(from port.Peer, request *WatchRequest, answer *WatchAnswer, now time.Time) {
 	grants, revision := l.grants(now)
 	if revision == 0 || !l.certain() {
 		return
--- a/internal/steward/groupnet_test.go
+++ b/internal/steward/groupnet_test.go
@@ -13,32 +13,32 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// groupNet carries connections between the hosts of a control group in virtual time.
-// What is under way on a cut link waits, as TCP sends it again.
+// groupNet simulates the connections between the hosts of a control group in virtual time. Data
+// in flight on a cut link waits, as with TCP retransmission.
 type groupNet struct {
 	mu        sync.Mutex
 	listeners map[ident.Host]*groupListener
-	// off are hosts without power, frozen those that take in and send nothing.
-	off, frozen map[ident.Host]bool
-	// cut are directions in which nothing arrives.
+	// off are hosts without power; suspended ones neither receive nor send.
+	off, suspended map[ident.Host]bool
+	// cut are the directions in which nothing arrives.
 	cut   map[[2]ident.Host]bool
 	conns map[*groupConn]struct{}
-	// changed is closed at each change of the above.
+	// changed is closed and replaced at each change of the fields above.
 	changed chan struct{}
 	stopped bool
-	// delay is the time between two hosts, and busy how much more it takes at most.
+	// delay is the transit time between two hosts, and busy the maximum addition to it.
 	delay, busy time.Duration
 }
 
 func newGroupNet() *groupNet {
 	return &groupNet{
-		listeners: make(map[ident.Host]*groupListener), off: make(map[ident.Host]bool), frozen: make(map[ident.Host]bool),
+		listeners: make(map[ident.Host]*groupListener), off: make(map[ident.Host]bool), suspended: make(map[ident.Host]bool),
 		cut: make(map[[2]ident.Host]bool), conns: make(map[*groupConn]struct{}), changed: make(chan struct{}), delay: oneWay,
 	}
 }
 
-// way is how long a packet takes.
-func (n *groupNet) way() time.Duration {
+// transit returns the transit time of a packet.
+func (n *groupNet) transit() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.busy == 0 {
@@ -47,7 +47,7 @@
 	return n.delay + rand.N(n.busy)
 }
 
-// change makes a change that those who wait for a link notice.
+// change makes a change and wakes the waiters for a link.
 func (n *groupNet) change(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,10 +58,10 @@
 
 // open reports whether a packet arrives. The caller holds the lock.
 func (n *groupNet) open(from, to ident.Host) bool {
-	return !n.cut[[2]ident.Host{from, to}] && !n.frozen[from] && !n.frozen[to]
+	return !n.cut[[2]ident.Host{from, to}] && !n.suspended[from] && !n.suspended[to]
 }
 
-// await waits until packets arrive, and reports false once the connection is over.
+// await waits until packets arrive, and returns false once the connection has ended.
 func (n *groupNet) await(c *groupConn, from, to ident.Host) bool {
 	for {
 		n.mu.Lock()
@@ -124,7 +124,7 @@
 type groupConn struct {
 	hosts [2]ident.Host
 	ends  [2]net.Conn
-	// lost is closed when a host loses power, and silent once nothing arrives for good.
+	// lost is closed when a host loses power. silent is set once nothing arrives any more.
 	lost   chan struct{}
 	silent bool
 	once   sync.Once
@@ -132,8 +132,8 @@
 
 var errConnRefused = errors.New("connection refused")
 
-// dialer dials for a life of a host.
-func (n *groupNet) dialer(from ident.Host, life context.Context) func(context.Context, string, string) (net.Conn, error) {
+// dialer returns the dial function of one incarnation of a host.
+func (n *groupNet) dialer(from ident.Host, incarnation context.Context) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		name, _, err := net.SplitHostPort(address)
 		if err != nil {
@@ -147,14 +147,14 @@
 			n.mu.Unlock()
 			pause := again
 			if reached {
-				pause = 2 * n.way()
+				pause = 2 * n.transit()
 			}
 			select {
 			case <-time.After(pause):
 			case <-ctx.Done():
 				return nil, ctx.Err()
-			case <-life.Done():
-				return nil, life.Err()
+			case <-incarnation.Done():
+				return nil, incarnation.Err()
 			}
 			if !reached {
 				continue
@@ -162,12 +162,12 @@
 			if listener == nil {
 				return nil, errConnRefused
 			}
-			return n.connect(ctx, life, from, to, listener)
+			return n.connect(ctx, incarnation, from, to, listener)
 		}
 	}
 }
 
-func (n *groupNet) connect(ctx, life context.Context, from, to ident.Host, l *groupListener) (net.Conn, error) {
+func (n *groupNet) connect(ctx, incarnation context.Context, from, to ident.Host, l *groupListener) (net.Conn, error) {
 	near, nearEnd := net.Pipe()
 	far, farEnd := net.Pipe()
 	c := &groupConn{hosts: [2]ident.Host{from, to}, ends: [2]net.Conn{nearEnd, farEnd}, lost: make(chan struct{})}
@@ -179,7 +179,7 @@
 		return nil, ctx.Err()
 	}
 	n.mu.Lock()
-	refused := n.stopped || life.Err() != nil || n.listeners[to] != l
+	refused := n.stopped || incarnation.Err() != nil || n.listeners[to] != l
 	if !refused {
 		n.conns[c] = struct{}{}
 	}
@@ -188,8 +188,8 @@
 		_, _ = nearEnd.Close(), farEnd.Close()
 		return nil, errConnRefused
 	}
-	go n.carry(c, 0, 1)
-	go n.carry(c, 1, 0)
+	go n.forward(c, 0, 1)
+	go n.forward(c, 1, 0)
 	return near, nil
 }
 
@@ -198,8 +198,8 @@
 	data []byte
 }
 
-// carry brings what one host writes to the other.
-func (n *groupNet) carry(c *groupConn, from, to int) {
+// forward copies what one host writes to the other.
+func (n *groupNet) forward(c *groupConn, from, to int) {
 	queue := make(chan groupChunk, 64)
 	go func() {
 		defer close(queue)
@@ -207,7 +207,7 @@
 			data := make([]byte, 16<<10)
 			size, err := c.ends[from].Read(data)
 			if size > 0 {
-				queue <- groupChunk{time.Now().Add(n.way()), data[:size]}
+				queue <- groupChunk{time.Now().Add(n.transit()), data[:size]}
 			}
 			if err != nil {
 				return
@@ -250,7 +250,7 @@
 	n.mu.Unlock()
 }
 
-// awaitReset waits until a host that lost power is back and refuses what it doesn't know.
+// awaitReset waits until a host that lost power is back and refuses unknown connections.
 func (n *groupNet) awaitReset(from, to ident.Host) bool {
 	for {
 		n.mu.Lock()
@@ -263,8 +263,8 @@
 	}
 }
 
-// end ends a host's process: its connections are reset, or with its power they are
-// left as they are at the other hosts.
+// end ends a host's process: its connections are reset, or after a power loss they stay open at
+// the other hosts.
 func (n *groupNet) end(host ident.Host, power bool) {
 	ended := n.connsOf(host)
 	n.mu.Lock()
@@ -306,7 +306,7 @@
 	}
 }
 
-// silence keeps everything that stands from carrying anything more; new connections work.
+// silence stops all data on existing connections; new connections work.
 func (n *groupNet) silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/steward/inforce.go
+++ b/internal/steward/inforce.go
@@ -11,22 +11,21 @@
 )
 
 const (
-	// inForceWait bounds the wait for the entries. An operator's call turns to
-	// another control host after a second, and proposeTimeout bounds it between hosts.
+	// inForceWait bounds the wait for the entries. An operator's call turns to another control
+	// host after a second, and proposeTimeout bounds it between hosts.
 	inForceWait = 600 * time.Millisecond
-	// inForcePoll is how often the entries are looked at meanwhile.
+	// inForcePoll is the polling interval of the entries' state during the wait.
 	inForcePoll = 10 * time.Millisecond
 )
 
-// awaitInForce waits until no entry that asks for news is behind with what an operator
-// wants. An entry that has stopped asking counts for watcherKept. What a new
-// leader was told of the entries by the one before counts for as long: it waits until
-// those that are left have called.
+// awaitInForce waits until no entry that watches the group is behind an operator's change. An
+// entry that has stopped watching counts for watcherTTL. The entries that a new leader has from
+// its predecessor count for as long: it waits until those that are still running have called.
 func (l *leadership) awaitInForce(ctx context.Context, behind func(*EntryView) bool) error {
 	for end := time.Now().Add(inForceWait); ; {
 		now := time.Now()
 		late := l.watchers.countIf(behind, now)
-		called := now.Sub(l.since) >= watcherKept
+		called := now.Sub(l.since) >= watcherTTL
 		switch {
 		case late == 0 && called:
 			return nil
@@ -36,8 +35,8 @@
 	}
 }
 
-// awaitDocument waits until a configuration, or a later one, is in force. An entry
-// without any serves nothing by an older one.
+// awaitDocument waits until a configuration, or a later one, is in force. An entry without a
+// configuration serves nothing by an older one, and isn't waited for.
 func (l *leadership) awaitDocument(ctx context.Context, version catalog.Version) error {
 	return l.awaitInForce(ctx, func(v *EntryView) bool { return v.Document != 0 && v.Document < version })
 }
--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	// loadEvery is how often the leader looks for runners to order.
+	// loadEvery is the interval at which the leader looks for runners that need a load order.
 	loadEvery = 50 * time.Millisecond
 	// orderTimeout bounds one order or report; an answer takes a few ms.
 	orderTimeout = 400 * time.Millisecond
-	// orderTries is how often an order without an answer is given in one turn.
+	// orderTries is the number of attempts to issue an order that gets no answer, in one load
+	// step.
 	orderTries = 5
-	// reportLag is how far a runner's report may be behind.
+	// reportLag is the maximum delay of a runner's report.
 	reportLag = 200 * time.Millisecond
-	// loadCheck is how often a runner is asked whether it is done, once the
-	// usual time of a load is nearly over. Each question costs the runner work.
+	// loadCheck is the interval between queries for a loading runner's progress, once the usual
+	// load time is nearly over. Each query costs the runner work.
 	loadCheck = 120 * time.Millisecond
-	// loadGivenUp is how long a load may take before another runner gets its
-	// turn and the runner is looked at again.
-	loadGivenUp = 8 * time.Second
-	// loadNotice is how long before its order a runner is at least named to the
-	// entries, so that they send it nothing that it would refuse.
+	// loadTimeout is the time after which a load's step ends, so that another runner can load
+	// and this one is examined again.
+	loadTimeout = 8 * time.Second
+	// loadNotice is the minimum time before its order for which a runner is listed to the
+	// entries as loading, so that they send it nothing that it would refuse.
 	loadNotice = watchWait + 80*time.Millisecond
-	// askedInVain is after how many questions without an answer in a row a
-	// loading runner loses its turn.
-	askedInVain = 3
-	// accountEvery is the least time between two lines about runners that lack
-	// named weights.
-	accountEvery = time.Second
-	// holderSlack is added to the time that a new leader waits before its first
-	// order, for the difference of the hosts' clocks and an order on its way.
+	// maxUnanswered is the number of consecutive unanswered queries after which a loading
+	// runner's step ends.
+	maxUnanswered = 3
+	// lackingLogEvery is the minimum time between two log lines about runners that lack the
+	// target weights.
+	lackingLogEvery = time.Second
+	// holderSlack is added to a new leader's wait before its first order, for the clock
+	// difference between hosts and an order in flight.
 	holderSlack = 500 * time.Millisecond
 )
 
-// loader brings the runners to the weights that were named, in the turns that a
-// rollout.Schedule gives. The host that leads is the only one to give orders, under
-// the term as its number; it begins when the leader before can have given none for
-// HolderLease.
+// loader moves the runners to the target weight versions, in the load steps of a
+// rollout.Schedule. Only the leader issues orders, with its term as the fencing token. It
+// starts when the previous leader can have issued none for HolderLease.
 type loader struct {
 	leadership *leadership
 	mu         sync.Mutex
 	schedule   *rollout.Schedule
-	// looked is how far the state had come at the latest look at the runners, at lookedAt.
-	looked   revisions
-	lookedAt time.Time
-	// accounted is when the account of runners that lack weights was last logged.
-	accounted time.Time
+	// checked is the revision of the state at the latest check of the runners, at checkedAt.
+	checked   revisions
+	checkedAt time.Time
+	// loggedAt is the time of the latest log line about runners that lack weights.
+	loggedAt time.Time
 }
 
 func newLoader(l *leadership) *loader {
@@ -70,23 +70,23 @@
 	defer tasks.Wait()
 	for wait.For(ctx, loadEvery) {
 		now := time.Now()
-		if o.settled(s.machine.held(), now) {
+		if o.settled(s.machine.currentRevisions(), now) {
 			continue
 		}
-		for _, turn := range o.next(o.leadership.heard(s.machine.live(), now), now) {
+		for _, step := range o.next(o.leadership.current(s.machine.live(), now), now) {
 			tasks.Go(func() {
-				done := o.load(ctx, turn)
-				o.release(turn.Upstream, done, time.Now())
+				done := o.load(ctx, step)
+				o.release(step.Upstream, done, time.Now())
 			})
 		}
 	}
 }
 
-// settledLook is how often runners are looked at while all have the named weights and
-// nothing is announced: one may be heard again that lacks them.
-const settledLook = time.Second
+// settledInterval is the interval between checks of the runners while all have the target
+// weights and nothing is announced: a runner that lacks them may be in contact again.
+const settledInterval = time.Second
 
-// settled reports whether no runner can lack weights, as far as the last look tells.
+// settled reports whether no runner can lack weights, according to the latest check.
 func (o *loader) settled(held revisions, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -94,27 +94,27 @@
 		return true
 	}
 	account := o.schedule.Account()
-	if account.Lacking == 0 && account.Loading == 0 && held.weights == o.looked.weights && held.roster == o.looked.roster &&
-		now.Sub(o.lookedAt) < settledLook {
+	if account.Lacking == 0 && account.Loading == 0 && held.weights == o.checked.weights && held.roster == o.checked.roster &&
+		now.Sub(o.checkedAt) < settledInterval {
 		return true
 	}
-	o.looked, o.lookedAt = held, now
+	o.checked, o.checkedAt = held, now
 	return false
 }
 
-// next returns the loads whose time has come.
+// next returns the load steps that are due.
 func (o *loader) next(live []roster.Upstream, now time.Time) []rollout.Step {
-	namings := o.leadership.steward.machine.namedAt()
+	targets := o.leadership.steward.machine.targetVersions()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	turns := o.schedule.Next(live, namings, now)
+	steps := o.schedule.Next(live, targets, now)
 	account := o.schedule.Account()
-	if account.Lacking > 0 && now.Sub(o.accounted) >= accountEvery {
-		o.accounted = now
-		o.leadership.steward.options.Log.Info("weights lacking", "runners", account.Lacking, "of", account.Runners,
+	if account.Lacking > 0 && now.Sub(o.loggedAt) >= lackingLogEvery {
+		o.loggedAt = now
+		o.leadership.steward.options.Log.Info("runners lack target weights", "runners", account.Lacking, "of", account.Runners,
 			"loading", account.Loading, "at_once", account.AtOnce, "longest", account.Longest, "for", account.Age(now))
 	}
-	return turns
+	return steps
 }
 
 func (o *loader) release(u roster.Upstream, done bool, now time.Time) {
@@ -123,29 +123,29 @@
 	o.schedule.Release(u, done, now)
 }
 
-// account tells how many runners lack named weights.
+// account returns the counts of runners that lack the target weights.
 func (o *loader) account() rollout.Account {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.schedule.Account()
 }
 
-// loading lists the runners that take no requests for the sake of a load.
+// loading lists the runners that receive no requests because of a load.
 func (o *loader) loading() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.schedule.Loading()
 }
 
-// load orders one runner, waits until it has the version and reports whether
-// it came to have it.
-func (o *loader) load(ctx context.Context, turn rollout.Step) bool {
+// load orders one runner to load, waits for the load and reports whether the runner has the
+// version.
+func (o *loader) load(ctx context.Context, step rollout.Step) bool {
 	s := o.leadership.steward
-	u, model, version := turn.Upstream, turn.Model, turn.Version
-	ctx, cancel := context.WithTimeout(ctx, loadGivenUp)
+	u, model, version := step.Upstream, step.Model, step.Version
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	given := o.give(ctx, u, model, version)
-	if given == notGiven {
+	issued := o.issue(ctx, u, model, version)
+	if issued == notIssued {
 		return false
 	}
 	began := time.Now()
@@ -153,20 +153,20 @@
 	failed := 0
 	var report RunnerReport
 	var err error
-	for failed < askedInVain && wait.For(ctx, loadCheck) {
+	for failed < maxUnanswered && wait.For(ctx, loadCheck) {
 		if report, err = o.report(ctx, u); err != nil {
 			failed++
 			continue
 		}
 		failed = 0
-		if otherLife(&u, &report) || o.leadership.succeeded(&u, s.machine.live()) {
-			// What answers is not the runner that was ordered; its turn would last
-			// until the load is given up.
+		if otherIncarnation(&u, &report) || o.leadership.replaced(&u, s.machine.live()) {
+			// The answer is not from the runner that got the order; the step would last until
+			// loadTimeout.
 			break
 		}
 		if report.Versions[model] >= version {
-			if given == givenNow {
-				o.noteUsual(time.Since(began))
+			if issued == issuedNow {
+				o.recordLoadTime(time.Since(began))
 			}
 			o.record(ctx, u, model, report.Versions[model])
 			return true
@@ -179,63 +179,63 @@
 	return false
 }
 
-// given is what came of giving an order.
-type given uint8
+// issueResult is the outcome of issuing an order.
+type issueResult uint8
 
 const (
-	notGiven given = iota
-	// givenNow: the load began with the order.
-	givenNow
-	// givenBefore: the runner loads, or has the weights, by an earlier order. The
-	// time until it is found done says nothing of the time of a load.
-	givenBefore
+	notIssued issueResult = iota
+	// issuedNow: the load began with the order.
+	issuedNow
+	// issuedEarlier: the runner is loading, or has the weights, because of an earlier order.
+	// The time until the load is found complete is no measure of the load time.
+	issuedEarlier
 )
 
-// give gives the order until the runner carries it out. An order without an answer
-// may come later or never; the next one names the same count of accepted orders, so
-// that only one of them takes effect.
-func (o *loader) give(ctx context.Context, u roster.Upstream, model string, version uint64) given {
+// issue sends the order until the runner executes it. An order without an answer may arrive
+// later or never; the next one carries the same count of accepted orders, so that only one of
+// them takes effect.
+func (o *loader) issue(ctx context.Context, u roster.Upstream, model string, version uint64) issueResult {
 	logger := o.leadership.steward.options.Log
 	for range orderTries {
 		report, err := o.report(ctx, u)
 		if err != nil {
-			logger.Info("runner not asked", "upstream", u.ID, "cause", err)
-			return notGiven
+			logger.Info("runner did not answer a status query", "upstream", u.ID, "cause", err)
+			return notIssued
 		}
-		if otherLife(&u, &report) {
-			logger.Info("runner not ordered", "upstream", u.ID, "cause", "it has started again", "born", report.StartedMs)
-			return notGiven
+		if otherIncarnation(&u, &report) {
+			logger.Info("runner not ordered", "upstream", u.ID, "cause", "runner has restarted", "born", report.StartedMs)
+			return notIssued
 		}
 		if report.Busy || report.Versions[model] >= version {
-			return givenBefore
+			return issuedEarlier
 		}
 		switch o.order(ctx, u, model, version, report.Accepted) {
 		case OrderAccepted:
-			return givenNow
+			return issuedNow
 		case OrderAlreadyLoaded:
-			return givenBefore
+			return issuedEarlier
 		case OrderRefused, OrderMisdirected:
-			return notGiven
+			return notIssued
 		}
 		wait.For(ctx, reportLag)
 	}
-	return notGiven
+	return notIssued
 }
 
-// otherLife reports whether a report is of another life of a runner than the one
-// that was to load. What that one has must not be recorded for the other.
-func otherLife(u *roster.Upstream, report *RunnerReport) bool {
+// otherIncarnation reports whether a report is from another incarnation of a runner than the
+// one that got the order. The versions of one must not be recorded for the other.
+func otherIncarnation(u *roster.Upstream, report *RunnerReport) bool {
 	return u.StartedMs != 0 && report.StartedMs != 0 && u.StartedMs != report.StartedMs
 }
 
-// firstCheck is how long after its order a runner is first asked.
+// firstCheck returns the time after its order at which a runner is first queried.
 func (o *loader) firstCheck() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.schedule.FirstCheck()
 }
 
-func (o *loader) noteUsual(took time.Duration) {
+func (o *loader) recordLoadTime(took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.schedule.RecordLoadTime(took)
@@ -247,17 +247,17 @@
 	return o.leadership.steward.options.Runners.Report(ctx, u.ID, u.Address)
 }
 
-// order gives an order; a result of zero tells that it got no answer.
+// order sends an order; a result of zero means that there was no answer.
 func (o *loader) order(ctx context.Context, u roster.Upstream, model string, version, accepted uint64) OrderResult {
 	s := o.leadership.steward
-	// A host that stood still may have been replaced meanwhile.
+	// A host that was suspended may have been replaced as the leader meanwhile.
 	if !o.leadership.certain() {
-		s.options.Log.Info("order held back", "upstream", u.ID, "cause", "leadership not certain")
+		s.options.Log.Info("order not sent", "upstream", u.ID, "cause", "leadership not certain")
 		return OrderRefused
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	s.meter.orders.Inc()
+	s.counters.orders.Inc()
 	result, err := s.options.Runners.Order(ctx, LoadOrder{
 		Upstream: u.ID, Address: u.Address, Model: model, Version: version,
 		Holder: string(s.options.Self), Fence: o.leadership.elected, Accepted: accepted,
@@ -268,13 +268,13 @@
 		// Another upstream has the address: this one has ended.
 		u.State = roster.Gone
 		if _, err := s.propose(ctx, command{Upstream: &u}); err != nil {
-			s.options.Log.Warn("upstream not given up", "upstream", u.ID, "err", err)
+			s.options.Log.Warn("upstream not removed from the roster", "upstream", u.ID, "err", err)
 		}
 	}
 	return result
 }
 
-// record tells the entries what a runner has loaded.
+// record commits the version that a runner has loaded, so that the entries receive it.
 func (o *loader) record(ctx context.Context, u roster.Upstream, model string, version uint64) {
 	s := o.leadership.steward
 	held, known := s.machine.upstream(u.ID)
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -16,31 +16,31 @@
 	"github.com/lovagereach/lovagereach/roster"
 )
 
-// command is one entry of the log. One field is set.
+// command is one entry of the log. Exactly one field is set.
 type command struct {
-	Document *catalog.Document `cbor:"1,keyasint,omitempty"`
-	Weights  *roster.Loaded    `cbor:"2,keyasint,omitempty"`
-	Upstream *roster.Upstream  `cbor:"3,keyasint,omitempty"`
-	Life     *storeLife        `cbor:"4,keyasint,omitempty"`
-	Report   *Report           `cbor:"5,keyasint,omitempty"`
-	// Forget are upstreams whose ends no longer count.
+	Document         *catalog.Document `cbor:"1,keyasint,omitempty"`
+	Weights          *roster.Loaded    `cbor:"2,keyasint,omitempty"`
+	Upstream         *roster.Upstream  `cbor:"3,keyasint,omitempty"`
+	StoreIncarnation *storeIncarnation `cbor:"4,keyasint,omitempty"`
+	Report           *Report           `cbor:"5,keyasint,omitempty"`
+	// Forget lists upstream incarnations whose crashes no longer count.
 	Forget   []quarantine.Incarnation `cbor:"6,keyasint,omitempty"`
 	Evacuate *evacuation.Order        `cbor:"7,keyasint,omitempty"`
-	// Upstreams are announcements that were gathered.
+	// Upstreams is a batch of announcements.
 	Upstreams []roster.Upstream `cbor:"8,keyasint,omitempty"`
 }
 
-// storeLife is the life in which a store was last opened to entries. A new
-// leader that finds the store in the same life need not keep it closed.
-type storeLife struct {
-	Address string `cbor:"1,keyasint"`
-	Life    uint64 `cbor:"2,keyasint"`
+// storeIncarnation is the incarnation in which a store was last opened to entries. A new leader
+// that finds the store in the same incarnation need not keep it closed.
+type storeIncarnation struct {
+	Address     string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// verdict is the state machine's answer to a command.
+// verdict is the result of applying a command.
 type verdict struct {
 	Document catalog.Verdict `cbor:"1,keyasint,omitempty"`
-	// Malformed tells that the command could not be read.
+	// Malformed is set if the command couldn't be decoded.
 	Malformed bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -49,34 +49,34 @@
 type Machine struct {
 	mu       sync.Mutex
 	document *catalog.Document
-	// told is the document as entries are told it, nil before the first is.
-	told *catalog.Document
-	// weights is the newest version named for each model.
+	// entryDocument is the document in the form sent to entries, nil until it is first needed.
+	entryDocument *catalog.Document
+	// weights is the newest target version of each model.
 	weights         map[string]uint64
 	weightsRevision uint64
-	// namings are when this host learnt of each version. They are not replicated:
-	// hosts have no common steady clock, and a host that starts again knows of
-	// each since its start.
-	namings *rollout.TargetVersions
-	roster  *roster.Roster
-	lives   map[string]uint64
-	// quarantine holds the requests that end upstreams, and seen when this host learnt
-	// of each end: like namings, each host's own.
-	quarantine *quarantine.Tracker
-	seen       quarantine.Seen
-	evacuation *evacuation.Registry
-	pages      rosterPages
-	// changed is closed and replaced at each change, and ordered at those of what
-	// operators want.
-	changed, ordered chan struct{}
+	// targets holds the time at which this host learnt of each target version. It is not
+	// replicated: hosts have no common monotonic clock, and a restarted host counts each
+	// version from its own start.
+	targets           *rollout.TargetVersions
+	roster            *roster.Roster
+	storeIncarnations map[string]uint64
+	// quarantine tracks the requests that crash upstreams. crashesSeen holds the time at which
+	// this host learnt of each crash; like targets, it is local to the host.
+	quarantine  *quarantine.Tracker
+	crashesSeen quarantine.Seen
+	evacuation  *evacuation.Registry
+	pages       rosterPages
+	// changed is closed and replaced at each change, and orderChanged at each change that
+	// operators ordered or that affects the quarantine.
+	changed, orderChanged chan struct{}
 }
 
 // NewMachine returns the state before the first command.
 func NewMachine() *Machine {
 	return &Machine{
-		weights: make(map[string]uint64), namings: rollout.NewTargetVersions(), lives: make(map[string]uint64),
+		weights: make(map[string]uint64), targets: rollout.NewTargetVersions(), storeIncarnations: make(map[string]uint64),
 		roster: roster.New(), quarantine: quarantine.NewTracker(),
-		evacuation: evacuation.NewRegistry(), changed: make(chan struct{}), ordered: make(chan struct{}),
+		evacuation: evacuation.NewRegistry(), changed: make(chan struct{}), orderChanged: make(chan struct{}),
 	}
 }
 
@@ -98,8 +98,8 @@
 		m.applyUpstreams([]roster.Upstream{*c.Upstream})
 	case len(c.Upstreams) > 0:
 		m.applyUpstreams(c.Upstreams)
-	case c.Life != nil:
-		m.lives[c.Life.Address] = c.Life.Life
+	case c.StoreIncarnation != nil:
+		m.storeIncarnations[c.StoreIncarnation.Address] = c.StoreIncarnation.Incarnation
 	case c.Report != nil:
 		m.applyReport(c.Report)
 	case len(c.Forget) > 0:
@@ -119,10 +119,10 @@
 	return v
 }
 
-// applyUpstreams takes announcements in. The caller holds the lock.
-func (m *Machine) applyUpstreams(words []roster.Upstream) {
+// applyUpstreams applies announcements. The caller holds the lock.
+func (m *Machine) applyUpstreams(announcements []roster.Upstream) {
 	changed := false
-	for _, u := range words {
+	for _, u := range announcements {
 		changed = m.roster.Announce(u) || changed
 	}
 	if changed {
@@ -135,33 +135,33 @@
 		return
 	}
 	m.weights[w.Model] = w.Version
-	m.namings.Record(w.Model, w.Version, time.Now())
+	m.targets.Record(w.Model, w.Version, time.Now())
 	m.weightsRevision++
 	m.notifyOrder()
 }
 
-// notify wakes those who wait for a change. The caller holds the lock.
+// notify wakes the waiters for a change. The caller holds the lock.
 func (m *Machine) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// notifyOrder wakes those who wait for a change, or for one of what operators want. The
-// caller holds the lock.
+// notifyOrder wakes the waiters for any change, and those for a change of orders. The caller
+// holds the lock.
 func (m *Machine) notifyOrder() {
-	close(m.ordered)
-	m.ordered = make(chan struct{})
+	close(m.orderChanged)
+	m.orderChanged = make(chan struct{})
 	m.notify()
 }
 
 type savedMachine struct {
-	Document        *catalog.Document `cbor:"1,keyasint,omitempty"`
-	Weights         []roster.Loaded   `cbor:"2,keyasint"`
-	WeightsRevision uint64            `cbor:"3,keyasint"`
-	Roster          roster.Saved      `cbor:"4,keyasint"`
-	Lives           map[string]uint64 `cbor:"5,keyasint"`
-	Quarantine      quarantine.Saved  `cbor:"6,keyasint"`
-	Evacuation      evacuation.View   `cbor:"7,keyasint"`
+	Document          *catalog.Document `cbor:"1,keyasint,omitempty"`
+	Weights           []roster.Loaded   `cbor:"2,keyasint"`
+	WeightsRevision   uint64            `cbor:"3,keyasint"`
+	Roster            roster.Saved      `cbor:"4,keyasint"`
+	StoreIncarnations map[string]uint64 `cbor:"5,keyasint"`
+	Quarantine        quarantine.Saved  `cbor:"6,keyasint"`
+	Evacuation        evacuation.View   `cbor:"7,keyasint"`
 }
 
 // Snapshot implements port.StateMachine.
@@ -169,13 +169,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	saved := savedMachine{
-		Document:        m.document,
-		Weights:         m.namedWeights(),
-		WeightsRevision: m.weightsRevision,
-		Roster:          m.roster.Save(),
-		Lives:           m.lives,
-		Quarantine:      m.quarantine.Save(),
-		Evacuation:      m.evacuation.View(),
+		Document:          m.document,
+		Weights:           m.newestWeightsLocked(),
+		WeightsRevision:   m.weightsRevision,
+		Roster:            m.roster.Save(),
+		StoreIncarnations: m.storeIncarnations,
+		Quarantine:        m.quarantine.Save(),
+		Evacuation:        m.evacuation.View(),
 	}
 	data, err := wire.Marshal(saved)
 	return data, eris.Wrap(err, "steward: encode snapshot")
@@ -189,28 +189,28 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.document, m.told = saved.Document, nil
+	m.document, m.entryDocument = saved.Document, nil
 	m.weights = make(map[string]uint64, len(saved.Weights))
 	for _, w := range saved.Weights {
 		m.weights[w.Model] = w.Version
-		m.namings.Record(w.Model, w.Version, time.Now())
+		m.targets.Record(w.Model, w.Version, time.Now())
 	}
 	m.weightsRevision = saved.WeightsRevision
 	m.roster.Restore(saved.Roster)
 	m.pages = rosterPages{}
-	m.lives = saved.Lives
-	if m.lives == nil {
-		m.lives = make(map[string]uint64)
+	m.storeIncarnations = saved.StoreIncarnations
+	if m.storeIncarnations == nil {
+		m.storeIncarnations = make(map[string]uint64)
 	}
 	m.quarantine.Restore(saved.Quarantine)
 	m.evacuation.Restore(saved.Evacuation)
-	m.seen.Follow(m.quarantine.Incarnations(), time.Now())
+	m.crashesSeen.Follow(m.quarantine.Incarnations(), time.Now())
 	m.notifyOrder()
 	return nil
 }
 
-// namedWeights lists the newest versions by model. The caller holds the lock.
-func (m *Machine) namedWeights() []roster.Loaded {
+// newestWeightsLocked lists the newest target versions by model. The caller holds the lock.
+func (m *Machine) newestWeightsLocked() []roster.Loaded {
 	var list []roster.Loaded
 	for _, model := range slices.Sorted(maps.Keys(m.weights)) {
 		list = append(list, roster.Loaded{Model: model, Version: m.weights[model]})
@@ -218,26 +218,25 @@
 	return list
 }
 
-// newestWeights lists the newest versions by model.
+// newestWeights lists the newest target versions by model.
 func (m *Machine) newestWeights() []roster.Loaded {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.namedWeights()
+	return m.newestWeightsLocked()
 }
 
-// Document returns the configuration held, nil before the first. It must not
-// be changed.
+// Document returns the current configuration, nil before the first. It must not be changed.
 func (m *Machine) Document() *catalog.Document {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.document
 }
 
-// namedAt returns when each version was named, as far as this host knows.
-func (m *Machine) namedAt() *rollout.TargetVersions {
+// targetVersions returns the times at which this host learnt of each target version.
+func (m *Machine) targetVersions() *rollout.TargetVersions {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.namings.Clone()
+	return m.targets.Clone()
 }
 
 func (m *Machine) upstream(id string) (roster.Upstream, bool) {
@@ -246,11 +245,11 @@
 	return m.roster.Get(id)
 }
 
-// lifeOf returns the life in which a store was last open, 0 for none.
-func (m *Machine) lifeOf(store string) uint64 {
+// incarnationOf returns the incarnation in which a store was last open, 0 for none.
+func (m *Machine) incarnationOf(store string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lives[store]
+	return m.storeIncarnations[store]
 }
 
 func (m *Machine) live() []roster.Upstream {
@@ -259,29 +258,28 @@
 	return m.roster.Live()
 }
 
-// liveIDs names the upstreams that are not gone, in no order.
+// liveIDs returns the IDs of the upstreams that are not gone, in no order.
 func (m *Machine) liveIDs() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.LiveIDs()
 }
 
-// news returns a channel that is closed at the next change.
-func (m *Machine) news() <-chan struct{} {
+// changes returns a channel that is closed at the next change.
+func (m *Machine) changes() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// orders returns a channel that is closed at the next change of what operators want.
-func (m *Machine) orders() <-chan struct{} {
+// orderChanges returns a channel that is closed at the next change of orders.
+func (m *Machine) orderChanges() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ordered
+	return m.orderChanged
 }
 
-// fill puts into an answer what the caller of a watch lacks, and reports
-// whether that is anything.
+// fill adds to an answer what the caller of a watch lacks, and reports whether there is any.
 func (m *Machine) fill(request *WatchRequest, answer *WatchAnswer) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -291,7 +289,7 @@
 		found = true
 	}
 	if m.weightsRevision > request.Weights {
-		answer.Weights = &WeightsView{Revision: m.weightsRevision, Newest: m.namedWeights()}
+		answer.Weights = &WeightsView{Revision: m.weightsRevision, Newest: m.newestWeightsLocked()}
 		found = true
 	}
 	if m.roster.Revision() > request.Roster {
@@ -310,19 +308,19 @@
 	return found
 }
 
-// documentFor is the configuration as the caller of a watch is told it: a control host has
-// it from the log, and only its version is told there. The caller holds the lock.
+// documentFor returns the configuration in the form for the caller of a watch: a control host
+// has it from the log and receives its version only. The caller holds the lock.
 func (m *Machine) documentFor(request *WatchRequest) *catalog.Document {
 	if request.Entry == nil {
 		return &catalog.Document{Version: m.document.Version}
 	}
-	if m.told == nil || m.told.Version != m.document.Version {
-		m.told = m.document.ForEntries()
+	if m.entryDocument == nil || m.entryDocument.Version != m.document.Version {
+		m.entryDocument = m.document.ForEntries()
 	}
-	return m.told
+	return m.entryDocument
 }
 
-// revisions tell how far a state has come.
+// revisions are the revisions of the parts of a state.
 type revisions struct {
 	document   catalog.Version
 	weights    uint64
@@ -331,14 +329,14 @@
 	evacuation uint64
 }
 
-// cover reports whether nothing of other is missing.
-func (r revisions) cover(other revisions) bool {
+// covers reports whether r is at least as new as other in every part.
+func (r revisions) covers(other revisions) bool {
 	return r.document >= other.document && r.weights >= other.weights && r.roster >= other.roster &&
 		r.quarantine >= other.quarantine && r.evacuation >= other.evacuation
 }
 
-// held returns how far the state has come.
-func (m *Machine) held() revisions {
+// currentRevisions returns the revisions of the current state.
+func (m *Machine) currentRevisions() revisions {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	held := revisions{weights: m.weightsRevision, roster: m.roster.Revision(),
--- a/internal/steward/memberplan.go
+++ b/internal/steward/memberplan.go
@@ -25,12 +25,11 @@
 	host   ident.Host
 }
 
-// planMembers chooses the next change of membership.
+// planMembers returns the next change of membership.
 //
-// A host whose disk was replaced comes first: its old identity still counts in
-// the quorum without being able to vote. Then the group grows to its size. A
-// voter that is lost leaves only when another host stands ready, so that an
-// outage alone never shrinks the group.
+// A host whose disk was replaced comes first: its old identity still counts in the quorum
+// without being able to vote. Then the group grows to its size. A lost voter is removed only
+// when another host is ready to replace it, so that an outage alone never shrinks the group.
 func planMembers(detail quorum.Status, candidates, lost []ident.Host, size int) memberPlan {
 	voters := hostsOf(detail.Members.Voters)
 	learners := hostsOf(detail.Members.Learners)
@@ -62,7 +61,7 @@
 	return memberPlan{}
 }
 
-// readyLearner reports whether a host that asked follows the log closely.
+// readyLearner reports whether a learner that requested to join follows the log closely.
 func readyLearner(detail quorum.Status, outside []ident.Host) bool {
 	for _, p := range detail.Peers {
 		if !p.Voter && p.Active && p.PresentedDisk == 0 && p.State == "replicate" && slices.Contains(outside, p.Member.Host) {
--- a/internal/steward/memberplan_test.go
+++ b/internal/steward/memberplan_test.go
@@ -27,16 +27,16 @@
 		candidates, lost []ident.Host
 		want             memberPlan
 	}{
-		{"whole", group(three, nil), nil, nil, memberPlan{}},
+		{"complete", group(three, nil), nil, nil, memberPlan{}},
 		{"too few", group(hosts("a"), nil), hosts("b", "c"), nil, memberPlan{addVoter, "b"}},
 		{"an outage alone", group(three, nil), nil, hosts("c"), memberPlan{}},
 		{"a spare host", group(three, nil), hosts("d"), nil, memberPlan{addLearner, "d"}},
-		{"a spare host that lags does not push anyone out", group(three, hosts("d")), hosts("d"), hosts("c"), memberPlan{}},
-		{"a spare host takes a lost one's place", group(three, hosts("d"), ready), hosts("d"), hosts("c"), memberPlan{removeMember, "c"}},
+		{"a spare host that lags replaces no voter", group(three, hosts("d")), hosts("d"), hosts("c"), memberPlan{}},
+		{"a spare host replaces a lost one", group(three, hosts("d"), ready), hosts("d"), hosts("c"), memberPlan{removeMember, "c"}},
 		{"and votes then", group(hosts("a", "b"), hosts("d"), ready), hosts("d"), nil, memberPlan{addVoter, "d"}},
 		{"too many, one lost", group(hosts("a", "b", "c", "d"), nil), nil, hosts("c"), memberPlan{removeMember, "c"}},
 		{"a wiped disk", group(three, nil, quorum.PeerStatus{Member: quorum.Member{Host: "b"}, Voter: true, PresentedDisk: 9}), hosts("b"), nil, memberPlan{addVoter, "b"}},
-		{"a lost host that asked before it was lost", group(hosts("a", "b"), nil), hosts("c"), hosts("c"), memberPlan{}},
+		{"a lost host that requested to join before it was lost", group(hosts("a", "b"), nil), hosts("c"), hosts("c"), memberPlan{}},
 		{"a lost learner", group(three, hosts("d")), nil, hosts("d"), memberPlan{removeMember, "d"}},
 	}
 	for _, c := range cases {
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -20,20 +20,18 @@
 	methodReport port.Method = "steward.report"
 )
 
-// Load is the work that one entry has under way at an upstream, or what it
-// waits for from a store.
+// Load is one entry's work in progress at an upstream, or its outstanding reads from a store.
 type Load struct {
-	// Upstream is the upstream's name or, for a store, its address.
+	// Upstream is the upstream's ID or, for a store, its address.
 	Upstream string `cbor:"1,keyasint"`
 	Requests int    `cbor:"2,keyasint"`
-	// Tokens are those of the prompts under way.
+	// Tokens is the number of prompt tokens in progress.
 	Tokens int `cbor:"3,keyasint,omitempty"`
-	// Unread are the tokens that runners have still to read before the answers
-	// begin.
+	// Unread is the number of tokens pending prefill at the runners before the answers begin.
 	Unread int `cbor:"4,keyasint,omitempty"`
 }
 
-// EntryView is one entry as others see it.
+// EntryView is the state of one entry as reported to others.
 type EntryView struct {
 	Host       string `cbor:"1,keyasint"`
 	DataCentre string `cbor:"2,keyasint"`
@@ -41,46 +39,45 @@
 	Callers string `cbor:"3,keyasint"`
 	// Ready is false while the entry has no configuration or is leaving.
 	Ready bool `cbor:"4,keyasint"`
-	// Rate are the requests a second that it serves, and Most those that it serves
-	// well, 0 if it can't tell.
+	// Rate is the number of requests a second that the entry serves, and Most the number that
+	// it can serve well, 0 if unknown.
 	Rate int `cbor:"5,keyasint,omitempty"`
 	Most int `cbor:"6,keyasint,omitempty"`
-	// Evacuation is the revision of the evacuations that it goes by, and Document the
-	// version of the configuration, 0 for none.
+	// Evacuation is the revision of the evacuations in force at the entry, and Document the
+	// version of its configuration, 0 for none.
 	Evacuation uint64          `cbor:"7,keyasint,omitempty"`
 	Document   catalog.Version `cbor:"8,keyasint,omitempty"`
 }
 
-// WatchRequest asks the leader for what the caller lacks.
+// WatchRequest requests the state that the caller lacks.
 type WatchRequest struct {
 	// Entry describes the caller; nil on control hosts.
 	Entry *EntryView `cbor:"1,keyasint,omitempty"`
-	// Document, Weights and Roster are what the caller holds.
+	// Document, Weights and Roster are the revisions that the caller holds.
 	Document catalog.Version `cbor:"2,keyasint"`
 	Weights  uint64          `cbor:"3,keyasint"`
 	Roster   uint64          `cbor:"4,keyasint"`
-	// Inventories asks for what the caller lacks of the shelves, nil for nothing.
+	// Inventories is the position of the caller in the inventories, nil to request none.
 	Inventories *cacheindex.Query `cbor:"5,keyasint,omitempty"`
 	Loads       []Load            `cbor:"6,keyasint,omitempty"`
-	// Term is that of the answer before, zero for the first call.
+	// Term is the term of the previous answer, zero for the first call.
 	Term uint64 `cbor:"7,keyasint"`
-	// Relay tells that the caller is a control host that answers watches itself,
-	// Below are the entries that ask it, and Loads their sum.
-	// Below is left out where the leader holds the list of number BelowAt.
+	// Relay is set by a control host that answers watches itself. RelayedEntries are then the
+	// entries that watch it, and Loads their sum. RelayedEntries is left out if the leader
+	// holds the list of revision RelayedRevision.
 	Relay           bool        `cbor:"8,keyasint,omitempty"`
 	RelayedEntries  []EntryView `cbor:"9,keyasint,omitempty"`
 	RelayedRevision uint64      `cbor:"20,keyasint,omitempty"`
-	// Direct tells that the caller, an entry, reaches none of the hosts that it
-	// was told to ask instead of the leader.
+	// Direct is set by an entry that reaches none of the relays.
 	Direct bool `cbor:"10,keyasint,omitempty"`
-	// Overdue tells that what the caller was last told of the configuration is
-	// so old that the leader must answer, whoever else could.
+	// Overdue is set if the caller's configuration state is so old that the leader must answer,
+	// even if relays exist.
 	Overdue bool `cbor:"11,keyasint,omitempty"`
-	// Entries is the number of entries that the caller was last told, zero for
-	// none. A leader that has just started knows by it how many will call.
+	// Entries is the number of entries in the caller's latest answer, zero for none. A leader
+	// that has just started takes from it how many will call.
 	Entries int `cbor:"12,keyasint,omitempty"`
-	// Idle tells that the caller, an entry, has had no request lately: it needs the
-	// configuration in time, and the rest only to begin with.
+	// Idle is set by an entry that has had no request recently: it needs the configuration in
+	// time, and the rest only at its start.
 	Idle bool `cbor:"13,keyasint,omitempty"`
 	// Quarantine is the revision of the quarantine that the caller holds.
 	Quarantine uint64 `cbor:"15,keyasint,omitempty"`
@@ -88,12 +85,13 @@
 	Evacuation uint64 `cbor:"16,keyasint,omitempty"`
 	// Grants is the revision of the grants that the caller, a control host, holds.
 	Grants uint64 `cbor:"17,keyasint,omitempty"`
-	// LastContacts are the upstreams that announced themselves to the caller, a control
-	// host, since its latest question that was answered.
+	// LastContacts are the upstreams that announced themselves to the caller, a control host,
+	// since its latest answered request.
 	LastContacts []LastContact `cbor:"14,keyasint,omitempty"`
-	// SilentAt is the revision of the silent upstreams that the caller was told in Term.
+	// SilentAt is the revision of the list of silent upstreams that the caller received in
+	// Term.
 	SilentAt uint64 `cbor:"19,keyasint,omitempty"`
-	// Listing tells that the caller is being told the whole roster, page by page.
+	// Listing is set while the caller receives the complete roster, page by page.
 	Listing bool `cbor:"18,keyasint,omitempty"`
 }
 
@@ -109,53 +107,53 @@
 	Newest   []roster.Loaded `cbor:"2,keyasint"`
 }
 
-// RosterView is a page of the upstreams that changed after revision Since, up to
-// Revision, those that are gone among them. Pages from 0 on list the whole roster: what
-// none of them names up to the last one is gone. To a control host, which has the roster
-// from the log, only Revision is told.
+// RosterView is a page of the upstreams that changed after revision Since, up to Revision,
+// including those that are gone. Pages from 0 on list the complete roster: an upstream that is
+// on none of them up to the last one is gone. A control host, which has the roster from the
+// log, receives Revision only.
 type RosterView struct {
 	Revision  uint64            `cbor:"1,keyasint"`
 	Upstreams []roster.Upstream `cbor:"2,keyasint"`
 	Since     uint64            `cbor:"3,keyasint,omitempty"`
-	// More tells that another page follows.
+	// More is set if another page follows.
 	More bool `cbor:"4,keyasint,omitempty"`
-	// encoded is the message where several callers are told it.
+	// encoded is the encoded message, kept since several callers receive it.
 	encoded []byte
 }
 
-// QuarantineView is which requests are to be sent to no upstream, and of which further
-// ones one more end decides.
+// QuarantineView lists the requests that must be sent to no upstream, and the suspects, which
+// one more crash would quarantine.
 type QuarantineView struct {
 	Revision    uint64                   `cbor:"1,keyasint"`
 	Quarantined []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
 	Suspects    []quarantine.Fingerprint `cbor:"3,keyasint,omitempty"`
 }
 
-// Report is what an entry has seen of requests that end upstreams.
+// Report is an entry's report on requests that crash upstreams.
 type Report struct {
 	Crashes []quarantine.Crash `cbor:"1,keyasint,omitempty"`
-	// Served are requests that ran to a good end and were suspected.
+	// Served are suspected requests that completed successfully.
 	Served []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether there is nothing to send.
 func (r *Report) Empty() bool { return len(r.Crashes)+len(r.Served) == 0 }
 
-// StoreState is whether one store may be used.
+// StoreState is the state of one store; it may be used while Open.
 type StoreState struct {
 	Address     string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Open        bool   `cbor:"3,keyasint"`
 }
 
-// WatchAnswer is what the caller lacked.
+// WatchAnswer holds the state that the caller lacked.
 type WatchAnswer struct {
-	// Redirect tells to ask another host: one of Relays or, if there are none,
-	// Leader. The rest is empty then, but for Members.
+	// Redirect directs the caller to another host: one of Relays or, if there are none, Leader.
+	// The other fields are empty then, except Members.
 	Redirect bool `cbor:"1,keyasint,omitempty"`
-	// Shed tells that the host leads and has no time for the caller.
+	// Shed is set if the host leads and has no time for the caller.
 	Shed bool `cbor:"34,keyasint,omitempty"`
-	// Leader is the host that leads, empty if none is known.
+	// Leader is the host that leads, empty if unknown.
 	Leader string `cbor:"2,keyasint,omitempty"`
 	// Members are the control hosts of the group.
 	Members  []string          `cbor:"3,keyasint,omitempty"`
@@ -163,76 +161,79 @@
 	Document *catalog.Document `cbor:"5,keyasint,omitempty"`
 	Weights  *WeightsView      `cbor:"6,keyasint,omitempty"`
 	Roster   *RosterView       `cbor:"7,keyasint,omitempty"`
-	// Silent are the upstreams that have not announced themselves lately, of revision
-	// SilentAt in Term. They are left out where the caller holds that revision.
+	// Silent are the upstreams that have not announced themselves recently, of revision
+	// SilentAt in Term. They are left out if the caller holds that revision.
 	Silent   []string `cbor:"8,keyasint,omitempty"`
 	SilentAt uint64   `cbor:"30,keyasint,omitempty"`
-	// Loading are the runners that are being ordered to load weights.
+	// Loading are the runners with an order to load weights.
 	Loading []string `cbor:"16,keyasint,omitempty"`
-	// Inventories is what the caller lacked of the shelves, and States which stores
-	// may be used once the shelves are complete.
+	// Inventories is what the caller lacked of the inventories. StoreStates are the states of
+	// the stores once the inventories are complete.
 	Inventories *cacheindex.Update `cbor:"9,keyasint,omitempty"`
 	StoreStates []StoreState       `cbor:"11,keyasint,omitempty"`
-	// Clock is the upstreams' clock in milliseconds, at the earliest; zero
+	// Clock is the earliest time that the upstreams' clock can show, in milliseconds; zero
 	// while unknown.
 	Clock int64 `cbor:"13,keyasint,omitempty"`
-	// Loads are the other entries' work under way.
+	// Loads is the work in progress of the other entries.
 	Loads []Load `cbor:"14,keyasint,omitempty"`
-	// Entries lists the entries, for control hosts; entries get their number. Counting
-	// tells that the leader does not know yet how many there are.
+	// Entries lists the entries, for control hosts; entries receive EntryCount only. Counting
+	// is set while the leader doesn't know the number yet.
 	Entries    []EntryView `cbor:"15,keyasint,omitempty"`
 	EntryCount int         `cbor:"17,keyasint"`
 	Counting   bool        `cbor:"35,keyasint,omitempty"`
-	// RelayedRevision is the number of the list of entries that the caller, a control host, told.
+	// RelayedRevision is the revision of the entry list that the leader has from the caller, a
+	// control host.
 	RelayedRevision uint64 `cbor:"33,keyasint,omitempty"`
-	// ActiveEntries is the number of the entries that took requests lately.
+	// ActiveEntries is the number of the entries that received requests recently.
 	ActiveEntries int `cbor:"32,keyasint,omitempty"`
-	// Relaying tells that there are more entries than the leader answers by
-	// itself, and Relays the hosts that entries are to ask instead.
+	// Relaying is set if there are more entries than the leader answers itself. Relays are the
+	// hosts that entries should query instead.
 	Relaying bool        `cbor:"18,keyasint,omitempty"`
 	Relays   []RelayView `cbor:"19,keyasint,omitempty"`
-	// InventoryAge is how old the word on the shelves is, in nanoseconds: from the leader the
-	// time since the end of its lease, zero within it, and from another host the time
-	// since it asked the leader and that age.
+	// InventoryAge is the age of the inventories, in nanoseconds: from the leader the time
+	// since the end of its lease, zero within it, and from a relay the time since its request
+	// to the leader plus that age.
 	InventoryAge time.Duration `cbor:"20,keyasint,omitempty"`
-	// MinVersions lists the oldest weights on which a prompt may begin, for the models
-	// where older ones are past their bound.
+	// MinVersions lists the minimum weight versions on which a prompt may begin, for the models
+	// whose older versions are past their time bound.
 	MinVersions []roster.Loaded `cbor:"21,keyasint,omitempty"`
-	// StateAge is the same for Document, Weights, Roster, Quarantine and Evacuation.
+	// StateAge is the age of Document, Weights, Roster, Quarantine and Evacuation, measured in
+	// the same way.
 	StateAge time.Duration `cbor:"22,keyasint,omitempty"`
-	// OpenFor is for how long the watch was kept open before what it tells was looked up.
+	// OpenFor is the time for which the watch was kept open before the state in the answer was
+	// read.
 	OpenFor time.Duration `cbor:"31,keyasint,omitempty"`
-	// Pause is how long the caller should wait before it asks again.
+	// Pause is the time that the caller should wait before its next request.
 	Pause      time.Duration   `cbor:"23,keyasint,omitempty"`
 	Quarantine *QuarantineView `cbor:"24,keyasint,omitempty"`
 	// Evacuation lists the data centres whose upstreams get no new work.
 	Evacuation *evacuation.View `cbor:"25,keyasint,omitempty"`
-	// Grants are what the caller may send to cold upstreams or, for a control host that
-	// holds another revision, what all entries may. GrantsAt is their revision, 0 where
-	// none are confirmed.
+	// Grants are the caller's permits for cold upstreams or, for a control host that holds
+	// another revision, those of all entries. GrantsAt is their revision, 0 if none are
+	// confirmed.
 	Grants   []warmup.Grant `cbor:"26,keyasint,omitempty"`
 	GrantsAt uint64         `cbor:"27,keyasint,omitempty"`
-	// GrantsAge is how long before the answer the leader confirmed them, at most.
+	// GrantsAge is the maximum time between the leader's confirmation of the grants and the
+	// answer.
 	GrantsAge time.Duration `cbor:"28,keyasint,omitempty"`
-	// EntriesUnchanged tells that Entries are left out, and as the caller, a control host, was
-	// told them last.
+	// EntriesUnchanged is set if Entries is left out because the list last sent to the caller,
+	// a control host, still holds.
 	EntriesUnchanged bool `cbor:"29,keyasint,omitempty"`
-	// Partial answers came after another one was taken in that was asked for
-	// later, or about as late: only Document, Weights, Roster, Quarantine and
-	// Evacuation, which have revisions, still hold.
+	// Partial is set on an answer that was applied after another one that was requested later,
+	// or about as late: only Document, Weights, Roster, Quarantine and Evacuation, which have
+	// revisions, are still valid.
 	Partial bool `cbor:"-"`
-	// waited is for how long the watch was kept open.
+	// waited is the time for which the watch was kept open.
 	waited time.Duration
 }
 
-// orders reports whether the answer tells anything that operators want, or which requests
-// are to be sent to no upstream.
+// orders reports whether the answer carries anything that operators ordered, or a change of the
+// quarantine.
 func (a *WatchAnswer) orders() bool {
 	return a.Document != nil || a.Weights != nil || a.Evacuation != nil || a.Quarantine != nil
 }
 
-// revisions returns how far the parts of the answer have come that the caller
-// lacked; zero for the others.
+// revisions returns the revisions of the parts that the caller lacked; zero for the others.
 func (a *WatchAnswer) revisions() revisions {
 	var r revisions
 	if a.Document != nil {
@@ -253,14 +254,14 @@
 	return r
 }
 
-// submission carries an operator's or upstream's message to the leader.
+// submission is an operator's, upstream's or entry's message to the leader.
 type submission struct {
 	Command *command `cbor:"1,keyasint,omitempty"`
-	// Words are upstreams' announcements.
-	Words []roster.Upstream `cbor:"2,keyasint,omitempty"`
-	// Read asks for the configuration.
+	// Announcements are upstreams' announcements.
+	Announcements []roster.Upstream `cbor:"2,keyasint,omitempty"`
+	// Read requests the configuration.
 	Read bool `cbor:"3,keyasint,omitempty"`
-	// Report is an entry's.
+	// Report is an entry's report.
 	Report *Report `cbor:"4,keyasint,omitempty"`
 	// Evacuate is an operator's order.
 	Evacuate *evacuation.Order `cbor:"5,keyasint,omitempty"`
@@ -271,16 +272,16 @@
 	Uncertain bool              `cbor:"2,keyasint,omitempty"`
 	Verdict   verdict           `cbor:"3,keyasint"`
 	Document  *catalog.Document `cbor:"4,keyasint,omitempty"`
-	// Words are what became of the announcements, in their order.
-	Words []wordVerdict `cbor:"5,keyasint,omitempty"`
-	// Reason is why it is uncertain, maxReason bytes at most.
+	// Results are the outcomes of the announcements, in their order.
+	Results []announceResult `cbor:"5,keyasint,omitempty"`
+	// Reason is the cause of Uncertain, at most maxReason bytes.
 	Reason string `cbor:"6,keyasint,omitempty"`
 }
 
-// maxReason bounds the reason that a leader sends along.
+// maxReason bounds the reason in a leader's answer.
 const maxReason = 200
 
-// joinRequest asks the leader to take a control host in.
+// joinRequest requests the leader to admit a control host.
 type joinRequest struct {
 	Host string `cbor:"1,keyasint"`
 }
--- a/internal/steward/meter.go
+++ b/internal/steward/metrics.go
@@ -8,36 +8,36 @@
 	"github.com/lovagereach/lovagereach/catalog"
 )
 
-// meter holds a control host's counters.
-type meter struct {
+// controlMetrics holds a control host's counters.
+type controlMetrics struct {
 	set *metrics.Set
-	// watches counts those answered here as the leader, or for it, and
-	// redirects those that were sent elsewhere.
+	// asLeader and asRelay count the watches answered here as the leader or as a relay, and
+	// redirects those that were redirected.
 	asLeader, asRelay, redirects *metrics.Counter
-	// told counts the parts of shelves that were sent.
-	told *metrics.Counter
-	// led counts the terms in which this host led.
-	led *metrics.Counter
-	// stores counts the times that a store was lost, and listings those that
-	// were taken.
+	// partsSent counts the parts of inventories that were sent.
+	partsSent *metrics.Counter
+	// termsLed counts the terms in which this host led.
+	termsLed *metrics.Counter
+	// storesLost counts the times that a store was lost, and listings the store listings that
+	// were received.
 	storesLost, listings *metrics.Counter
-	// commits is the time that commands took to be in the log of a quorum, and
-	// failed those that were not.
+	// commits is the time from proposing a command until it is in the log of a quorum, and
+	// failed counts the commands that were not committed.
 	commits *metrics.Histogram
 	failed  *metrics.Counter
 	orders  *metrics.Counter
-	// announced is the time that announcements took to be answered, and unannounced those
-	// that were not acknowledged. shed counts the entries that a leader sent back for want
-	// of time.
+	// announced is the time until announcements were answered, and unannounced counts those
+	// that were not acknowledged. shed counts the watches that a leader turned away because it
+	// had no time.
 	announced         *metrics.Histogram
 	unannounced, shed *metrics.Counter
 }
 
-func newMeter(s *Steward) *meter {
-	m := &meter{set: metrics.NewSet()}
+func newControlMetrics(s *Steward) *controlMetrics {
+	m := &controlMetrics{set: metrics.NewSet()}
 	counter := func(part string) *metrics.Counter { return m.set.NewCounter("lovagereach_steward_" + part) }
 	m.asLeader, m.asRelay = counter(`watches_total{as="leader"}`), counter(`watches_total{as="relay"}`)
-	m.redirects, m.told, m.led = counter("redirects_total"), counter("parts_told_total"), counter("terms_led_total")
+	m.redirects, m.partsSent, m.termsLed = counter("redirects_total"), counter("parts_told_total"), counter("terms_led_total")
 	m.storesLost, m.listings = counter("stores_lost_total"), counter("store_listings_total")
 	m.commits, m.failed = m.set.NewHistogram("lovagereach_steward_commit_seconds"), counter("commit_failures_total")
 	m.orders, m.shed = counter("orders_total"), counter("watches_shed_total")
@@ -93,13 +93,13 @@
 		if s.leading.Load() != nil {
 			return 0
 		}
-		return s.branch.heardAge(s.branch.now()).Seconds()
+		return s.relay.leaderContactAge(s.relay.now()).Seconds()
 	})
 	return m
 }
 
-// watched counts an answer to a watch.
-func (m *meter) watched(b bulletin, answer *WatchAnswer) {
+// countAnswer counts an answer to a watch.
+func (m *controlMetrics) countAnswer(b watchSource, answer *WatchAnswer) {
 	if _, leads := b.(*leadership); leads {
 		m.asLeader.Inc()
 	} else {
@@ -109,13 +109,13 @@
 		return
 	}
 	for i := range answer.Inventories.Batches {
-		m.told.Add(len(answer.Inventories.Batches[i].Parts))
+		m.partsSent.Add(len(answer.Inventories.Batches[i].Parts))
 	}
 }
 
-// Metrics are the counters of the control host, its connections and its replica.
+// Metrics returns the metrics of the control host, its connections and its replica.
 func (s *Steward) Metrics() []*metrics.Set {
-	return []*metrics.Set{s.meter.set, s.transport.Metrics(), s.manager.Metrics()}
+	return []*metrics.Set{s.counters.set, s.transport.Metrics(), s.manager.Metrics()}
 }
 
 // Dump is the state of a control host for operators.
@@ -131,25 +131,25 @@
 	Silent   []string         `json:"silent_upstreams"`
 	Loading  []string         `json:"loading_upstreams"`
 	Roster   []DumpedUpstream `json:"upstreams"`
-	// Quarantined are the prints of requests that are sent to no upstream.
+	// Quarantined are the fingerprints of requests that are sent to no upstream.
 	Quarantined []string `json:"held_requests"`
 	// Evacuated are the data centres whose upstreams get no new work.
 	Evacuated []string `json:"evacuated_data_centres"`
-	// Behind are entries that go by an older configuration, mostBehind of them at most.
+	// Behind are entries with an older configuration, at most maxBehind of them.
 	Behind []string `json:"behind_entries"`
-	// Led is for how long this host has led, and Heard the time since the leader was asked
-	// with success.
-	Led   time.Duration `json:"led_ns"`
-	Heard time.Duration `json:"leader_heard_ns"`
+	// LeadingFor is the time for which this host has led, and LeaderContactAge the time
+	// since the latest successful request to the leader.
+	LeadingFor       time.Duration `json:"led_ns"`
+	LeaderContactAge time.Duration `json:"leader_heard_ns"`
 }
 
-// WeightsOf is the newest version named for a model.
+// WeightsOf is the newest target version of a model.
 type WeightsOf struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
 
-// DumpedUpstream is an upstream as the log has it.
+// DumpedUpstream is an upstream's record in the log.
 type DumpedUpstream struct {
 	ID       string `json:"id"`
 	Service  string `json:"service"`
@@ -158,17 +158,16 @@
 	Sequence uint64 `json:"sequence"`
 }
 
-// mostBehind bounds the entries that a dump names as behind.
-const mostBehind = 50
+// maxBehind bounds the entries that a dump lists as behind.
+const maxBehind = 50
 
-// behind names the entries that go by an older configuration than the newest, on the
-// leader.
+// behind lists the entries with an older configuration than the newest, on the leader.
 func (s *Steward) behind(now time.Time) []string {
 	l := s.leading.Load()
 	if l == nil {
 		return nil
 	}
-	newest := s.machine.held().document
+	newest := s.machine.currentRevisions().document
 	var hosts []string
 	for _, view := range l.watchers.recentEntries(now) {
 		if view.Document < newest {
@@ -181,7 +180,7 @@
 // Dump returns the state for operators.
 func (s *Steward) Dump() Dump {
 	now := time.Now()
-	d := Dump{Leader: s.Leader(), Members: s.memberNames(), Entries: s.entryList(), Document: s.machine.held().document, Voters: s.voterViews(now)}
+	d := Dump{Leader: s.Leader(), Members: s.memberNames(), Entries: s.entryList(), Document: s.machine.currentRevisions().document, Voters: s.voterViews(now)}
 	for _, w := range s.machine.newestWeights() {
 		d.Weights = append(d.Weights, WeightsOf(w))
 	}
@@ -196,12 +195,12 @@
 		d.Quarantined = append(d.Quarantined, p.String())
 	}
 	if l := s.leading.Load(); l != nil {
-		d.Leading, d.Led = true, now.Sub(l.since)
+		d.Leading, d.LeadingFor = true, now.Sub(l.since)
 		d.Behind = s.behind(now)
-		d.Behind = d.Behind[:min(len(d.Behind), mostBehind)]
+		d.Behind = d.Behind[:min(len(d.Behind), maxBehind)]
 		d.Relays, d.Silent, d.Loading = l.relays(now), l.silent(live, now), l.loader.loading()
 	} else {
-		d.Heard = s.branch.heardAge(s.branch.now())
+		d.LeaderContactAge = s.relay.leaderContactAge(s.relay.now())
 	}
 	return d
 }
--- a/internal/steward/options.go
+++ b/internal/steward/options.go
@@ -13,61 +13,60 @@
 	"github.com/lovagereach/lovagereach/internal/adapter/disk"
 )
 
-// StoreEvents is what a store tells of its parts.
+// StoreEvents is a store's report on changes of its parts.
 type StoreEvents struct {
 	// Incarnation changes when the store restarts.
 	Incarnation uint64
-	// Next is where the next question begins.
+	// Next is the position at which the next query begins.
 	Next uint64
-	// Lost tells that earlier events are no longer held.
+	// Lost is set if earlier events are no longer held.
 	Lost    bool
 	Changes []cacheindex.Change
-	// Clock is the upstreams' clock in milliseconds, zero when not told.
+	// Clock is the upstreams' clock in milliseconds, zero if unknown.
 	Clock int64
 }
 
-// caughtUpBelow is the number of changes below which an answer has brought the
-// latest events: stores and runners tell 500 at a time, and change less between
-// two questions.
+// caughtUpBelow is the number of changes below which an answer contained the latest events:
+// stores and runners send 500 at a time, and change less between two queries.
 const caughtUpBelow = 300
 
-// caughtUp reports whether nothing that has happened is still to be told.
+// caughtUp reports whether no past event is still to be sent.
 func (e *StoreEvents) caughtUp() bool { return len(e.Changes) < caughtUpBelow }
 
-// Stores asks stores what they hold.
+// Stores queries stores for their contents.
 type Stores interface {
-	// List returns everything that a store holds whole.
+	// List returns all complete parts of a store.
 	List(ctx context.Context, address string) (StoreEvents, error)
-	// Free frees parts of a store in one life of it. It changes nothing once the
-	// upstreams' clock shows more than until, in milliseconds.
-	Free(ctx context.Context, address string, life uint64, parts []cacheindex.Key, until int64) error
-	// Events returns what changed since, waiting up to wait for something.
+	// Free frees parts of a store in one incarnation. It changes nothing once the upstreams'
+	// clock shows more than until, in milliseconds.
+	Free(ctx context.Context, address string, incarnation uint64, parts []cacheindex.Key, until int64) error
+	// Events returns the changes from position since on, waiting up to wait for one.
 	Events(ctx context.Context, address string, since uint64, wait time.Duration) (StoreEvents, error)
 }
 
-// LoadOrder tells a runner to load a weight version.
+// LoadOrder orders a runner to load a weight version.
 type LoadOrder struct {
 	Upstream string
 	Address  string
 	Model    string
 	Version  uint64
-	// Holder is the host that gives the order and Fence its number.
+	// Holder is the host that issues the order and Fence its fencing token.
 	Holder string
 	Fence  uint64
-	// Accepted is the number of orders that the runner must have accepted
-	// before; an order that arrives late then changes nothing.
+	// Accepted is the number of orders that the runner must have accepted before; an order that
+	// arrives late then changes nothing.
 	Accepted uint64
 }
 
-// OrderResult is what became of an order.
+// OrderResult is the outcome of an order.
 type OrderResult uint8
 
 const (
-	// OrderAccepted orders are being carried out.
+	// OrderAccepted: the order is being executed.
 	OrderAccepted OrderResult = iota + 1
-	// OrderAlreadyLoaded tells that the runner has the version already.
+	// OrderAlreadyLoaded: the runner has the version already.
 	OrderAlreadyLoaded
-	// OrderRefused orders changed nothing.
+	// OrderRefused: the order changed nothing.
 	OrderRefused
 	// OrderMisdirected: another upstream has the address.
 	OrderMisdirected
@@ -79,11 +78,12 @@
 	// Accepted counts the orders that the runner has accepted.
 	Accepted uint64
 	Versions map[string]uint64
-	// StartedMs is the birth that the runner tells, 0 if it tells none.
+	// StartedMs is the runner's start time as it reports it, in Unix milliseconds, 0 if it
+	// reports none.
 	StartedMs uint64
 }
 
-// Runners gives orders to model runners.
+// Runners sends orders to model runners.
 type Runners interface {
 	Order(ctx context.Context, order LoadOrder) (OrderResult, error)
 	Report(ctx context.Context, upstream, address string) (RunnerReport, error)
@@ -91,20 +91,21 @@
 
 // Options configure a Steward.
 type Options struct {
-	// Self is this host by its IP number; so are all hosts of the group.
+	// Self is this host's IP address; all hosts of the group are identified by theirs.
 	Self       ident.Host
 	DataCentre ident.DataCentre
-	// Incarnation tells this run of the process from others on its host; zero draws one.
+	// Incarnation distinguishes this run of the process from others on its host; zero draws a
+	// random one.
 	Incarnation ident.Incarnation
-	// PeerPort is the port of all processes' listeners for one another.
+	// PeerPort is the port of all processes' peer listeners.
 	PeerPort int
-	// Listener accepts the other processes. New takes it over.
+	// Listener accepts connections of the other processes. New takes ownership.
 	Listener net.Listener
 	// Seeds are the control hosts known at the start.
 	Seeds []ident.Host
 	// Bootstrap allows forming the group.
 	Bootstrap bool
-	// Tolerated is how many disks may be lost at once; the group has
+	// Tolerated is the number of disks that may be lost at the same time; the group has
 	// 2*Tolerated+1 voters.
 	Tolerated int
 	// Cluster and Key authenticate the processes of one deployment.
@@ -114,21 +115,21 @@
 	// system; nil means the operating system's.
 	Data  string
 	Files func(folder string) (disk.FS, error)
-	// LoadsAtOnce bounds the runners that load weights at the same time, and
-	// VersionTime is when all runners must have a version that was named.
+	// LoadsAtOnce bounds the runners that load weights at the same time. VersionTime is the
+	// time within which all runners must have a new target version.
 	LoadsAtOnce int
 	VersionTime time.Duration
-	// HolderLease is how long after one host's orders no other may give any.
+	// HolderLease is the time after one host's orders in which no other host may issue any.
 	HolderLease time.Duration
-	// AnnounceEvery is how often upstreams announce themselves, DefaultAnnounceEvery if
-	// zero.
+	// AnnounceEvery is the interval between an upstream's announcements, DefaultAnnounceEvery
+	// if zero.
 	AnnounceEvery time.Duration
-	// DataCentres are those of the deployment, none where it does not list them.
+	// DataCentres are the data centres of the deployment, empty if the settings list none.
 	DataCentres []string
 	Stores      Stores
 	Runners     Runners
-	// Clock tells the time by which leases count, boottime.Now if nil. It must be steady
-	// and go on while the machine is suspended.
+	// Clock is the clock by which leases count, boottime.Now if nil. It must be monotonic and
+	// count the time in which the machine is suspended.
 	Clock func() time.Time
 	Log   *log.Logger
 
@@ -136,7 +137,7 @@
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Validate reports the first option that cannot work.
+// Validate reports the first invalid option.
 func (o *Options) Validate() error {
 	switch {
 	case o.Self == "":
@@ -157,5 +158,5 @@
 	return nil
 }
 
-// voters is the size that the group aims at.
+// voters returns the target size of the group.
 func (o *Options) voters() int { return 2*o.Tolerated + 1 }
--- a/internal/steward/overload_test.go
+++ b/internal/steward/overload_test.go
@@ -11,18 +11,18 @@
 	"github.com/charmbracelet/log"
 )
 
-// Guards against a leader that a thousand entries turn to at once, because those that
-// answer in its place are late: it answers as many as it has time for and sends the others
-// back, and none of them asks it again at once.
-func TestALeaderAnswersTheEntriesThatItHasTimeFor(t *testing.T) {
+// Guards against a leader that a thousand entries query together because the relays are late:
+// it answers as many as it has time for and sheds the others, and none of them queries it again
+// immediately.
+func TestLeaderShedsWatchesBeyondItsBudget(t *testing.T) {
 	const took, length = 2 * time.Millisecond, 5 * time.Second
 	for _, entries := range []int{50, 1000, 4000} {
 		synctest.Test(t, func(t *testing.T) {
-			var p pace
+			var p pacer
 			for range 1000 {
-				p.note(took)
+				p.record(took)
 			}
-			answered, asked := 0, 0
+			answered, requests := 0, 0
 			next := make([]time.Time, entries)
 			follower := make([]*Follower, entries)
 			for i := range follower {
@@ -34,7 +34,7 @@
 					if time.Now().Before(next[i]) {
 						continue
 					}
-					asked++
+					requests++
 					if p.mayAnswer(time.Now()) {
 						answered++
 						next[i] = time.Now().Add(overdueAfter)
@@ -45,11 +45,11 @@
 				}
 			}
 			worked := time.Duration(answered) * took
-			if most := time.Duration(answerShare*float64(length+spareOver)) + entriesAlone*took; worked > most {
+			if most := time.Duration(answerShare*float64(length+budgetWindow)) + maxDirectEntries*took; worked > most {
 				t.Errorf("%d entries take %v of the leader's %v, %v is their share", entries, worked, length, most)
 			}
-			if perEntry := float64(asked) / float64(entries) / length.Seconds(); perEntry > 4 {
-				t.Errorf("%d entries ask %.1f times a second each", entries, perEntry)
+			if perEntry := float64(requests) / float64(entries) / length.Seconds(); perEntry > 4 {
+				t.Errorf("%d entries send %.1f requests a second each", entries, perEntry)
 			}
 		})
 	}
@@ -57,32 +57,32 @@
 
 // Guards against logs that grow with the fleet: hosts and upstreams come and go by the
 // thousand.
-func TestLinesOfOneKindAreBounded(t *testing.T) {
+func TestLogLinesAreThrottled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		s := sparseLog{log: log.New(&out)}
+		s := throttledLog{log: log.New(&out)}
 		for i := range 5000 {
 			s.info(time.Now(), "upstream", "upstream", fmt.Sprint(i))
 		}
-		if lines := strings.Count(out.String(), "\n"); lines != sparseMost {
-			t.Errorf("%d lines in a moment", lines)
+		if lines := strings.Count(out.String(), "\n"); lines != throttleMax {
+			t.Errorf("%d lines at one time", lines)
 		}
-		time.Sleep(sparseEvery)
+		time.Sleep(throttleWindow)
 		s.info(time.Now(), "upstream", "upstream", "last")
-		if !strings.Contains(out.String(), fmt.Sprint("left_out=", 5000-sparseMost)) {
-			t.Error("it is not told how many were left out")
+		if !strings.Contains(out.String(), fmt.Sprint("left_out=", 5000-throttleMax)) {
+			t.Error("the number of lines left out is not logged")
 		}
 	})
 }
 
-// Guards against a leader that looks through thousands of runners twenty times a second
-// while all have the weights that were named.
-func TestALoaderWithNothingToDoLooksSeldom(t *testing.T) {
+// Guards against a leader that checks thousands of runners twenty times a second while all have
+// the target weights.
+func TestSettledLoaderChecksRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLeadership(1, 1)
 		looks := func(length time.Duration) (n int) {
 			for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(loadEvery) {
-				if !l.loader.settled(l.steward.machine.held(), time.Now()) {
+				if !l.loader.settled(l.steward.machine.currentRevisions(), time.Now()) {
 					n++
 					l.loader.next(l.steward.machine.live(), time.Now())
 				}
@@ -90,12 +90,12 @@
 			return n
 		}
 		if n := looks(time.Minute); n != 0 {
-			t.Errorf("%d looks though nothing was named", n)
+			t.Errorf("%d checks though there is no target version", n)
 		}
-		manyUpstreams(l.steward.machine, 1)
+		announceUpstreams(l.steward.machine, 1)
 		l.steward.machine.weights["m"], l.steward.machine.weightsRevision = 1, 1
 		if n := looks(time.Minute); n < 55 || n > 65 {
-			t.Errorf("%d looks in a minute", n)
+			t.Errorf("%d checks in a minute", n)
 		}
 	})
 }
--- a/internal/steward/pace_test.go
+++ b/internal/steward/pacer_test.go
@@ -17,31 +17,32 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// workingHost answers watches with news at once, one after the other, and each takes
-// its processor a while.
+// workingHost answers watches immediately, one after the other, each with the given processor
+// time.
 type workingHost struct {
 	processor chan struct{}
 	each      time.Duration
-	pace      pace
+	pacer     pacer
 	watchers  int
 
 	mu     sync.Mutex
 	worked time.Duration
-	// heard is when each entry was answered last, and longest its longest gap.
-	heard   []time.Time
-	longest []time.Duration
+	// lastAnswer is the time at which each entry was last answered, and longest its longest
+	// gap.
+	lastAnswer []time.Time
+	longest    []time.Duration
 }
 
-// answered notes an answer to one entry.
+// answered records an answer to one entry.
 func (h *workingHost) answered(entry int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.longest[entry] = max(h.longest[entry], time.Since(h.heard[entry]))
-	h.heard[entry] = time.Now()
+	h.longest[entry] = max(h.longest[entry], time.Since(h.lastAnswer[entry]))
+	h.lastAnswer[entry] = time.Now()
 }
 
-// begin forgets what came before.
-func (h *workingHost) begin() {
+// reset clears the measurements.
+func (h *workingHost) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.worked = 0
@@ -55,21 +56,20 @@
 	h.mu.Lock()
 	h.worked += h.each
 	h.mu.Unlock()
-	answer := &WatchAnswer{Term: 1, Leader: "c1", EntryCount: h.watchers, Pause: h.pace.pause(h.watchers)}
+	answer := &WatchAnswer{Term: 1, Leader: "c1", EntryCount: h.watchers, Pause: h.pacer.pause(h.watchers)}
 	<-h.processor
-	h.pace.note(time.Since(began))
+	h.pacer.record(time.Since(began))
 	return wire.MustMarshal(answer), nil
 }
 
 func (h *workingHost) Send(string, port.Method, []byte) bool { return false }
 
-// News come all the time while callers send prompts that nobody has sent before. Every
-// entry asks again as soon as it was answered, and seventy of them take all of a
-// control host's processor: configurations, announcements and the election of a leader
-// wait behind them, and what entries are told of the stores is too old to be used. The
-// host keeps half of its time for the rest, whatever an answer takes it, and every
-// entry still has a word twice in the time that it may rely on one for.
-func TestWatchersLeaveAHostTimeForTheRest(t *testing.T) {
+// State changes all the time while callers send new prompts. Guards against entries that send
+// their next request as soon as they were answered: seventy of them take all of a control
+// host's processor, so that configurations, announcements and elections wait, and the
+// inventories that entries receive are too old to use. The host must keep half of its time,
+// whatever an answer costs, and every entry must get two answers within InventoryMaxAge.
+func TestPacerBoundsTimeSpentOnWatches(t *testing.T) {
 	for _, c := range []struct {
 		watchers int
 		each     time.Duration
@@ -78,11 +78,11 @@
 			ctx, stop := context.WithCancel(t.Context())
 			defer func() {
 				stop()
-				time.Sleep(lateMost)
+				time.Sleep(lateTimeout)
 			}()
 			h := &workingHost{
 				processor: make(chan struct{}, 1), each: c.each, watchers: c.watchers,
-				heard: make([]time.Time, c.watchers), longest: make([]time.Duration, c.watchers),
+				lastAnswer: make([]time.Time, c.watchers), longest: make([]time.Duration, c.watchers),
 			}
 			for i := range c.watchers {
 				f := NewFollower(FollowerOptions{
@@ -93,7 +93,7 @@
 					func(*WatchAnswer, time.Time) { h.answered(i) })
 			}
 			wait.For(ctx, 2*time.Second)
-			h.begin()
+			h.reset()
 			wait.For(ctx, 5*time.Second)
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -102,7 +102,7 @@
 			}
 			for i, gap := range h.longest {
 				if gap > InventoryMaxAge/2 {
-					t.Errorf("%d watchers at %v each: entry %d heard nothing for %v", c.watchers, c.each, i, gap)
+					t.Errorf("%d watchers at %v each: entry %d got no answer for %v", c.watchers, c.each, i, gap)
 				}
 			}
 			t.Logf("%d watchers at %v each take %.2f of the host", c.watchers, c.each, float64(h.worked)/float64(5*time.Second))
--- a/internal/steward/propagation_test.go
+++ b/internal/steward/propagation_test.go
@@ -1,8 +1,8 @@
 //go:build !race
 
-// In virtual time the race detector's runtime now and then ends the process in a
-// select on a timer (runtime.(*timer).maybeRunChan, address 0; or a failed CHECK of its
-// own), and this test has by far the most of these. .ci/run plays it without.
+// In virtual time the race detector's runtime sometimes ends the process in a select on a timer
+// (runtime.(*timer).maybeRunChan, address 0; or a failed CHECK of its own), and this test has
+// by far the most of these. .ci/run runs it without the detector.
 
 package steward
 
@@ -14,11 +14,10 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Callers go on to be served by an old configuration, as if nobody had changed
-// it, while the host that their entry asks is slow, behind or cut off, or the
-// leader or the entry itself is: the answers come, but too late for the calls
-// that wait for them, or only tell to ask elsewhere, where it is the same. Each
-// such call looks well or is soon mended by itself, and none brings the news.
+// Guards against callers that are served by an old configuration while the host that their
+// entry queries is slow, behind or cut off, or the leader or the entry itself is: the answers
+// arrive after the calls' timeouts, or only redirect to hosts in the same state. Each such call
+// looks normal or recovers by itself, and none brings the new configuration.
 func TestConfigurationIsInForceInTime(t *testing.T) {
 	relays := []ident.Host{"c2", "c3", "c4", "c5", "c6"}
 	cases := []struct {
@@ -52,45 +51,45 @@
 			n.slow("c1", 450*time.Millisecond)
 			n.slow("e0", 450*time.Millisecond)
 		}, false},
-		{"one relay is cut off from the leader", time.Second, func(n *virtualNet) { n.part("c1", "c2") }, false},
+		{"one relay is cut off from the leader", time.Second, func(n *virtualNet) { n.cutLink("c1", "c2") }, false},
 		{"all relays are cut off from the leader", time.Second, func(n *virtualNet) {
 			for _, relay := range relays {
-				n.part("c1", relay)
+				n.cutLink("c1", relay)
 			}
 		}, false},
 		{"the near relays are cut off from the other control hosts", time.Second, func(n *virtualNet) {
 			for _, near := range []ident.Host{"c2", "c3"} {
 				for _, far := range []ident.Host{"c1", "c4", "c5", "c6"} {
-					n.part(near, far)
+					n.cutLink(near, far)
 				}
 			}
 		}, false},
 		{"the same, and the leader is lost", 300 * time.Millisecond, func(n *virtualNet) {
 			for _, near := range []ident.Host{"c2", "c3"} {
 				for _, far := range []ident.Host{"c1", "c4", "c5", "c6"} {
-					n.part(near, far)
+					n.cutLink(near, far)
 				}
 			}
 			go n.lose("c4")
 		}, false},
 		{"all relays are cut off from one entry", time.Second, func(n *virtualNet) {
 			for _, relay := range relays {
-				n.part("e0", relay)
+				n.cutLink("e0", relay)
 			}
 		}, true},
-		{"two relays are frozen", time.Second, func(n *virtualNet) { n.freeze("c2"); n.freeze("c3") }, true},
-		{"all relays are frozen", time.Second, func(n *virtualNet) {
+		{"two relays are suspended", time.Second, func(n *virtualNet) { n.suspend("c2"); n.suspend("c3") }, true},
+		{"all relays are suspended", time.Second, func(n *virtualNet) {
 			for _, relay := range relays {
-				n.freeze(relay)
+				n.suspend(relay)
 			}
 		}, true},
 		{"one entry is late", time.Second, func(n *virtualNet) { n.slow("e0", 700*time.Millisecond) }, false},
 		{"one entry is new", time.Second, func(n *virtualNet) { n.startEntry("e99") }, false},
-		{"one entry was frozen", time.Second, func(n *virtualNet) {
-			n.freeze("e0")
-			n.play(time.Second, 4*time.Second)
-			n.thaw("e0")
-			n.entries[0].began = time.Now()
+		{"one entry was suspended", time.Second, func(n *virtualNet) {
+			n.suspend("e0")
+			n.run(time.Second, 4*time.Second)
+			n.resume("e0")
+			n.entries[0].startedAt = time.Now()
 		}, false},
 		{"the leader is lost", 300 * time.Millisecond, func(n *virtualNet) { go n.lose("c4") }, false},
 		{"a leader is deposed and does not know", 50 * time.Millisecond, func(n *virtualNet) { go n.depose("c4") }, false},
@@ -107,7 +106,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				n := newVirtualNet(t)
 				c.after(n)
-				worst, at := n.play(c.every, 10*time.Second)
+				worst, at := n.run(c.every, 10*time.Second)
 				t.Logf("in force after %v at most, at %s", worst, at)
 				if worst > inForce || (c.silent && worst > oneSilent) {
 					t.Errorf("in force after %v only, at %s", worst, at)
--- /dev/null
+++ b/internal/steward/reports.go
@@ -0,0 +1,182 @@
+package steward
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"github.com/lovagereach/lovagereach/internal/port"
+	"github.com/lovagereach/lovagereach/internal/wire"
+	"github.com/lovagereach/lovagereach/quarantine"
+)
+
+const (
+	// reportGather is the time for which the leader gathers reports into one command. All
+	// entries report an upstream's crash within a few ms, and each command costs the group two
+	// disk syncs.
+	reportGather = 10 * time.Millisecond
+	// MaxReported bounds the crashes of one report, and the requests that it clears.
+	MaxReported = 64
+	// maxBatchSize bounds the fingerprints and crashes of one command, 260 KB: two of the
+	// longest reports. Reports beyond it are sent again.
+	maxBatchSize = 2 * MaxReported * (quarantine.MaxFingerprints + 2)
+	// forgetEvery is the interval between checks for expired crashes.
+	forgetEvery = 10 * time.Second
+)
+
+// applyReport applies an entry's report. A request that was served is cleared of all crashes
+// that it was reported with. The caller holds the lock.
+func (m *Machine) applyReport(r *Report) {
+	before := m.quarantine.Revision()
+	m.quarantine.Ended(r.Crashes...)
+	m.quarantine.Served(r.Served...)
+	m.crashesSeen.Follow(m.quarantine.Incarnations(), time.Now())
+	if m.quarantine.Revision() != before {
+		m.notifyOrder()
+	}
+}
+
+// applyForget drops crashes. The caller holds the lock.
+func (m *Machine) applyForget(incarnations []quarantine.Incarnation) {
+	before := m.quarantine.Revision()
+	m.quarantine.Forget(incarnations...)
+	m.crashesSeen.Follow(m.quarantine.Incarnations(), time.Now())
+	if m.quarantine.Revision() != before {
+		m.notifyOrder()
+	}
+}
+
+// expiredCrashes lists the upstream incarnations whose crashes no longer count, by the times at
+// which this host learnt of them.
+func (m *Machine) expiredCrashes(now time.Time) []quarantine.Incarnation {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.crashesSeen.Old(now)
+}
+
+// quarantined lists the requests that are sent to no upstream, and counts the suspects.
+func (m *Machine) quarantined() (requests []quarantine.Fingerprint, suspects int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.quarantine.Quarantined(), len(m.quarantine.Suspects())
+}
+
+// reportBatch is a batch of reports that share a command.
+type reportBatch struct {
+	report Report
+	size   int
+	// done is closed once err holds the outcome of the command.
+	done chan struct{}
+	err  error
+}
+
+// size returns the size of a report within a batch.
+func (r *Report) size() int {
+	n := len(r.Crashes) + len(r.Served)
+	for i := range r.Crashes {
+		n += len(r.Crashes[i].Prints)
+	}
+	return n
+}
+
+// addReport adds a report to the batch being gathered, and returns the batch, nil if it is
+// full.
+func (l *leadership) addReport(r *Report) *reportBatch {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	b := l.pendingReports
+	if b == nil {
+		b = &reportBatch{done: make(chan struct{})}
+		l.pendingReports = b
+		time.AfterFunc(reportGather, func() { l.commitReportBatch(b) })
+	}
+	if b.size += r.size(); b.size > maxBatchSize {
+		b.size -= r.size()
+		return nil
+	}
+	b.report.Crashes = append(b.report.Crashes, r.Crashes...)
+	b.report.Served = append(b.report.Served, r.Served...)
+	return b
+}
+
+// commitReportBatch commits a batch; later reports begin the next one.
+func (l *leadership) commitReportBatch(b *reportBatch) {
+	l.mu.Lock()
+	l.pendingReports = nil
+	l.mu.Unlock()
+	s := l.steward
+	before, _ := s.machine.quarantined()
+	_, b.err = s.propose(context.Background(), command{Report: &b.report})
+	close(b.done)
+	quarantined, suspects := s.machine.quarantined()
+	if slices.Equal(before, quarantined) {
+		return
+	}
+	for _, p := range quarantined {
+		if !slices.Contains(before, p) {
+			s.options.Log.Warn("request quarantined", "print", p, "held", len(quarantined), "suspects", suspects)
+		}
+	}
+	for _, p := range before {
+		if !slices.Contains(quarantined, p) {
+			s.options.Log.Info("request released from quarantine", "print", p, "held", len(quarantined), "suspects", suspects)
+		}
+	}
+}
+
+// commitReport commits an entry's report on the leader.
+func (s *Steward) commitReport(ctx context.Context, r *Report) error {
+	l := s.leading.Load()
+	if l == nil {
+		return ErrUnavailable
+	}
+	b := l.addReport(r)
+	if b == nil {
+		return eris.Wrap(ErrUnavailable, "too many reports at once")
+	}
+	select {
+	case <-b.done:
+		return b.err
+	case <-ctx.Done():
+		return errors.Join(ErrUnavailable, ctx.Err())
+	}
+}
+
+// handleReport handles an entry's report, on any control host.
+func (s *Steward) handleReport(ctx context.Context, _ port.Peer, _ port.Method, body []byte) ([]byte, error) {
+	var report Report
+	if err := wire.Unmarshal(body, &report); err != nil {
+		return nil, eris.Wrap(err, "steward: report")
+	}
+	_, err := s.submit(ctx, submission{Report: &report})
+	return wire.MustMarshal(submitted{Uncertain: err != nil}), nil
+}
+
+// forgetDue reports whether a check for expired crashes is due, and records the check.
+func (l *leadership) forgetDue(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now.Sub(l.crashesCheckedAt) < forgetEvery {
+		return false
+	}
+	l.crashesCheckedAt = now
+	return true
+}
+
+// forgetCrashes drops expired crashes, on the leader.
+func (l *leadership) forgetCrashes(ctx context.Context, now time.Time) {
+	if !l.forgetDue(now) {
+		return
+	}
+	s := l.steward
+	incarnations := s.machine.expiredCrashes(now)
+	if len(incarnations) == 0 {
+		return
+	}
+	if _, err := s.propose(ctx, command{Forget: incarnations}); err != nil {
+		s.options.Log.Warn("expired crashes not removed", "ends", len(incarnations), "err", err)
+	}
+}
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -13,176 +13,175 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// restartedLeader leads after a restart of all control hosts: it knows a store with
-// some parts, and no entry.
+// restartedLeader leads after a restart of all control hosts: it knows a store with some parts,
+// and no entry.
 func restartedLeader() *leadership {
 	l := testLeadership(2)
 	s := l.steward
-	s.meter = newMeter(s)
+	s.counters = newControlMetrics(s)
 	s.machine.applyDocument(&catalog.Document{Version: 1, Source: []byte("x"), Services: []catalog.Service{
 		{Name: "store", Store: &catalog.Store{Address: "store:1", CapacityTokens: 1000000}},
 	}})
-	s.book.replace("store:1", StoreEvents{Incarnation: 1, Next: 5, Changes: []cacheindex.Change{
+	s.index.replace("store:1", StoreEvents{Incarnation: 1, Next: 5, Changes: []cacheindex.Change{
 		{Key: cacheindex.Key{Salt: "m.2", Part: "p"}, Tokens: 5000},
 	}})
 	s.leading.Store(l)
 	return l
 }
 
-// askOf is the question of an entry that was told of others before.
-func askOf(entry string, others int, held cacheindex.Query) *WatchRequest {
+// entryWatch returns the request of an entry that has received a count of entries before.
+func entryWatch(entry string, others int, held cacheindex.Query) *WatchRequest {
 	return &WatchRequest{Entry: &EntryView{Host: entry, Ready: true}, Inventories: &held, Entries: others}
 }
 
-// Callers get no answer for seconds after a restart of all control hosts. All entries
-// call the first leader within 0.1 s, and it, which knows none of them, takes the first
-// for a small fleet: it tells each the listings of all stores, or the configuration and
-// the roster. Its heartbeats come late, the next host is elected, which knows as little,
-// and so on. It learns from them how many there are, and they wait for the other hosts.
-func TestTheFirstEntriesAfterARestartOfAllAreNotTakenForAll(t *testing.T) {
+// After a restart of all control hosts, all entries call the first leader within 0.1 s. Guards
+// against a leader that takes the first callers for a small fleet and sends each the listings
+// of all stores, or the configuration and the roster: its heartbeats are late, the next host is
+// elected with the same problem, and callers get no answer for seconds. The leader learns the
+// number of entries from their requests, and they wait for the relays.
+func TestFirstCallersAfterRestartAreRedirected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
 		everything := cacheindex.Query{Listed: true}
 		for i := range 10 {
 			name := fmt.Sprint("e", i)
-			answer := l.steward.watch(t.Context(), entryPeer(name), askOf(name, 64, everything))
+			answer := l.steward.watch(t.Context(), entryPeer(name), entryWatch(name, 64, everything))
 			if !answer.Redirect || answer.Document != nil || answer.Inventories != nil || answer.Pause != redirectPause {
-				t.Fatalf("entry %d of 64 is told %+v", i, answer)
+				t.Fatalf("entry %d of 64 received %+v", i, answer)
 			}
 		}
-		if told := l.steward.watch(t.Context(), controlPeer("c2"), &WatchRequest{Document: 1}); !told.Relaying || told.EntryCount != 64 {
-			t.Fatalf("a control host is told relaying %v, %d entries", told.Relaying, told.EntryCount)
+		if answer := l.steward.watch(t.Context(), controlPeer("c2"), &WatchRequest{Document: 1}); !answer.Relaying || answer.EntryCount != 64 {
+			t.Fatalf("a control host received relaying %v, %d entries", answer.Relaying, answer.EntryCount)
 		}
-		// Those who do not call in time are no longer there.
+		// Entries that don't call in time are no longer there.
 		time.Sleep(relaysWithin)
-		answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", 64, everything))
+		answer := l.steward.watch(t.Context(), entryPeer("e1"), entryWatch("e1", 64, everything))
 		if answer.Inventories == nil || answer.Relaying || answer.EntryCount != 1 {
-			t.Fatalf("the last entry is told shelves %v, relaying %v, %d entries", answer.Inventories, answer.Relaying, answer.EntryCount)
+			t.Fatalf("the last entry received inventories %v, relaying %v, %d entries", answer.Inventories, answer.Relaying, answer.EntryCount)
 		}
 	})
 }
 
-// The same where the entries ask the leader itself: they found all other control hosts
-// silent while these were down, and leave them alone for 2 s. The leader must answer
-// all of them, and can, without the listings; these take it 5 ms for each.
-func TestEntriesThatFoundAllRelaysSilentAreNotToldTheShelvesAtOnce(t *testing.T) {
+// The same for direct watches: the entries found all relays silent during the restart, and
+// avoid them for 2 s. The leader must answer all of them, and can without the listings, which
+// cost it 5 ms each.
+func TestDirectWatchesAfterRestartGetNoInventories(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
-		request := askOf("e1", 64, cacheindex.Query{Listed: true})
+		request := entryWatch("e1", 64, cacheindex.Query{Listed: true})
 		request.Direct = true
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories != nil || answer.Document == nil {
-			t.Fatalf("told %+v", answer)
+			t.Fatalf("answer %+v", answer)
 		}
 		time.Sleep(relaysWithin)
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories == nil {
-			t.Fatalf("told %+v later", answer)
+			t.Fatalf("later answer %+v", answer)
 		}
 	})
 }
 
-// Callers get no answer again some seconds after a restart of all. The hosts that pass
-// on the leader's word are busy with telling all entries the shelves, entries whose word
-// on the configuration grows old turn to the leader, and it tells each the shelves too:
-// its heartbeats come late, and the next host is elected. It tells them the rest only,
-// as long as others tell the shelves.
-func TestAnOverdueEntryIsNotToldTheShelvesWhileOthersTellThem(t *testing.T) {
+// Some seconds after a restart of all hosts, the relays are busy sending the inventories to all
+// entries, and entries whose configuration state becomes old turn to the leader. Guards against
+// a leader that sends each of them the inventories too: its heartbeats are late, and the next
+// host is elected. It sends them only the other state while relays send the inventories.
+func TestOverdueWatchGetsNoInventoriesWhileRelaysServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
 		time.Sleep(relaysWithin)
 		now := time.Now()
-		for i := range entriesAlone + 1 {
-			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, cacheindex.Query{}), now)
+		for i := range maxDirectEntries + 1 {
+			l.recordWatcher(entryPeer(fmt.Sprint("e", i)), entryWatch(fmt.Sprint("e", i), 64, cacheindex.Query{}), now)
 		}
-		l.follow(controlPeer("c2"), &WatchRequest{Relay: true}, now)
-		request := askOf("e1", 64, cacheindex.Query{Listed: true})
+		l.recordWatcher(controlPeer("c2"), &WatchRequest{Relay: true}, now)
+		request := entryWatch("e1", 64, cacheindex.Query{Listed: true})
 		request.Overdue = true
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories != nil || answer.Document == nil {
-			t.Fatalf("told %+v", answer)
+			t.Fatalf("answer %+v", answer)
 		}
-		time.Sleep(relayKept + time.Millisecond)
+		time.Sleep(relayTTL + time.Millisecond)
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories == nil {
-			t.Fatalf("told %+v while nobody else can", answer)
+			t.Fatalf("answer %+v without relays", answer)
 		}
 	})
 }
 
-// The same in a small fleet, or where nobody was told of others yet: nothing is held
-// back, for each prompt would be read from the first token meanwhile.
-func TestFewEntriesAreToldTheShelvesAtOnce(t *testing.T) {
+// In a small fleet, or if no entry reports a count yet, nothing is delayed: otherwise each
+// prompt would be recomputed from the first token meanwhile.
+func TestSmallFleetGetsInventoriesImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, others := range []int{0, 1, entriesAlone} {
+		for _, others := range []int{0, 1, maxDirectEntries} {
 			l := restartedLeader()
-			answer := l.steward.watch(t.Context(), entryPeer("e1"), askOf("e1", others, cacheindex.Query{Listed: true}))
+			answer := l.steward.watch(t.Context(), entryPeer("e1"), entryWatch("e1", others, cacheindex.Query{Listed: true}))
 			if answer.Inventories == nil || len(answer.Inventories.Batches) == 0 || answer.Relaying {
-				t.Errorf("with %d entries before: shelves %v, relaying %v", others, answer.Inventories, answer.Relaying)
+				t.Errorf("with %d entries before: inventories %v, relaying %v", others, answer.Inventories, answer.Relaying)
 			}
 		}
 	})
 }
 
-// Callers get no answer while a new leader of many entries lists its stores: each
-// listing ends every open watch, and the leader is busy with answers that tell nothing.
-func TestWhoIsNotToldTheShelvesIsNotWokenByThem(t *testing.T) {
+// Guards against a new leader of many entries that is busy with empty answers while it lists
+// its stores: each listing would end every open watch.
+func TestInventoryChangesDoNotWakeOtherWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
-		for i := range entriesAlone + 1 {
-			l.follow(entryPeer(fmt.Sprint("e", i)), askOf(fmt.Sprint("e", i), 64, cacheindex.Query{}), time.Now())
+		for i := range maxDirectEntries + 1 {
+			l.recordWatcher(entryPeer(fmt.Sprint("e", i)), entryWatch(fmt.Sprint("e", i), 64, cacheindex.Query{}), time.Now())
 		}
-		request := askOf("e1", 64, cacheindex.Query{Listed: true})
+		request := entryWatch("e1", 64, cacheindex.Query{Listed: true})
 		request.Document, request.Weights, request.Roster = 1, 99, 99
 		request.Term = l.elected
 		go func() {
 			time.Sleep(30 * time.Millisecond)
-			l.steward.book.add("store:1", StoreEvents{Incarnation: 1, Next: 6, Changes: []cacheindex.Change{
+			l.steward.index.add("store:1", StoreEvents{Incarnation: 1, Next: 6, Changes: []cacheindex.Change{
 				{Key: cacheindex.Key{Salt: "m.2", Part: "q"}, Tokens: 5000},
 			}})
 		}()
-		asked := time.Now()
-		if l.steward.watch(t.Context(), entryPeer("e1"), request); time.Since(asked) != watchWait {
-			t.Errorf("answered after %v", time.Since(asked))
+		sent := time.Now()
+		if l.steward.watch(t.Context(), entryPeer("e1"), request); time.Since(sent) != watchWait {
+			t.Errorf("answered after %v", time.Since(sent))
 		}
 		time.Sleep(watchWait)
 	})
 }
 
-// A host passes on how many entries it was told of, so that a leader without memory
-// knows it from the first call.
-func TestFollowerTellsHowManyEntriesItWasToldOf(t *testing.T) {
+// A follower reports the number of entries that it has received, so that a new leader knows it
+// from the first call.
+func TestFollowerReportsEntryCount(t *testing.T) {
 	f := NewFollower(FollowerOptions{Self: "e1"})
-	f.take(&watched{answer: WatchAnswer{Term: 3, EntryCount: 64}, sent: time.Now()}, func(*WatchAnswer, time.Time) {})
+	f.apply(&watchCall{answer: WatchAnswer{Term: 3, EntryCount: 64}, sent: time.Now()}, func(*WatchAnswer, time.Time) {})
 	request := &WatchRequest{}
-	f.describe(request, "c1", time.Now())
+	f.addCallerState(request, "c1", time.Now())
 	if request.Entries != 64 {
-		t.Errorf("told of %d entries", request.Entries)
+		t.Errorf("reported %d entries", request.Entries)
 	}
 }
 
-// askedSources counts the questions to each address.
-type askedSources struct {
-	mu    sync.Mutex
-	asked map[string]int
+// countingSources counts the queries to each address.
+type countingSources struct {
+	mu      sync.Mutex
+	queries map[string]int
 }
 
-func (a *askedSources) List(_ context.Context, address string) (StoreEvents, error) {
+func (a *countingSources) List(_ context.Context, address string) (StoreEvents, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked[address]++
+	a.queries[address]++
 	return StoreEvents{Incarnation: 1, Next: 5, Clock: 1000}, nil
 }
 
-func (a *askedSources) Events(ctx context.Context, address string, _ uint64, wait time.Duration) (StoreEvents, error) {
+func (a *countingSources) Events(ctx context.Context, address string, _ uint64, wait time.Duration) (StoreEvents, error) {
 	time.Sleep(wait + time.Millisecond)
 	return a.List(ctx, address)
 }
 
-func (a *askedSources) Free(context.Context, string, uint64, []cacheindex.Key, int64) error {
+func (a *countingSources) Free(context.Context, string, uint64, []cacheindex.Key, int64) error {
 	return nil
 }
 
-// Callers get no answer after a restart of all control hosts of a large fleet: before
-// the first entry calls, the new leader takes the fleet for a small one and reads what
-// all runners have cached. In a small fleet it must, as soon as an entry has called.
-func TestRunnersCachesAreReadOnceTheSizeOfTheFleetIsKnown(t *testing.T) {
+// Guards against a new leader that takes a large fleet for a small one before the first entry
+// calls, and reads the caches of all runners. In a small fleet it must follow them, as soon as
+// an entry has called.
+func TestCachesAreFollowedOnceFleetSizeIsKnown(t *testing.T) {
 	for _, entries := range []int{64, 3} {
 		synctest.Test(t, func(t *testing.T) {
 			l := restartedLeader()
@@ -190,17 +189,17 @@
 				{Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 50000}},
 				{Name: "store", Store: &catalog.Store{Address: "store:1", CapacityTokens: 1000000}},
 			}})
-			sources := &askedSources{asked: make(map[string]int)}
+			sources := &countingSources{queries: make(map[string]int)}
 			l.steward.options.Stores = sources
-			l.steward.machine.lives["store:1"] = 1
+			l.steward.machine.storeIncarnations["store:1"] = 1
 			ctx, cancel := context.WithCancel(t.Context())
-			go l.shelves.run(ctx)
+			go l.inventories.run(ctx)
 			time.Sleep(100 * time.Millisecond)
-			l.steward.watch(ctx, entryPeer("e1"), askOf("e1", entries, cacheindex.Query{Listed: true}))
+			l.steward.watch(ctx, entryPeer("e1"), entryWatch("e1", entries, cacheindex.Query{Listed: true}))
 			time.Sleep(700 * time.Millisecond)
 			sources.mu.Lock()
-			if small := entries <= cacheWatchers; (sources.asked["a:1"] > 0) != small || sources.asked["store:1"] == 0 {
-				t.Errorf("with %d entries: asked %v", entries, sources.asked)
+			if small := entries <= maxCacheWatchers; (sources.queries["a:1"] > 0) != small || sources.queries["store:1"] == 0 {
+				t.Errorf("with %d entries: queries %v", entries, sources.queries)
 			}
 			sources.mu.Unlock()
 			cancel()
@@ -209,9 +208,9 @@
 	}
 }
 
-// The same after a restart of all hosts, entries included: nobody was told how many there
-// are, and the first that call are some of hundreds.
-func TestRunnersCachesAreNotReadForTheFirstEntriesAfterARestartOfEverything(t *testing.T) {
+// The same after a restart of all hosts, including the entries: no entry reports a count, and
+// the first callers are some of hundreds.
+func TestCachesAreNotFollowedForFirstCallersAfterFullRestart(t *testing.T) {
 	for _, entries := range []int{64, 3} {
 		synctest.Test(t, func(t *testing.T) {
 			l := restartedLeader()
@@ -219,11 +218,11 @@
 				{Name: "llm", Engine: &catalog.Engine{Slots: 4, MemoryTokens: 50000}},
 				{Name: "store", Store: &catalog.Store{Address: "store:1", CapacityTokens: 1000000}},
 			}})
-			sources := &askedSources{asked: make(map[string]int)}
+			sources := &countingSources{queries: make(map[string]int)}
 			l.steward.options.Stores = sources
-			l.steward.machine.lives["store:1"] = 1
+			l.steward.machine.storeIncarnations["store:1"] = 1
 			ctx, cancel := context.WithCancel(t.Context())
-			go l.shelves.run(ctx)
+			go l.inventories.run(ctx)
 			began := time.Now()
 			var calling sync.WaitGroup
 			for i := range entries {
@@ -232,20 +231,20 @@
 					time.Sleep(time.Duration(i) * 20 * time.Millisecond)
 					follower := NewFollower(FollowerOptions{Self: ident.Host(name)})
 					for ; time.Since(began) < relaysWithin+time.Second; time.Sleep(watchWait) {
-						// Those that were answered tell how many they were told of.
+						// Entries that were answered report the count that they received.
 						sent := time.Now()
-						request := askOf(name, 0, cacheindex.Query{Listed: true})
-						follower.describe(request, "c1", sent)
+						request := entryWatch(name, 0, cacheindex.Query{Listed: true})
+						follower.addCallerState(request, "c1", sent)
 						if answer := l.steward.watch(ctx, entryPeer(name), request); !answer.Redirect {
-							follower.take(&watched{answer: *answer, sent: sent}, func(*WatchAnswer, time.Time) {})
+							follower.apply(&watchCall{answer: *answer, sent: sent}, func(*WatchAnswer, time.Time) {})
 						}
 					}
 				})
 			}
 			calling.Wait()
 			sources.mu.Lock()
-			if small := entries <= cacheWatchers; (sources.asked["a:1"] > 0) != small {
-				t.Errorf("with %d entries: asked %v", entries, sources.asked)
+			if small := entries <= maxCacheWatchers; (sources.queries["a:1"] > 0) != small {
+				t.Errorf("with %d entries: queries %v", entries, sources.queries)
 			}
 			sources.mu.Unlock()
 			cancel()
