--- a/admit/controller_test.go
+++ b/admit/controller_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Capacity is shared by work, not by number of requests. Otherwise a team with short
-// prompts could take the pool from a team with long ones by sending as many requests.
+// Capacity is shared by work, not by number of requests. Otherwise a team with long
+// prompts could take the pool from a team with short ones by sending as many requests.
 func TestSharesByWorkNotRequests(t *testing.T) {
 	p := newPool(t, fixedLimit(2))
 	for range 400 {
@@ -314,8 +314,8 @@
 }
 
 // Random offers, completions, cancellations and clock steps. The counts must add up
-// at every check, no request may be granted twice or after a refusal, and the bounds
-// must hold.
+// at every check, no request may be granted twice or after a refusal, none may be
+// refused after its grant, and the bounds must hold.
 func TestCountsAddUp(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	options := Options{MaxQueued: 40, MaxQueuedPerTeam: 10, MaxTeams: 8, Limit: LimitOptions{Initial: 6, Min: 2, Max: 20}}
--- a/cacheindex/inventory.go
+++ b/cacheindex/inventory.go
@@ -33,10 +33,10 @@
 	Part string `cbor:"2,keyasint"`
 }
 
-// Change is one part that became complete, or that was removed if Tokens is zero. A
-// negative number of tokens indicates a retired part: it is still complete and takes up
-// that much capacity, but is about to be freed and must be neither read nor stored there
-// again.
+// Change is one part that became complete, or that was removed if Tokens is zero. If
+// Tokens is negative, the part is retired and has -Tokens tokens: it is still complete and
+// takes up that much capacity, but is about to be freed and must be neither read nor
+// stored there again.
 type Change struct {
 	Key    Key `cbor:"1,keyasint"`
 	Tokens int `cbor:"2,keyasint"`
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A prompt's home fails: prompts of other homes must not move, and those of the failed one
-// must spread over all remaining owners rather than move to one.
+// A prompt's home fails, or returns: prompts of other homes must not move, and those of the
+// failed one must spread over all remaining owners rather than move to one.
 func TestHomeMovesOnlyFromLostOwner(t *testing.T) {
 	ms := members(9, "hall-north", "hall-dock", "hall-office")
 	c := ident.Cell{Model: "appraiser-llm", DataCentre: "hall-north"}
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -12,8 +12,8 @@
 	budgetSlots = 20
 	// budgetShare is the fraction of the allowance that the shares add up to.
 	budgetShare = 0.5
-	// minEntries is the smallest divisor of the fixed allowance. It applies while the number
-	// of entries is unknown.
+	// minEntries is the smallest divisor of the fixed allowance: it applies while the number
+	// of entries is unknown, and if there are fewer entries than that.
 	minEntries = 8
 )
 
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// Guards against recomputing parts that are in stores: a prompt that is placed on another
-// runner than the first by hash fetches its part there. Of the shared tokens, the recomputed
-// share is at most twice that of a fleet of a nineteenth, or one in fifty. All shared parts of
-// long prompts are in stores, which have capacity for them.
+// Guards against recomputing parts that are in stores: a prompt that is placed on a slightly
+// better runner than the first by hash fetches its part there, and no runner computes it. Of
+// the shared tokens, the recomputed share is at most twice that of a fleet of a nineteenth, or
+// one in fifty. All shared parts of long prompts are in stores, which have capacity for them.
 func TestLargeFleetDoesNotRecomputeStoredParts(t *testing.T) {
 	large, small := largeFleet(), smallFleet()
 	large.stored, small.stored = true, true
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// Guards against requests quarantined because they were under way when runners crashed: a
-// request that the entry has served lately is not the cause. The entry reports the others,
-// still sends it although it is quarantined, and has it cleared.
+// Guards against requests quarantined because many callers send them, so that they were under
+// way when three runners crashed: a request that the entry has served lately is not the cause.
+// The entry reports the others, still sends it although it is quarantined, and has it cleared.
 func TestServedRequestsAreNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends := false
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -110,7 +110,9 @@
 	evacuation evacuation.View
 	// allowance is what this entry may send to cold upstreams.
 	allowance *warmup.Allowance
-	served    quarantine.Served
+	// served holds the requests that were served lately: they are not considered the cause of
+	// a crash.
+	served quarantine.Served
 	// waiting holds the requests that wait for capacity, in the order of dispatch.
 	waiting    []*waiter
 	waitLimits waitLimits
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -338,11 +338,11 @@
 		return 0
 	}
 	perToken := float64(p.TokenBytes) * 8 / (store.LinkMbps * 1000)
-	score := perToken * float64(p.Parts[part].Tokens)
+	transferMs := perToken * float64(p.Parts[part].Tokens)
 	if store.DataCentre != r.DataCentre {
-		score *= rates.CrossFactor
+		transferMs *= rates.CrossFactor
 	}
-	return score + perToken*float64(store.Queued)
+	return transferMs + perToken*float64(store.Queued)
 }
 
 func hash(a, b string) uint64 {
--- a/upstream/faults_test.go
+++ b/upstream/faults_test.go
@@ -343,10 +343,11 @@
 	}
 }
 
-// An upstream that accepts requests and fails or stalls must be ejected, then
-// reinstated on probation with a reduced weight, and at full weight after
-// successes. When most of a pool fails at the same time the fault is elsewhere;
-// ejecting all of it would refuse every request.
+// An upstream accepts requests and fails or stalls, so that every caller sent
+// there waits in vain. It must be ejected for a limited time, then reinstated on
+// probation with a reduced weight, and at full weight after successes. When most
+// of a pool fails at the same time the fault is elsewhere; ejecting all of it
+// would refuse every request.
 func TestEjectionAndProbation(t *testing.T) {
 	names := []ident.Upstream{"a", "b", "c", "d", "e", "f"}
 	setup := func(t *testing.T) (*Registry, time.Time) {
--- a/upstream/report_intervals.go
+++ b/upstream/report_intervals.go
@@ -25,8 +25,9 @@
 	// little use. Between reports the registry counts this process's own
 	// requests.
 	MaxReportEvery = 10 * time.Second
-	// MaxEventsEvery bounds how long a cache index may list a block that an
-	// engine has evicted; each such entry costs one failed transfer.
+	// MaxEventsEvery bounds how long a directory (prefix.Directory) may list a
+	// block that an engine has evicted; each such entry costs one failed
+	// transfer.
 	MaxEventsEvery = 20 * time.Second
 )
 
