--- a/internal/port/announce.go
+++ b/internal/port/announce.go
@@ -6,7 +6,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// UpstreamKind is what an upstream is.
+// UpstreamKind is the kind of an upstream.
 type UpstreamKind string
 
 // The kinds of upstream.
@@ -16,8 +16,8 @@
 	KindService UpstreamKind = "service"
 )
 
-// Announcement is an upstream's word about itself, repeated before Lease runs
-// out. It is JSON on the announcement listener of an entry.
+// Announcement is an upstream's description of itself, repeated before its lease
+// expires. It is sent as JSON to the announcement listener of an entry.
 type Announcement struct {
 	Upstream    ident.Upstream    `json:"upstream"`
 	Incarnation ident.Incarnation `json:"incarnation"`
@@ -28,31 +28,31 @@
 	// Service is set for services, Models for engines.
 	Service ident.Service   `json:"service,omitempty"`
 	Models  []LoadedVersion `json:"models,omitempty"`
-	// Leaving tells that the upstream takes no new work from now on.
+	// Leaving is set if the upstream accepts no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// LeaseMillis is how long the announcement holds, in milliseconds.
+	// LeaseMillis is how long the announcement is valid, in milliseconds.
 	LeaseMillis int64 `json:"lease_ms"`
-	// ChecksFence tells whether an engine refuses old fencing numbers.
+	// ChecksFence is set if an engine refuses old fencing tokens.
 	ChecksFence bool `json:"checks_fence,omitempty"`
-	// Slots is how many requests the upstream runs at once.
+	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int `json:"slots,omitempty"`
 	// BlockBytes is the size of one block of KV cache.
 	BlockBytes int64 `json:"block_bytes,omitempty"`
 }
 
-// LoadReport is an upstream's lagging account of its work.
+// LoadReport is an upstream's report of its load. It lags behind the actual load.
 type LoadReport struct {
 	Upstream    ident.Upstream    `json:"upstream"`
 	Incarnation ident.Incarnation `json:"incarnation"`
-	// MeasuredAt is the upstream's own clock in Unix milliseconds; Age is how
-	// old the measurement was when sent, in milliseconds.
+	// MeasuredAt is the time of the measurement by the upstream's own clock, in Unix
+	// milliseconds; Age is the age of the measurement when it was sent, in milliseconds.
 	MeasuredAt int64 `json:"measured_at"`
 	Age        int64 `json:"age_ms"`
 	Running    int   `json:"running"`
 	Queued     int   `json:"queued"`
-	// QueuedTokens is the prompt work waiting, in tokens.
+	// QueuedTokens is the number of prompt tokens of the queued requests.
 	QueuedTokens int64 `json:"queued_tokens"`
-	// FreeBlocks is the room in the engine's cache, in blocks.
+	// FreeBlocks is the free capacity of the engine's cache, in blocks.
 	FreeBlocks int64 `json:"free_blocks"`
 	// LinkBusy is the share of the upstream's link in use, 0 to 1.
 	LinkBusy float64      `json:"link_busy"`
@@ -64,7 +64,7 @@
 	return time.UnixMilli(l.MeasuredAt)
 }
 
-// CacheEventKind is what happened to a block.
+// CacheEventKind is the kind of change of a block.
 type CacheEventKind string
 
 // The kinds of cache event.
@@ -74,7 +74,7 @@
 	CacheCleared CacheEventKind = "cleared"
 )
 
-// CacheEvent is one change of an upstream's blocks.
+// CacheEvent is a change of an upstream's blocks.
 type CacheEvent struct {
 	Sequence uint64         `json:"sequence"`
 	Kind     CacheEventKind `json:"kind"`
@@ -83,7 +83,7 @@
 	State *SlotState `json:"state,omitempty"`
 }
 
-// CacheEvents is a batch in order; batches may be late, repeated or lost.
+// CacheEvents is a batch of events in order. Batches may be late, repeated or lost.
 type CacheEvents struct {
 	Upstream    ident.Upstream    `json:"upstream"`
 	Incarnation ident.Incarnation `json:"incarnation"`
--- a/internal/port/peer.go
+++ b/internal/port/peer.go
@@ -7,24 +7,24 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Method names a kind of message between the system's own processes.
+// Method is the name of a kind of message between the system's own processes.
 type Method string
 
 // Peer identifies a process of this deployment after authentication.
 type Peer struct {
 	Host       ident.Host
 	DataCentre ident.DataCentre
-	// Incarnation tells this life of the process from others. The transport orders lives
-	// without it.
+	// Incarnation identifies this run of the process. The transport does not use it to
+	// order the incarnations of a process.
 	Incarnation ident.Incarnation
 	// Role is "entry", "control" or "ctl".
 	Role string
 }
 
-// PeerClient reaches other processes by address, an IP and port. Connections
-// are kept and shared; queues are bounded.
+// PeerClient sends messages to other processes by address, an IP and port.
+// Connections are kept open and shared; queues are bounded.
 type PeerClient interface {
-	// Call sends a request and waits for its answer until ctx ends. Answers
+	// Call sends a request and waits for its answer until ctx is done. Answers
 	// are matched by identity: a late answer is dropped and counted.
 	// ErrPeerNotSent means no byte was sent; other errors are uncertain.
 	Call(ctx context.Context, address string, method Method, body []byte) ([]byte, error)
@@ -58,12 +58,12 @@
 	ErrPeerNotSent = errors.New("peer message not sent")
 	// ErrPeerLost reports that the connection ended before the answer.
 	ErrPeerLost = errors.New("peer connection lost before the answer")
-	// ErrPeerRefused reports that the far side refused the connection, for
+	// ErrPeerRefused reports that the remote side refused the connection, for
 	// example because it belongs to another deployment.
 	ErrPeerRefused = errors.New("peer refused the connection")
 )
 
-// RemoteError is an error that the far side's handler returned.
+// RemoteError is an error that the remote side's handler returned.
 type RemoteError struct {
 	Message string `cbor:"1,keyasint"`
 }
--- a/internal/port/porttest/calls_test.go
+++ b/internal/port/porttest/calls_test.go
@@ -64,9 +64,9 @@
 	}},
 }
 
-// The answer to a short call is late, another one's, cut, doubled, refused or
-// never comes. The caller must know whether the call may have been carried out,
-// and the next call must get its own answer.
+// The answer to a short call is late, belongs to another call, is truncated,
+// duplicated, a refusal or missing. The error must state whether the call may have
+// run, and the next call must get its own answer.
 func TestShortCallFaults(t *testing.T) {
 	for name, open := range pairs {
 		for _, call := range shortCalls {
@@ -81,8 +81,8 @@
 					}
 					err = call.do(plainContext(t), p)
 					if c.fault == standin.FaultDuplicated && outcome.KindOf(err) == outcome.KindUnknown {
-						// The second answer was taken for this call's, recognised
-						// by its identity and dropped with the connection.
+						// The duplicate answer was read as the answer to this call,
+						// recognised by its identity and dropped with the connection.
 						err = call.do(plainContext(t), p)
 					}
 					if err != nil {
--- a/internal/port/porttest/doc.go
+++ b/internal/port/porttest/doc.go
@@ -1,5 +1,5 @@
-// Package porttest holds in-memory fakes of the ports, for tests of whatever
-// stands above them. Its own tests are the ports' contract: one table for each
+// Package porttest has in-memory fakes of the ports, for tests of the packages that
+// use ports. Its own tests are the contract tests of the ports: one table for each
 // port, run over every implementation, with the faults of package standin.
 package porttest
 
@@ -11,8 +11,8 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// beforeCall applies the faults that strike before a request is run, as the
-// caller of a port sees them.
+// beforeCall applies the faults that occur before a request is run and returns the
+// error that the caller of a port gets.
 func beforeCall(ctx context.Context, faults *standin.Faults, path string) error {
 	if fault, ok := faults.Take(standin.FaultLate, path); ok {
 		if err := wait(ctx, time.Duration(fault.DelayMillis)*time.Millisecond); err != nil {
@@ -32,23 +32,23 @@
 	return nil
 }
 
-// afterCall applies the faults that spoil the answer of a request that ran.
+// afterCall applies the faults that affect the answer of a request that ran.
 func afterCall(faults *standin.Faults, path string) error {
-	for _, kind := range spoiling {
+	for _, kind := range answerFaults {
 		if _, ok := faults.Take(kind, path); ok {
-			return spoiled(kind)
+			return faultError(kind)
 		}
 	}
 	return nil
 }
 
-// spoiling are the faults that keep an answer from its caller.
-var spoiling = []standin.FaultKind{
+// answerFaults are the faults due to which a caller gets no valid answer.
+var answerFaults = []standin.FaultKind{
 	standin.FaultReset, standin.FaultError, standin.FaultCrossed, standin.FaultTruncated, standin.FaultHalfWritten,
 }
 
-// spoiled returns what the caller sees of such a fault.
-func spoiled(kind standin.FaultKind) error {
+// faultError returns the error that the caller gets for a fault of answerFaults.
+func faultError(kind standin.FaultKind) error {
 	detail := string(kind) + " by a fault"
 	if kind == standin.FaultError {
 		return &outcome.Failed{Reason: outcome.ReasonUpstreamError, Status: 500, Detail: detail}
@@ -56,6 +56,7 @@
 	return &outcome.Unknown{Reason: outcome.ReasonBadAnswer, Detail: detail}
 }
 
+// timedOut returns the error of a call whose context is done.
 func timedOut() error {
 	return &outcome.Unknown{Reason: outcome.ReasonTimeout, Detail: "no answer in time"}
 }
--- a/internal/port/porttest/engine_test.go
+++ b/internal/port/porttest/engine_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// collect reads an answer to its end or to the error that ends it.
+// collect reads an answer until it is complete or fails.
 func collect(ctx context.Context, e port.Engine, req port.GenerateRequest) (string, port.Usage, error) {
 	stream, err := e.Generate(ctx, req)
 	if err != nil {
@@ -46,11 +46,10 @@
 	}
 }
 
-// A caller must get the whole answer to its own request or an error that
-// tells what is known, whatever the engine does: answer late, with events of
-// another request, only in part, twice, not at all or broken off inside an
-// event. After the fault the same engine must serve the next request, since a
-// connection may still hold what the fault left behind.
+// An engine answers late, with events of another request, partially, twice, not at
+// all or breaks off inside an event. The caller must get the complete answer to its
+// own request or an error of the right kind. The next request must succeed, although
+// the connection may still contain data of the failed one.
 func TestGenerateFaults(t *testing.T) {
 	stalled := faultCase{standin.FaultStalled, outcome.KindUnknown, outcome.KindDone}
 	for name, open := range pairs {
@@ -61,12 +60,12 @@
 				first, second := prompt(1), prompt(2)
 				text, _, err := collect(callContext(t, p.engineFaults, c.fault), p.engine, first)
 				wantKind(t, err, c.stream)
-				whole := standin.ExpectedAnswer(first.Tokens, first.Seed, first.MaxTokens)
-				if err == nil && text != whole {
-					t.Errorf("answer %q, want %q", text, whole)
+				want := standin.ExpectedAnswer(first.Tokens, first.Seed, first.MaxTokens)
+				if err == nil && text != want {
+					t.Errorf("answer %q, want %q", text, want)
 				}
-				if !strings.HasPrefix(whole, text) {
-					t.Errorf("answer %q is not the caller's own %q", text, whole)
+				if !strings.HasPrefix(want, text) {
+					t.Errorf("answer %q is not a prefix of %q", text, want)
 				}
 				text, _, err = collect(plainContext(t), p.engine, second)
 				wantKind(t, err, outcome.KindDone)
@@ -79,7 +78,7 @@
 }
 
 // A stream breaks after some tokens. The caller resumes at the token reached
-// and must end up with the same answer as without the break.
+// and must get the same answer as without the break.
 func TestGenerateResumes(t *testing.T) {
 	for name, open := range pairs {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +90,7 @@
 			wantKind(t, err, outcome.KindUnknown)
 			req.Attempt, req.ResumeAt = 2, strings.Count(begin, " ")
 			if req.ResumeAt == 0 {
-				t.Fatal("no token before the break: the test shows nothing")
+				t.Fatal("no token before the break, so nothing is resumed")
 			}
 			end, usage, err := collect(ctx, p.engine, req)
 			wantKind(t, err, outcome.KindDone)
@@ -105,7 +104,7 @@
 	}
 }
 
-func TestGenerateRefusesWhatIsNotLoaded(t *testing.T) {
+func TestGenerateRefusesUnloadedVersions(t *testing.T) {
 	cases := map[string]func(*port.GenerateRequest){
 		"model":   func(r *port.GenerateRequest) { r.Model = "other" },
 		"version": func(r *port.GenerateRequest) { r.Version = "v2" },
@@ -123,9 +122,9 @@
 	}
 }
 
-// Two control hosts send orders, the older one late. An engine that checks
-// fencing numbers must refuse the older; an order sent again because its
-// answer was lost must be answered as the first time and not carried out twice.
+// Two control hosts send orders, the one with the older fencing token late. An engine
+// that checks fencing tokens must refuse the late order. An order that is resent because
+// its answer was lost must get the same answer and not be executed twice.
 func TestOrders(t *testing.T) {
 	for name, open := range pairs {
 		t.Run(name, func(t *testing.T) {
--- a/internal/port/porttest/fakeengine.go
+++ b/internal/port/porttest/fakeengine.go
@@ -12,12 +12,12 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// FakeEngine is a port.Engine in memory. It answers at once and has no bound
-// on its cache. Its answers are those of standin.ExpectedAnswer.
+// FakeEngine is an in-memory port.Engine. It answers without delay and its cache is
+// unbounded. Its answers are those of standin.ExpectedAnswer.
 type FakeEngine struct {
 	// BlockTokens is the number of tokens in a block.
 	BlockTokens int
-	// Stores are the store hosts that it reaches, by address.
+	// Stores are the store hosts that the engine can reach, by address.
 	Stores map[string]*FakeStore
 
 	faults *standin.Faults
@@ -47,7 +47,7 @@
 	}
 }
 
-// Faults returns the engine's faults. Their paths are those of upstreamapi.
+// Faults returns the faults to inject. Their paths are the paths of package upstreamapi.
 func (e *FakeEngine) Faults() *standin.Faults { return e.faults }
 
 // Calls returns the requests that the engine has run.
@@ -71,7 +71,7 @@
 	e.calls = append(e.calls, req)
 	for _, kind := range []standin.FaultKind{standin.FaultReset, standin.FaultError} {
 		if _, ok := e.faults.Take(kind, path); ok {
-			return nil, spoiled(kind)
+			return nil, faultError(kind)
 		}
 	}
 	end := req.MaxTokens
@@ -99,8 +99,8 @@
 	}, nil
 }
 
-// cachePrompt stores the prompt's blocks and returns the tokens that were
-// cached before.
+// cachePrompt caches the prompt's blocks and returns the number of tokens that were
+// already cached.
 func (e *FakeEngine) cachePrompt(req port.GenerateRequest) int {
 	hits, missed := 0, false
 	for _, block := range req.Blocks {
@@ -126,34 +126,35 @@
 	})
 }
 
-// fakeStream is an answer in memory. It breaks off at broken if that lies
-// before its end.
+// fakeStream is an in-memory answer. It breaks off at token broken if that is before
+// token end.
 type fakeStream struct {
 	key               standin.AnswerKey
 	next, broken, end int
 	usage             port.Usage
-	// stalled makes it say nothing at broken until the caller has gone.
+	// stalled makes the stream stop sending at broken until the caller's context is done,
+	// instead of breaking off.
 	stalled bool
-	over    bool
+	ended   bool
 }
 
 // Next implements port.TokenStream.
 func (s *fakeStream) Next(ctx context.Context) (port.TokenEvent, error) {
 	switch {
-	case s.over:
+	case s.ended:
 		return port.TokenEvent{}, &outcome.Unknown{Reason: outcome.ReasonStreamBroken, Detail: "stream is over"}
 	case ctx.Err() != nil:
-		s.over = true
+		s.ended = true
 		return port.TokenEvent{}, timedOut()
 	case s.next == s.end:
-		s.over = true
+		s.ended = true
 		return port.TokenEvent{Index: s.next, Done: true, FinishReason: "length", Usage: s.usage}, nil
 	case s.next >= s.broken && s.stalled:
-		s.over = true
+		s.ended = true
 		<-ctx.Done()
 		return port.TokenEvent{}, timedOut()
 	case s.next >= s.broken:
-		s.over = true
+		s.ended = true
 		return port.TokenEvent{}, &outcome.Unknown{Reason: outcome.ReasonStreamBroken, Detail: "broken by a fault"}
 	}
 	event := port.TokenEvent{Index: s.next, Text: s.key.Token(s.next)}
@@ -163,7 +164,7 @@
 
 // Close implements port.TokenStream.
 func (s *fakeStream) Close() error {
-	s.over = true
+	s.ended = true
 	return nil
 }
 
@@ -230,12 +231,12 @@
 		e.state.HighestFence = order.Fence
 		result = port.OrderResult{Accepted: true, HighestFence: order.Fence}
 		e.orders[order.ID] = result
-		e.carryOut(order)
+		e.execute(order)
 	}
 	return result, afterCall(e.faults, path)
 }
 
-func (e *FakeEngine) carryOut(order port.Order) {
+func (e *FakeEngine) execute(order port.Order) {
 	switch order.Kind {
 	case port.OrderLoadVersion:
 		if !e.has(order.Model, order.Version, "") {
--- a/internal/port/porttest/fakeservice.go
+++ b/internal/port/porttest/fakeservice.go
@@ -11,8 +11,8 @@
 	"github.com/lovagereach/lovagereach/internal/standin"
 )
 
-// FakeService is a port.Service in memory. It answers with the call's body and
-// counts how often it ran each idempotency key.
+// FakeService is an in-memory port.Service. It answers with the call's body and
+// counts how often it ran a call with each idempotency key.
 type FakeService struct {
 	faults *standin.Faults
 
@@ -22,15 +22,15 @@
 
 var _ port.Service = (*FakeService)(nil)
 
-// NewFakeService returns a replica that has run nothing.
+// NewFakeService returns a replica that has run no calls.
 func NewFakeService() *FakeService {
 	return &FakeService{faults: standin.NewFaults(0), runs: make(map[string]int)}
 }
 
-// Faults returns the replica's faults; paths are those of the calls.
+// Faults returns the faults to inject. Their paths are those of the calls.
 func (s *FakeService) Faults() *standin.Faults { return s.faults }
 
-// Runs returns how often the replica ran a key.
+// Runs returns how often the replica ran a call with the given idempotency key.
 func (s *FakeService) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/port/porttest/fakestore.go
+++ b/internal/port/porttest/fakestore.go
@@ -17,10 +17,10 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// FakeStore is a port.Store in memory, for FakeEngine to write to. It keeps
+// FakeStore is an in-memory port.Store to which a FakeEngine writes. It stores
 // checksums in place of content.
 type FakeStore struct {
-	// Now is the store's clock; reservations expire by it.
+	// Now is the store's clock, by which reservations expire.
 	Now func() time.Time
 
 	faults *standin.Faults
@@ -57,13 +57,14 @@
 	}
 }
 
-// Faults returns the store's faults. Their paths are those of upstreamapi.
+// Faults returns the faults to inject. Their paths are the paths of package upstreamapi.
 func (s *FakeStore) Faults() *standin.Faults { return s.faults }
 
-// fakeChecksum stands for the checksum of a block's bytes.
+// fakeChecksum returns the checksum that stands in for that of a block's bytes.
 func fakeChecksum(block port.BlockID) uint64 { return xxhash.Sum64String(string(block)) }
 
-// write fills a reserved slot on behalf of a FakeEngine.
+// write marks a reserved slot as written by a FakeEngine and reports whether target
+// identifies such a slot.
 func (s *FakeStore) write(target port.ExportTarget) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +79,7 @@
 	return true
 }
 
-// matches reports whether source still names a committed slot.
+// matches reports whether source identifies a committed slot.
 func (s *FakeStore) matches(source port.BlockSource) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/port/porttest/open_test.go
+++ b/internal/port/porttest/open_test.go
@@ -21,7 +21,7 @@
 	testVersion     ident.Version = "v1"
 	testBlockTokens               = 4
 	testBlockBytes                = 256
-	// callTimeout ends calls that should have ended by themselves.
+	// callTimeout ends calls that fail to return by themselves.
 	callTimeout = 30 * time.Second
 )
 
@@ -38,7 +38,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = server.Serve(listener) // ends with Close
+		_ = server.Serve(listener) // returns after Close
 	}()
 	t.Cleanup(func() {
 		server.Close()
@@ -47,7 +47,7 @@
 	return listener.Addr().String()
 }
 
-// pair is an engine and a store host that reach each other.
+// pair is an engine and a store host that can reach each other.
 type pair struct {
 	engine       port.Engine
 	store        port.Store
@@ -55,11 +55,11 @@
 	engineFaults *standin.Faults
 	storeFaults  *standin.Faults
 	blockBytes   int64
-	// secondEngine opens another engine that reaches the same store host.
+	// secondEngine returns another engine that can reach the same store host.
 	secondEngine func(t *testing.T) port.Engine
 }
 
-// pairs opens each implementation.
+// pairs has a constructor for each implementation.
 var pairs = map[string]func(t *testing.T) pair{
 	"http adapter on stand-in": func(t *testing.T) pair {
 		standinEngine := newStandinEngine()
@@ -139,9 +139,9 @@
 	}
 }
 
-// callContext bounds a call that meets fault. A call that would never end is
-// cancelled once the fault has struck, so that the request is certain to have
-// been sent however slow the machine is; any other call ends by itself.
+// callContext returns the context of a call with the given fault. A call that would
+// never return is cancelled once the fault has been injected, so that the request has
+// certainly been sent however slow the machine is; any other call returns by itself.
 func callContext(t *testing.T, faults *standin.Faults, fault standin.FaultKind) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	t.Cleanup(cancel)
@@ -157,23 +157,23 @@
 	return ctx
 }
 
-// plainContext bounds a call that meets no fault.
+// plainContext returns the context of a call without a fault.
 func plainContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// faultCase is a fault with what the caller of a stream and of a short call must
-// be told.
+// faultCase is a fault with the outcomes that the caller of a stream and the caller of
+// a short call must get.
 type faultCase struct {
 	fault  standin.FaultKind
 	stream outcome.Kind
 	short  outcome.Kind
 }
 
-// faultCases are the faults that strike streams and short calls. A stream survives foreign and repeated events,
-// since each of its events has an identity.
+// faultCases are the faults of streams and short calls. A stream is not affected by events
+// of other requests or by repeated events, since each of its events has an identity.
 var faultCases = []faultCase{
 	{standin.FaultLate, outcome.KindUnknown, outcome.KindUnknown},
 	{standin.FaultCrossed, outcome.KindDone, outcome.KindUnknown},
--- a/internal/port/porttest/service_test.go
+++ b/internal/port/porttest/service_test.go
@@ -12,7 +12,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-func bid(id byte, key string) port.ServiceCall {
+func newServiceCall(id byte, key string) port.ServiceCall {
 	return port.ServiceCall{
 		Request: ident.Request{id},
 		Attempt: 1,
@@ -24,10 +24,10 @@
 	}
 }
 
-// A bid is sent and the replica misbehaves. The bid must never run twice, and
-// only a refusal that names it may be called not run: runs is how often the
-// replica ran it, which a not-run outcome must not contradict. The next bid on
-// the same connection must get its own answer.
+// A replica fails during a call with an idempotency key. The call must never run twice,
+// and the outcome must be not-run only if the replica refused this call: runs is how
+// often the replica must have run it. The next call on the same connection must get
+// its own answer.
 func TestForwardFaults(t *testing.T) {
 	cases := []struct {
 		fault standin.FaultKind
@@ -51,7 +51,7 @@
 				r := open(t)
 				addFault(t, r.faults, standin.Fault{Kind: c.fault, Count: 1, DelayMillis: 60_000})
 				ctx := callContext(t, r.faults, c.fault)
-				answer, err := r.service.Forward(ctx, bid(1, "k1"))
+				answer, err := r.service.Forward(ctx, newServiceCall(1, "k1"))
 				if err == nil {
 					_, err = io.ReadAll(answer.Body)
 					answer.Body.Close()
@@ -60,12 +60,12 @@
 				if got := r.runs("k1"); got != c.runs {
 					t.Errorf("ran %d times, want %d", got, c.runs)
 				}
-				answer, err = r.service.Forward(plainContext(t), bid(2, "k2"))
+				answer, err = r.service.Forward(plainContext(t), newServiceCall(2, "k2"))
 				if c.fault == standin.FaultDuplicated && err != nil {
-					// The second answer was taken for this call's, recognised by
-					// its identity and dropped together with the connection.
+					// The duplicate answer was read as the answer to this call,
+					// recognised by its identity and dropped with the connection.
 					wantKind(t, err, outcome.KindUnknown)
-					answer, err = r.service.Forward(plainContext(t), bid(2, "k2"))
+					answer, err = r.service.Forward(plainContext(t), newServiceCall(2, "k2"))
 				}
 				if err != nil {
 					t.Fatal(err)
--- a/internal/port/porttest/store_test.go
+++ b/internal/port/porttest/store_test.go
@@ -13,8 +13,9 @@
 	return port.ReserveRequest{Block: block, Team: "growers", Bytes: bytes, Tier: port.TierMemory, Lifetime: time.Minute}
 }
 
-// keep brings block b1 of a prompt from the engine's cache to the store.
-func keep(t *testing.T, ctx context.Context, p pair) port.SlotState {
+// storeBlock exports block b1 of a prompt from the engine's cache to the store and
+// commits it.
+func storeBlock(t *testing.T, ctx context.Context, p pair) port.SlotState {
 	t.Helper()
 	if _, _, err := collect(ctx, p.engine, prompt(1)); err != nil {
 		t.Fatal(err)
@@ -61,30 +62,30 @@
 	}
 }
 
-// A block named by an entry may have been freed, reused, damaged or never
-// have been whole by the time that an engine reads it. The engine must report
-// it missing, so that the prompt is recomputed, and never use it.
-func TestImportTakesOnlyWhatWasCommitted(t *testing.T) {
+// A block that an entry lists as a source may be freed, reused, damaged or incomplete
+// when an engine reads it. The engine must report it as missing, so that the prompt is
+// recomputed, and must never use it.
+func TestImportAcceptsOnlyCommittedBlocks(t *testing.T) {
 	cases := map[string]struct {
 		change  func(*port.BlockSource)
 		free    bool
 		present int
 	}{
-		"as committed":       {present: 1},
-		"other generation":   {change: func(s *port.BlockSource) { s.Generation++ }},
-		"other slot":         {change: func(s *port.BlockSource) { s.Slot += "x" }},
-		"other checksum":     {change: func(s *port.BlockSource) { s.Checksum++ }},
-		"shorter":            {change: func(s *port.BlockSource) { s.Bytes-- }},
-		"longer":             {change: func(s *port.BlockSource) { s.Bytes++ }},
-		"unreachable store":  {change: func(s *port.BlockSource) { s.Address = "127.0.0.1:1" }},
-		"freed in meanwhile": {free: true},
+		"as committed":      {present: 1},
+		"other generation":  {change: func(s *port.BlockSource) { s.Generation++ }},
+		"other slot":        {change: func(s *port.BlockSource) { s.Slot += "x" }},
+		"other checksum":    {change: func(s *port.BlockSource) { s.Checksum++ }},
+		"shorter":           {change: func(s *port.BlockSource) { s.Bytes-- }},
+		"longer":            {change: func(s *port.BlockSource) { s.Bytes++ }},
+		"unreachable store": {change: func(s *port.BlockSource) { s.Address = "127.0.0.1:1" }},
+		"freed meanwhile":   {free: true},
 	}
 	for name, open := range pairs {
 		for change, c := range cases {
 			t.Run(name+"/"+change, func(t *testing.T) {
 				p := open(t)
 				ctx := plainContext(t)
-				state := keep(t, ctx, p)
+				state := storeBlock(t, ctx, p)
 				from := source(p, state)
 				from.Block = "b1"
 				if c.change != nil {
@@ -105,9 +106,9 @@
 	}
 }
 
-// An engine dies or lies in the middle of an export. The store must not make
-// the slot readable, whoever asks for it.
-func TestCommitRefusesWhatWasNotWritten(t *testing.T) {
+// An engine crashes during an export, or a commit is requested for a slot that was not
+// written. The store must not make the slot readable.
+func TestCommitRefusesUnwrittenSlots(t *testing.T) {
 	for name, open := range pairs {
 		t.Run(name, func(t *testing.T) {
 			p := open(t)
@@ -127,8 +128,8 @@
 	}
 }
 
-// Two entries decide to keep the same block. Only one may write it; the other
-// must learn of the slot there is.
+// Two entries decide to keep the same block. Only one may write it; the other must get
+// the state of the existing slot.
 func TestReserveArbitrates(t *testing.T) {
 	for name, open := range pairs {
 		t.Run(name, func(t *testing.T) {
@@ -154,7 +155,7 @@
 			}
 			again, err := p.store.Reserve(ctx, reserve("b1", p.blockBytes))
 			if err != nil || !again.Granted || again.State.Generation <= first.State.Generation {
-				t.Errorf("after free: %+v, %v; want a later generation", again, err)
+				t.Errorf("after free: %+v, %v; want a higher generation", again, err)
 			}
 		})
 	}
--- a/internal/port/replica.go
+++ b/internal/port/replica.go
@@ -9,19 +9,19 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// GroupID names one replicated state machine of the control hosts.
+// GroupID identifies a replicated state machine of the control hosts.
 type GroupID uint32
 
-// GroupConfig is the group that holds configuration, epochs and orders.
-// Groups above it hold shards of the at-most-once ledger.
+// GroupConfig is the group that holds the configuration, epochs and orders.
+// Groups with higher numbers hold shards of the at-most-once ledger.
 const GroupConfig GroupID = 0
 
-// StateMachine is the deterministic state behind a replicated log. The
-// replica calls it from one goroutine. Apply must not fail: a command it
-// can't accept is answered in its result.
+// StateMachine is the deterministic state to which a replicated log is applied.
+// The replica calls it from one goroutine. Apply must not fail: the rejection of a
+// command is part of its result.
 type StateMachine interface {
 	Apply(index uint64, command []byte) (result []byte)
-	// Snapshot returns the whole state; Restore replaces it.
+	// Snapshot returns the complete state; Restore replaces it.
 	Snapshot() ([]byte, error)
 	Restore(snapshot []byte) error
 }
@@ -33,10 +33,10 @@
 	// it may yet be committed, so the command must be idempotent.
 	Propose(ctx context.Context, command []byte) ([]byte, error)
 	// ReadBarrier returns once the local state reflects every command
-	// committed before the call; it fails on a host that can't prove that it
-	// leads or can't reach the leader.
+	// committed before the call; it fails on a host that neither can prove that
+	// it is the leader nor reach the leader.
 	ReadBarrier(ctx context.Context) error
-	// View runs f with the state machine, excluded from Apply. f must be short
+	// View runs f with the state machine while Apply is blocked. f must be short
 	// and must not keep references.
 	View(f func(StateMachine))
 	Status() ReplicaStatus
@@ -49,15 +49,16 @@
 	Leader   ident.Host
 	Self     ident.Host
 	IsLeader bool
-	// LeaseEnd is until when no other host can lead, on a leader that knows; else zero. It
-	// is compared with the clock that the group goes by, read after the status.
+	// LeaseEnd is the time until which no other host can become the leader, set on a
+	// leader that can prove it; else zero. Compare it with the group's clock, read after
+	// the status.
 	LeaseEnd  time.Time
 	Commit    uint64
 	Applied   uint64
 	Last      uint64
 	Voters    []ident.Host
 	Learners  []ident.Host
-	Suspended string // why the replica can't answer, empty when it can
+	Suspended string // why the replica can't answer, empty if it can
 }
 
 // ErrUncertain reports that a proposal may or may not be committed.
@@ -65,7 +66,7 @@
 
 // NotLeaderError reports that this host does not lead the group.
 type NotLeaderError struct {
-	// Leader is where to go, empty when unknown.
+	// Leader is the present leader, empty if unknown.
 	Leader ident.Host
 }
 
--- a/internal/port/service.go
+++ b/internal/port/service.go
@@ -15,12 +15,12 @@
 	Forward(ctx context.Context, call ServiceCall) (ServiceAnswer, error)
 }
 
-// ServiceCall is one attempt at one caller's call.
+// ServiceCall is one attempt at a caller's call.
 type ServiceCall struct {
 	Request ident.Request
 	Attempt uint32
 	Method  string
-	// Path is what follows the service's name, with its query.
+	// Path is the part of the URL after the service's name, query included.
 	Path   string
 	Header http.Header
 	Body   []byte
@@ -33,6 +33,6 @@
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is that of the body, or -1 when the replica did not state it.
+	// Length is the length of the body in bytes, -1 if the replica did not state it.
 	Length int64
 }
--- a/internal/port/store.go
+++ b/internal/port/store.go
@@ -11,9 +11,9 @@
 // engines. The store is the authority on its slots. Every slot carries a
 // generation that grows when the slot is reused or the host restarts.
 type Store interface {
-	// Reserve makes a slot for a block. A block that is already reserved or
-	// committed is answered as it stands, so that two writers never fill two
-	// slots with the same block.
+	// Reserve makes a slot for a block. If the block is already reserved or
+	// committed, Reserve returns the state of that slot, so that two writers never
+	// fill two slots with the same block.
 	Reserve(ctx context.Context, req ReserveRequest) (Reservation, error)
 	// Commit makes a written slot readable after the store has checked its
 	// length and checksum against the request.
@@ -48,7 +48,7 @@
 	Lifetime time.Duration
 }
 
-// SlotPhase is where a slot is in its life.
+// SlotPhase is the phase of a slot, from absent to committed.
 type SlotPhase string
 
 // The phases of a slot.
@@ -60,9 +60,9 @@
 
 // Reservation is the answer to a ReserveRequest.
 type Reservation struct {
-	// Granted is true when the caller is the one to write the slot.
+	// Granted is true if the caller is to write the slot.
 	Granted bool `json:"granted"`
-	// Full is true when the tier has no room.
+	// Full is true if the tier has no capacity for the slot.
 	Full  bool      `json:"full"`
 	State SlotState `json:"state"`
 }
@@ -87,7 +87,7 @@
 	Checksum   uint64  `json:"checksum,string"`
 }
 
-// TierStatus is the room in one tier.
+// TierStatus is the capacity and use of one tier, in bytes.
 type TierStatus struct {
 	Tier     Tier  `json:"tier"`
 	Capacity int64 `json:"capacity"`
@@ -105,10 +105,10 @@
 	LinkBusy float64 `json:"link_busy"`
 }
 
-// BlockSnapshot is a full list of blocks at one point of an event sequence.
+// BlockSnapshot is the complete list of blocks at one point of an event sequence.
 type BlockSnapshot struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
-	// Sequence is that of the last event the snapshot includes.
+	// Sequence is the number of the last event that the snapshot includes.
 	Sequence uint64      `json:"sequence"`
 	Blocks   []SlotState `json:"blocks"`
 }
