--- a/prefix/bench_test.go
+++ b/prefix/bench_test.go
@@ -9,14 +9,15 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// promptSizes are numbers of prompts: today's, ten times as many, and all of
-// the target in one directory, which cells keep from happening.
-var promptSizes = []int{1_600, 16_000, 160_000}
+// promptCounts are the numbers of prompts in a directory: the present load, ten times
+// as many, and the target load in a single directory, which the division into cells
+// avoids.
+var promptCounts = []int{1_600, 16_000, 160_000}
 
-// promptBlocks is the length of a benchmark prompt in blocks.
+// promptBlocks is the number of blocks of a prompt.
 const promptBlocks = 12
 
-// benchHolders is how many runners a cell has.
+// benchHolders is the number of runners in a cell.
 const benchHolders = 100
 
 func benchBlock(prompt, i int) BlockID {
@@ -34,9 +35,9 @@
 	return blocks
 }
 
-// filled is a directory with prompts, each at two runners and half of its
-// blocks on a store host.
-func filled(t testing.TB, prompts int) *Directory {
+// filledDirectory returns a directory with this number of prompts, each held by two
+// runners, with half of its blocks on a store host.
+func filledDirectory(t testing.TB, prompts int) *Directory {
 	d := testDirectory(t, Options{MaxBlocks: prompts * promptBlocks})
 	names := make([]ident.Upstream, benchHolders)
 	sequences := make([]uint64, benchHolders)
@@ -63,9 +64,9 @@
 }
 
 func BenchmarkLongest(b *testing.B) {
-	for _, prompts := range promptSizes {
+	for _, prompts := range promptCounts {
 		b.Run(fmt.Sprint(prompts), func(b *testing.B) {
-			d := filled(b, prompts)
+			d := filledDirectory(b, prompts)
 			chains := make([][]BlockID, 1024)
 			for i := range chains {
 				chains[i] = benchPrompt(i * 7919 % prompts)
@@ -80,9 +81,9 @@
 }
 
 func BenchmarkApply(b *testing.B) {
-	for _, prompts := range promptSizes {
+	for _, prompts := range promptCounts {
 		b.Run(fmt.Sprint(prompts), func(b *testing.B) {
-			d := filled(b, prompts)
+			d := filledDirectory(b, prompts)
 			next := d.holders.find("runner-1").next
 			events := make([]Event, 1)
 			b.ReportAllocs()
@@ -96,13 +97,13 @@
 }
 
 func BenchmarkBytesPerBlock(b *testing.B) {
-	for _, prompts := range promptSizes {
+	for _, prompts := range promptCounts {
 		b.Run(fmt.Sprint(prompts), func(b *testing.B) {
 			for b.Loop() {
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				d := filled(b, prompts)
+				d := filledDirectory(b, prompts)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				used := float64(after.HeapAlloc - before.HeapAlloc)
--- a/prefix/block.go
+++ b/prefix/block.go
@@ -21,12 +21,12 @@
 // DefaultBlockTokens is the number of tokens in one block.
 const DefaultBlockTokens = 1000
 
-// chainDomain separates these hashes from any other use of the same key and
-// changes with the layout of the hashed bytes.
+// chainDomain separates these hashes from any other use of the same key. It must be
+// changed with the layout of the hashed bytes.
 const chainDomain = "lovagereach block chain 1"
 
-// BlockID identifies one block of a prompt: its tokens, all tokens before it
-// and the scope in which they were computed.
+// BlockID identifies a block of a prompt by its tokens, all preceding tokens and
+// the scope in which they were computed.
 type BlockID [BlockIDSize]byte
 
 // ErrBlockID reports a block identity that is not 32 hexadecimal digits.
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// Key is the secret of one deployment under which blocks are named. Without
-// it nobody can compute the name of a block whose tokens they guess.
+// Key is a deployment's secret key for block identities. Without it, the identity of
+// a block can't be computed from its guessed tokens.
 type Key [KeySize]byte
 
-// Scope is what must be equal for two prompts to share blocks.
+// Scope has the properties that must be equal for two prompts to share blocks.
 type Scope struct {
 	Team    ident.Team
 	Model   ident.Model
@@ -76,9 +76,8 @@
 	Adapter ident.Adapter
 }
 
-// Chain returns the identities of the full blocks of tokens, in order. A last
-// block that is not full has no identity. A blockTokens below one means
-// DefaultBlockTokens.
+// Chain returns the identities of the full blocks of tokens, in order. A partial last
+// block has no identity. A blockTokens below one means DefaultBlockTokens.
 func Chain(key Key, scope Scope, tokens []uint32, blockTokens int) []BlockID {
 	if blockTokens < 1 {
 		blockTokens = DefaultBlockTokens
@@ -102,8 +101,8 @@
 	return blocks
 }
 
-// scopeLink is the link before the first block. Each field is preceded by its
-// length: without it, team "ab" with model "c" would hash like team "a" with
+// scopeLink returns the hash that precedes the first block in the chain. Each field is
+// preceded by its length: without it, team "ab" with model "c" would hash like team "a" with
 // model "bc" and two teams could share a block.
 func scopeLink(hasher *blake3.Hasher, scope Scope, blockTokens int) [32]byte {
 	var buffer []byte
--- a/prefix/block_test.go
+++ b/prefix/block_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func someTokens(count int) []uint32 {
+func testTokens(count int) []uint32 {
 	tokens := make([]uint32, count)
 	for i := range tokens {
 		tokens[i] = uint32(i * 7)
@@ -14,18 +14,18 @@
 	return tokens
 }
 
-// Two prompts with the same tokens must not share a block unless everything
-// that the block's content depends on is the same. A shared name would hand
-// one team's prompt, or another version's numbers, to the other.
+// Two prompts with the same tokens must not share a block unless everything that the
+// block's content depends on is equal. With a shared identity, one team could use
+// another team's prompt, or one version the KV cache of another.
 func TestChainSeparatesScopes(t *testing.T) {
 	base := Scope{Team: "ab", Model: "c", Version: "d", Adapter: "e"}
-	tokens := someTokens(40)
+	tokens := testTokens(40)
 	want := Chain(Key{1}, base, tokens, 10)
 	if len(want) != 4 {
 		t.Fatalf("%d blocks, want 4", len(want))
 	}
-	if !slices.Equal(want, Chain(Key{1}, base, someTokens(49), 10)) {
-		t.Error("a last block that is not full changes the names of the others")
+	if !slices.Equal(want, Chain(Key{1}, base, testTokens(49), 10)) {
+		t.Error("a partial last block changes the identities of the others")
 	}
 	cases := map[string][]BlockID{
 		"other key":                Chain(Key{2}, base, tokens, 10),
@@ -41,36 +41,36 @@
 	for name, blocks := range cases {
 		for i, block := range blocks {
 			if slices.Contains(want, block) {
-				t.Errorf("%s: block %d has the same name", name, i)
+				t.Errorf("%s: block %d has the same identity", name, i)
 			}
 		}
 	}
 }
 
-// A change in one token must change its block and all after it: their content
-// depends on it.
+// A change of one token must change the identities of its block and of all blocks
+// after it, because their content depends on it.
 func TestChainDependsOnAllTokensBefore(t *testing.T) {
 	scope := Scope{Team: "a", Model: "m", Version: "v"}
-	before := Chain(Key{}, scope, someTokens(50), 10)
-	changed := someTokens(50)
+	before := Chain(Key{}, scope, testTokens(50), 10)
+	changed := testTokens(50)
 	changed[25]++
 	after := Chain(Key{}, scope, changed, 10)
 	for i := range before {
 		if same := before[i] == after[i]; same != (i < 2) {
-			t.Errorf("block %d: same name %v", i, same)
+			t.Errorf("block %d: same identity %v", i, same)
 		}
 	}
 }
 
 func TestBlockIDText(t *testing.T) {
-	id := Chain(Key{}, Scope{}, someTokens(10), 10)[0]
+	id := Chain(Key{}, Scope{}, testTokens(10), 10)[0]
 	text, err := json.Marshal(id)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got BlockID
 	if err := json.Unmarshal(text, &got); err != nil || got != id {
-		t.Fatalf("read back %v from %s: %v", got, text, err)
+		t.Fatalf("decoded %v from %s: %v", got, text, err)
 	}
 	for _, bad := range []string{"", "00", id.String() + "00", "zz" + id.String()[2:]} {
 		if _, err := ParseBlockID(bad); err == nil {
@@ -80,7 +80,7 @@
 }
 
 func BenchmarkChain(b *testing.B) {
-	tokens := someTokens(30_000)
+	tokens := testTokens(30_000)
 	scope := Scope{Team: "a", Model: "m", Version: "v"}
 	b.SetBytes(int64(4 * len(tokens)))
 	b.ReportAllocs()
--- a/prefix/directory.go
+++ b/prefix/directory.go
@@ -2,33 +2,33 @@
 
 import "github.com/lovagereach/lovagereach/ident"
 
-// Directory tells which upstreams of one cell hold which blocks.
+// Directory tracks which upstreams of one cell hold which blocks.
 type Directory struct {
 	opts    Options
 	holders holderTable
 	blocks  blockTable
 	stats   Stats
-	// chain holds the records of one match, kept to save the allocation.
+	// chain has the records of the last match; it is reused to avoid an allocation.
 	chain []uint32
 }
 
-// Stats counts what a directory has seen since it was made.
+// Stats are the counters of a directory since its creation.
 type Stats struct {
 	Applied    uint64
 	Duplicates uint64
 	Gaps       uint64
 	Snapshots  uint64
 	Evicted    uint64
-	// Outdated counts batches and snapshots of an earlier life, and snapshots
-	// older than what is known.
+	// Outdated counts batches and snapshots of a previous incarnation, and snapshots
+	// older than the applied events.
 	Outdated uint64
-	// Unfollowed counts those of upstreams that are not followed.
+	// Unfollowed counts batches and snapshots of upstreams that are not followed.
 	Unfollowed uint64
-	// Mismatches counts answers that reused less than was claimed.
+	// Mismatches counts answers that reused fewer blocks than the directory claimed.
 	Mismatches uint64
 }
 
-// NewDirectory makes an empty directory.
+// NewDirectory returns an empty directory.
 func NewDirectory(opts Options) (*Directory, error) {
 	if err := opts.Validate(); err != nil {
 		return nil, err
@@ -41,24 +41,24 @@
 	}, nil
 }
 
-// ApplyResult is what became of a batch or snapshot.
+// ApplyResult is the result of applying a batch or snapshot.
 type ApplyResult uint8
 
-// The results of Apply and Repair.
+// The results of Apply and ApplySnapshot.
 const (
-	// Current means that the view of the holder has no gap.
+	// Current means that no events of the holder are missing.
 	Current ApplyResult = iota + 1
-	// NeedsSnapshot means that events are missing; ask the holder for a
-	// snapshot and pass it to Repair.
+	// NeedsSnapshot means that events are missing: the caller must request a snapshot
+	// from the holder and pass it to ApplySnapshot.
 	NeedsSnapshot
-	// Outdated means that the input belongs to an earlier incarnation or is
-	// older than what is known, and changed nothing.
+	// Outdated means that the input belongs to a previous incarnation or is older
+	// than the applied events. It was ignored.
 	Outdated
 	// Unfollowed means that Follow was not called for the upstream.
 	Unfollowed
 )
 
-// Apply takes a batch of events.
+// Apply applies a batch of events.
 func (d *Directory) Apply(batch Batch) ApplyResult {
 	h, result := d.current(batch.Upstream, batch.Incarnation)
 	if h == nil {
@@ -70,15 +70,15 @@
 	return h.result()
 }
 
-// ApplySnapshot replaces what is known of a holder by its snapshot and then applies
-// the events that came after it.
+// ApplySnapshot replaces the blocks of a holder by its snapshot and then applies the
+// pending events that follow the snapshot.
 func (d *Directory) ApplySnapshot(snapshot Snapshot) ApplyResult {
 	h, result := d.current(snapshot.Upstream, snapshot.Incarnation)
 	if h == nil {
 		return result
 	}
-	// A snapshot taken before events that are already applied would undo
-	// them: a block removed since would seem to be there again.
+	// A snapshot taken before events that are already applied would revert
+	// them: a block removed since would count as held again.
 	if snapshot.Sequence+1 < h.next {
 		d.stats.Outdated++
 		return Outdated
@@ -96,19 +96,20 @@
 	return h.result()
 }
 
-// Follow begins to follow an incarnation of an upstream. It returns false when
-// MaxHolders others are followed already. Only Follow adds an upstream: if a
-// late event did, the dead would fill the table.
+// Follow starts to follow an incarnation of an upstream. It returns false if
+// MaxHolders others are already followed. Only Follow adds an upstream: if late
+// events did, the table would fill with upstreams that no longer exist.
 func (d *Directory) Follow(upstream ident.Upstream, incarnation ident.Incarnation) bool {
 	h := d.holders.find(upstream)
 	if h == nil {
 		return d.holders.insert(upstream, incarnation) != nil
 	}
-	d.renew(h, incarnation)
+	d.switchIncarnation(h, incarnation)
 	return true
 }
 
-// Forget drops a holder and all it held, for example when its lease ran out.
+// Forget removes a holder with all its blocks, for example when its lease has expired.
+// It ignores a call for a previous incarnation.
 func (d *Directory) Forget(upstream ident.Upstream, incarnation ident.Incarnation) {
 	h := d.holders.find(upstream)
 	if h == nil || h.incarnation > incarnation {
@@ -118,17 +119,16 @@
 	d.holders.remove(h)
 }
 
-// Observe corrects the view by a finished request. The engine has just
-// computed the prompt, so that it holds the blocks now whatever was thought
-// before; what was wrong before lowers the trust in everything else it is
-// thought to hold.
+// Observe corrects the directory by a completed request. The engine has just
+// computed the prompt, so it holds the blocks whatever the directory had before. A
+// wrong claim lowers the accuracy of the holder, which applies to all its blocks.
 func (d *Directory) Observe(answer Answer) {
 	h := d.holders.find(answer.Upstream)
 	if h == nil || h.incarnation != answer.Incarnation {
 		return
 	}
 	if answer.Claimed > 0 {
-		h.learn(answer.Claimed, answer.Reused)
+		h.updateAccuracy(answer.Claimed, answer.Reused)
 	}
 	if answer.Reused < answer.Claimed {
 		d.stats.Mismatches++
@@ -150,7 +150,7 @@
 	}
 }
 
-// Stale lists the holders whose snapshot is due, in out.
+// Stale appends to out the holders that need a snapshot.
 func (d *Directory) Stale(out []ident.Upstream) []ident.Upstream {
 	for i := range d.holders.slots {
 		h := &d.holders.slots[i]
@@ -161,14 +161,14 @@
 	return out
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (d *Directory) Stats() Stats { return d.stats }
 
-// Len returns the number of blocks known.
+// Len returns the number of blocks in the directory.
 func (d *Directory) Len() int { return d.blocks.len() }
 
-// current returns the followed holder of an incarnation, replacing an earlier
-// life by a later one.
+// current returns the followed holder, switched to incarnation if that is newer. It
+// returns nil if the upstream is not followed or incarnation is a previous one.
 func (d *Directory) current(upstream ident.Upstream, incarnation ident.Incarnation) (*holder, ApplyResult) {
 	h := d.holders.find(upstream)
 	if h == nil {
@@ -179,19 +179,19 @@
 		d.stats.Outdated++
 		return nil, Outdated
 	}
-	d.renew(h, incarnation)
+	d.switchIncarnation(h, incarnation)
 	return h, Current
 }
 
-// renew starts a later life of a holder. A new life holds nothing of the old
-// one: keeping the old claims would send prompts to a runner whose cache is
-// empty and readers to slots whose generation is gone.
-func (d *Directory) renew(h *holder, incarnation ident.Incarnation) {
+// switchIncarnation starts a newer incarnation of a holder. It holds none of the
+// blocks of the previous one: keeping them would send prompts to a runner whose cache
+// is empty and readers to slots whose generation no longer exists.
+func (d *Directory) switchIncarnation(h *holder, incarnation ident.Incarnation) {
 	if incarnation <= h.incarnation {
 		return
 	}
 	d.blocks.clearHolder(h.index)
-	h.rebirth(incarnation)
+	h.reset(incarnation)
 }
 
 func (d *Directory) applyEvent(h *holder, event Event) {
@@ -211,7 +211,7 @@
 	h.advance()
 }
 
-// change applies one event to the blocks.
+// change applies an event to the blocks.
 func (d *Directory) change(h *holder, event Event) {
 	switch event.Kind {
 	case Stored:
@@ -227,5 +227,5 @@
 	d.stats.Evicted += uint64(d.blocks.add(block, h.index, copied))
 }
 
-// trustStep is the weight of one answer in a holder's trust.
-const trustStep = 0.2
+// accuracyWeight is the weight of one answer in a holder's accuracy.
+const accuracyWeight = 0.2
--- a/prefix/directory_test.go
+++ b/prefix/directory_test.go
@@ -15,7 +15,7 @@
 	return d
 }
 
-// blockNumber makes a block identity for tests.
+// blockNumber returns the identity of test block n.
 func blockNumber(n int) BlockID {
 	return BlockID{byte(n), byte(n >> 8), byte(n >> 16), 1}
 }
--- a/prefix/doc.go
+++ b/prefix/doc.go
@@ -1,14 +1,15 @@
-// Package prefix names the blocks of kept prompts and remembers who holds them.
+// Package prefix computes the identities of the blocks of kept prompts and tracks
+// which upstreams hold them.
 //
-// Chain turns a prompt into block identities: a keyed hash chain over team,
-// model, weight version, adapter and every token before, so that the block of
-// another team or version has another name and cannot be asked for by mistake.
+// Chain computes the block identities of a prompt: a keyed hash chain over team,
+// model, weight version, adapter and all preceding tokens, so that a block of
+// another team or version has another identity and cannot be requested by mistake.
 //
-// Directory holds, for one cell, which upstream holds which block. It is fed
-// by cache events, which are hints: late, repeated and with gaps. Sequence
-// numbers reveal a gap, a snapshot repairs it, and the reused-token count of
-// each answer corrects the trust put into a holder.
+// Directory tracks, for one cell, which upstream holds which block. Its input are
+// cache events, which are hints: they may be late, repeated or lost. Sequence
+// numbers reveal a gap, a snapshot closes it, and the reused-token count of each
+// answer updates the accuracy of a holder.
 //
-// The package is pure: it starts no goroutine and reads no clock. A Directory
-// is not safe for concurrent use.
+// The package starts no goroutine and reads no clock. A Directory is not safe for
+// concurrent use.
 package prefix
--- a/prefix/faults_test.go
+++ b/prefix/faults_test.go
@@ -7,8 +7,8 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// held tells which of the blocks 1 to 9 the directory believes to be at a.
-func held(d *Directory) map[int]bool {
+// heldByDirectory returns which of the blocks 1 to 9 the directory attributes to a holder.
+func heldByDirectory(d *Directory) map[int]bool {
 	found := make(map[int]bool)
 	for n := 1; n < 10; n++ {
 		if len(d.Longest([]BlockID{blockNumber(n)}, nil)) > 0 {
@@ -26,9 +26,9 @@
 	return blocks
 }
 
-// Events come late, twice, out of order, from an earlier life or not at all.
-// A prompt sent to a runner for blocks that it lost is recomputed there behind
-// its queue, so the view must notice what it missed and be repaired.
+// Events arrive late, twice, out of order, from a previous incarnation or not at all.
+// A prompt that is sent to a runner for blocks that it no longer has is recomputed
+// there behind its queue, so the directory must detect missing events and be repaired.
 func TestEventFaults(t *testing.T) {
 	type call func(d *Directory) ApplyResult
 	apply := func(incarnation ident.Incarnation, events ...Event) call {
@@ -51,7 +51,7 @@
 		{"gap", []call{apply(1, stored(1, 1), stored(3, 3))}, NeedsSnapshot, []int{1, 3}},
 		{"first event lost", []call{apply(1, stored(2, 2))}, NeedsSnapshot, []int{2}},
 		{"late event closes the gap", []call{apply(1, stored(1, 1), stored(3, 3)), apply(1, stored(2, 2))}, Current, []int{1, 2, 3}},
-		{"late event undone since", []call{apply(1, stored(1, 1), removed(3, 2)), apply(1, stored(2, 2))}, Current, []int{1}},
+		{"late event reverted since", []call{apply(1, stored(1, 1), removed(3, 2)), apply(1, stored(2, 2))}, Current, []int{1}},
 		{"late event before a clear", []call{apply(1, cleared(2)), apply(1, stored(1, 1))}, Current, nil},
 		{"two gaps, one closed", []call{apply(1, stored(2, 2), stored(4, 4)), apply(1, stored(1, 1))}, NeedsSnapshot, []int{1, 2, 4}},
 		{"snapshot after the gap", []call{apply(1, stored(1, 1), stored(4, 4)), repair(4, 2, 4)}, Current, []int{2, 4}},
@@ -59,14 +59,14 @@
 		{"gap after the snapshot", []call{apply(1, stored(2, 2), stored(6, 6)), repair(3, 3)}, NeedsSnapshot, []int{3, 6}},
 		{"snapshot older than the events", []call{apply(1, stored(1, 1), removed(2, 1)), repair(1, 1)}, Outdated, nil},
 		{"event before the snapshot", []call{repair(5, 5), apply(1, removed(4, 5))}, Current, []int{5}},
-		{"next life", []call{apply(1, stored(1, 1)), apply(2, stored(1, 2))}, Current, []int{2}},
-		{"event of an earlier life", []call{apply(2, stored(1, 2)), apply(1, stored(2, 1))}, Outdated, []int{2}},
-		{"snapshot of an earlier life", []call{apply(2, stored(1, 2)), repair(9, 1)}, Outdated, []int{2}},
+		{"next incarnation", []call{apply(1, stored(1, 1)), apply(2, stored(1, 2))}, Current, []int{2}},
+		{"event of a previous incarnation", []call{apply(2, stored(1, 2)), apply(1, stored(2, 1))}, Outdated, []int{2}},
+		{"snapshot of a previous incarnation", []call{apply(2, stored(1, 2)), repair(9, 1)}, Outdated, []int{2}},
 		{"forgotten", []call{apply(1, stored(1, 1)), func(d *Directory) ApplyResult {
 			d.Forget("a", 1)
 			return d.Apply(batch("a", 1, stored(2, 2)))
 		}}, Unfollowed, nil},
-		{"forgotten in an earlier life", []call{apply(2, stored(1, 1)), func(d *Directory) ApplyResult {
+		{"forgotten in a previous incarnation", []call{apply(2, stored(1, 1)), func(d *Directory) ApplyResult {
 			d.Forget("a", 1)
 			return d.Apply(batch("a", 2, stored(2, 2)))
 		}}, Current, []int{1, 2}},
@@ -79,7 +79,7 @@
 			for _, call := range c.calls {
 				last = call(d)
 			}
-			got := held(d)
+			got := heldByDirectory(d)
 			for _, n := range c.want {
 				if !got[n] {
 					t.Errorf("block %d is missing from %v", n, got)
@@ -92,52 +92,52 @@
 	}
 }
 
-// A runner's events are dropped, repeated and reordered in flight while it
-// goes on changing. After each snapshot and the events that follow it the
-// view must be what the runner holds, or say that it is not.
-func TestViewFollowsTheRunnerOrSaysItIsStale(t *testing.T) {
+// A runner's events are dropped, repeated and reordered in transit while its blocks
+// change. After each snapshot and the events that follow it, the directory must match
+// the runner's blocks or report the runner as stale.
+func TestViewMatchesRunnerUnlessStale(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		d := testDirectory(t, Options{MaxPending: 16})
 		d.Follow("a", 1)
-		truth := make(map[int]bool)
+		actual := make(map[int]bool)
 		sequence := uint64(0)
-		var flying []Event
+		var inTransit []Event
 		for range 2000 {
 			n := 1 + random.IntN(9)
 			sequence++
 			event := stored(sequence, n)
-			if truth[n] {
+			if actual[n] {
 				event = removed(sequence, n)
 			}
-			truth[n] = !truth[n]
+			actual[n] = !actual[n]
 			for range []int{0, 1, 1, 1, 2}[random.IntN(5)] {
-				flying = append(flying, event)
+				inTransit = append(inTransit, event)
 			}
-			for len(flying) > random.IntN(4) {
-				i := random.IntN(len(flying))
-				d.Apply(batch("a", 1, flying[i]))
-				flying = append(flying[:i], flying[i+1:]...)
+			for len(inTransit) > random.IntN(4) {
+				i := random.IntN(len(inTransit))
+				d.Apply(batch("a", 1, inTransit[i]))
+				inTransit = append(inTransit[:i], inTransit[i+1:]...)
 			}
 			if random.IntN(30) == 0 {
-				d.ApplySnapshot(Snapshot{Upstream: "a", Incarnation: 1, Sequence: sequence, Blocks: truthBlocks(truth)})
+				d.ApplySnapshot(Snapshot{Upstream: "a", Incarnation: 1, Sequence: sequence, Blocks: actualBlocks(actual)})
 			}
 			if len(d.Stale(nil)) > 0 || d.holders.find("a").next != sequence+1 {
 				continue
 			}
-			got := held(d)
+			got := heldByDirectory(d)
 			for n := 1; n < 10; n++ {
-				if got[n] != truth[n] {
-					t.Fatalf("seed %d, event %d: block %d held %v, view %v and not stale", seed, sequence, n, truth[n], got[n])
+				if got[n] != actual[n] {
+					t.Fatalf("seed %d, event %d: block %d held %v, directory has %v and is not stale", seed, sequence, n, actual[n], got[n])
 				}
 			}
 		}
 	}
 }
 
-func truthBlocks(truth map[int]bool) []HeldBlock {
+func actualBlocks(actual map[int]bool) []HeldBlock {
 	var numbers []int
-	for n, holds := range truth {
+	for n, holds := range actual {
 		if holds {
 			numbers = append(numbers, n)
 		}
@@ -145,9 +145,8 @@
 	return heldBlocks(numbers...)
 }
 
-// A runner answers that it reused less than the directory claimed. What it
-// claims for other prompts is then doubtful too, and routes should prefer a
-// runner whose claims have held.
+// A runner reuses fewer blocks than the directory claimed. The claims for other
+// prompts are then doubtful too, and routing should prefer a runner with correct claims.
 func TestAnswersCorrectTheView(t *testing.T) {
 	d := testDirectory(t, Options{})
 	d.Follow("a", 1)
@@ -160,24 +159,24 @@
 	}
 	d.Observe(Answer{Upstream: "a", Incarnation: 1, Blocks: blocks, Claimed: 3, Reused: 0, Held: 1})
 	if got := d.Longest(blocks, nil); len(got) != 1 || got[0].Blocks != 1 {
-		t.Fatalf("after a broken answer: %+v, want one block", got)
+		t.Fatalf("after an incomplete answer: %+v, want one block", got)
 	}
 	for range 50 {
 		d.Observe(Answer{Upstream: "a", Incarnation: 1, Blocks: blocks, Claimed: 3, Reused: 3, Held: 3})
 	}
 	if got := d.Longest(blocks, nil); got[0].Accuracy < 0.99 {
-		t.Fatalf("trust %v after many right claims", got[0].Accuracy)
+		t.Fatalf("accuracy %v after 50 correct claims, want at least 0.99", got[0].Accuracy)
 	}
 	d.Observe(Answer{Upstream: "a", Incarnation: 2, Blocks: blocks[:1], Held: 1})
 	d.Observe(Answer{Upstream: "x", Incarnation: 1, Blocks: blocks[:1], Held: 1})
 	if got := d.Longest(blocks, nil); len(got) != 1 || got[0].Incarnation != 1 {
-		t.Fatalf("after answers of others: %+v", got)
+		t.Fatalf("after answers of other incarnations and upstreams: %+v", got)
 	}
 }
 
-// More blocks than the bound arrive. The oldest go, and of one prompt the end
-// goes before the beginning: blocks without those before them are useless.
-func TestEvictionKeepsTheBeginning(t *testing.T) {
+// More blocks than the limit arrive. The least recently used are evicted, and of one
+// prompt the last blocks first: a block without those before it is useless.
+func TestEvictionKeepsPromptPrefix(t *testing.T) {
 	d := testDirectory(t, Options{MaxBlocks: 6})
 	d.Follow("a", 1)
 	prompt := []BlockID{blockNumber(1), blockNumber(2), blockNumber(3), blockNumber(4)}
@@ -190,8 +189,8 @@
 	}
 }
 
-// A store host commits a block, restarts and commits it again in another slot.
-// A reader that got the old slot would be refused and recompute.
+// A store host commits a block, restarts and commits it again in another slot. A
+// reader that is given the old slot is refused and must recompute.
 func TestCopiesFollowTheStore(t *testing.T) {
 	d := testDirectory(t, Options{})
 	d.Follow("s", 1)
@@ -206,7 +205,7 @@
 	}
 	d.Apply(batch("s", 2))
 	if got := d.Copies(blockNumber(1), nil); len(got) != 0 {
-		t.Fatalf("copies of an earlier life: %+v", got)
+		t.Fatalf("copies of a previous incarnation: %+v", got)
 	}
 	d.Apply(batch("s", 2, at(1, 9)))
 	d.Retract("s", blockNumber(1))
@@ -215,8 +214,8 @@
 	}
 }
 
-// FuzzDirectory applies any events and checks that the indices agree and the
-// bounds hold.
+// FuzzDirectory applies arbitrary events and checks that the indices are consistent and
+// the limits are kept.
 func FuzzDirectory(f *testing.F) {
 	f.Add([]byte{0, 1, 1, 1, 0, 1, 3, 2, 1, 1, 2, 1, 2, 1, 9, 5})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -255,17 +254,17 @@
 func checkTable(t *testing.T, d *Directory) {
 	t.Helper()
 	count := 0
-	last := none
-	for i := d.blocks.oldest; i != none; i = d.blocks.records[i].newer {
+	last := noRecord
+	for i := d.blocks.oldest; i != noRecord; i = d.blocks.records[i].newer {
 		r := &d.blocks.records[i]
 		if r.older != last || r.holders.empty() || d.blocks.index[r.block] != i {
-			t.Fatalf("record %d is broken: %+v", i, r)
+			t.Fatalf("record %d is inconsistent: %+v", i, r)
 		}
 		last = i
 		count++
 	}
 	if count != d.Len() || count > d.opts.MaxBlocks || last != d.blocks.newest {
-		t.Fatalf("%d records in order, %d in the index, at most %d", count, d.Len(), d.opts.MaxBlocks)
+		t.Fatalf("%d linked records, %d in the index, limit %d", count, d.Len(), d.opts.MaxBlocks)
 	}
 	for block, copies := range d.blocks.copies {
 		r := d.blocks.find(block)
--- a/prefix/holder.go
+++ b/prefix/holder.go
@@ -6,30 +6,30 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// holder is one upstream's place in a directory.
+// holder is the state of an upstream in a directory.
 type holder struct {
 	upstream    ident.Upstream
 	incarnation ident.Incarnation
 	index       int
 	used        bool
-	// next is the first sequence number not yet seen; all before it are
-	// applied.
+	// next is the lowest sequence number not yet received; all events before it
+	// are applied.
 	next uint64
-	// pending are the events seen beyond next, by sequence. They are applied
-	// already as hints and kept to tell when the gap is closed and to replay
-	// them over a snapshot.
-	pending []Event
-	trust   float64
+	// pending are the events received after next, by sequence number. They are
+	// already applied as hints. They are kept to detect that the gap is closed and to
+	// apply them again after a snapshot.
+	pending  []Event
+	accuracy float64
 }
 
-// eventVerdict is what a holder makes of one event's sequence number.
+// eventVerdict is the classification of an event by its sequence number.
 type eventVerdict uint8
 
 const (
 	eventInOrder eventVerdict = iota
 	eventAfterGap
 	eventDuplicate
-	// eventSuperseded is a late event on a block that a later one changed.
+	// eventSuperseded is a late event for a block that a later event has changed.
 	eventSuperseded
 )
 
@@ -42,14 +42,15 @@
 	return Current
 }
 
-func (h *holder) rebirth(incarnation ident.Incarnation) {
+// reset starts an incarnation with no known events.
+func (h *holder) reset(incarnation ident.Incarnation) {
 	h.incarnation = incarnation
 	h.next = 1
 	h.pending = nil
-	h.trust = 1
+	h.accuracy = 1
 }
 
-// admit records an event's sequence number.
+// admit adds an event to pending, unless it is a duplicate, and classifies it.
 func (h *holder) admit(event Event, maxPending int) eventVerdict {
 	if event.Sequence < h.next {
 		return eventDuplicate
@@ -61,8 +62,8 @@
 	superseded := h.changedAfter(at, event.Block)
 	opensGap := at == len(h.pending) && event.Sequence != h.lastSeen()+1
 	h.pending = slices.Insert(h.pending, at, event)
-	// Beyond the bound the oldest go: the gap then only closes by a snapshot
-	// that reaches up to the events still kept.
+	// Beyond the limit the oldest event is dropped: the gap can then only be closed
+	// by a snapshot that includes all events before those still pending.
 	if len(h.pending) > maxPending {
 		h.pending = slices.Delete(h.pending, 0, 1)
 	}
@@ -94,9 +95,9 @@
 	})
 }
 
-// changedAfter tells whether an event at or after position at has changed
-// block. Applying an older event over it would turn time back: a removed
-// block would look stored.
+// changedAfter reports whether a pending event at or after position at has changed
+// block. Applying an older event after it would revert the change: a removed block
+// would count as stored.
 func (h *holder) changedAfter(at int, block BlockID) bool {
 	for _, later := range h.pending[at:] {
 		if later.Kind == Cleared || later.Block == block {
@@ -106,7 +107,7 @@
 	return false
 }
 
-// advance moves next over the events that are now without a gap.
+// advance moves next past the pending events that follow without a gap.
 func (h *holder) advance() {
 	done := 0
 	for done < len(h.pending) && h.pending[done].Sequence == h.next {
@@ -116,7 +117,8 @@
 	h.pending = slices.Delete(h.pending, 0, done)
 }
 
-// restart continues after a snapshot, dropping the events it includes.
+// restart continues after the snapshot with this sequence number and drops the pending
+// events that it includes.
 func (h *holder) restart(sequence uint64) {
 	h.next = sequence + 1
 	at, found := h.search(sequence)
@@ -126,12 +128,13 @@
 	h.pending = slices.Delete(h.pending, 0, at)
 }
 
-func (h *holder) learn(claimed, reused int) {
+// updateAccuracy adds one answer to the moving average.
+func (h *holder) updateAccuracy(claimed, reused int) {
 	share := min(float64(max(reused, 0))/float64(claimed), 1)
-	h.trust += trustStep * (share - h.trust)
+	h.accuracy += accuracyWeight * (share - h.accuracy)
 }
 
-// holderTable gives each followed upstream a small index.
+// holderTable assigns each followed upstream an index below MaxHolders.
 type holderTable struct {
 	slots [MaxHolders]holder
 	index map[ident.Upstream]int
@@ -156,7 +159,7 @@
 			continue
 		}
 		*h = holder{upstream: upstream, index: i, used: true}
-		h.rebirth(incarnation)
+		h.reset(incarnation)
 		t.index[upstream] = i
 		return h
 	}
--- a/prefix/longest.go
+++ b/prefix/longest.go
@@ -1,42 +1,42 @@
 package prefix
 
-// Longest appends to out the holders of the beginning of blocks, those that
-// hold most first, at most MaxMatches of them. It intersects the holder sets
-// block by block, so that its cost grows with the number of blocks and not
-// with the number of upstreams. It also marks the blocks found as used.
+// Longest appends to out the holders of a prefix of blocks, the longest prefix
+// first, at most MaxMatches of them. It intersects the holder sets block by block,
+// so that its cost grows with the number of blocks and not with the number of
+// upstreams. It also marks the blocks found as used.
 func (d *Directory) Longest(blocks []BlockID, out []Match) []Match {
-	// Each step where holders drop out is kept, to list the deepest first.
-	// At most MaxHolders can drop out.
+	// steps has an element for each block at which holders drop out of the
+	// intersection, to list the longest matches first. At most MaxHolders can drop out.
 	var steps [MaxHolders + 1]droppedAt
 	count := 0
 	depth := 0
-	var alive holderSet
+	var remaining holderSet
 	d.chain = d.chain[:0]
 	for _, block := range blocks {
 		at, ok := d.blocks.index[block]
 		if !ok {
 			break
 		}
-		still := d.blocks.records[at].holders
+		holding := d.blocks.records[at].holders
 		if depth > 0 {
-			still = alive.and(still)
-			if lost := alive.without(still); !lost.empty() {
-				steps[count] = droppedAt{set: lost, depth: depth}
+			holding = remaining.and(holding)
+			if dropped := remaining.without(holding); !dropped.empty() {
+				steps[count] = droppedAt{set: dropped, depth: depth}
 				count++
 			}
 		}
-		alive = still
-		if alive.empty() {
+		remaining = holding
+		if remaining.empty() {
 			break
 		}
 		depth++
 		d.chain = append(d.chain, at)
 	}
-	if !alive.empty() {
-		steps[count] = droppedAt{set: alive, depth: depth}
+	if !remaining.empty() {
+		steps[count] = droppedAt{set: remaining, depth: depth}
 		count++
 	}
-	d.touchChain()
+	d.markChainUsed()
 	limit := len(out) + d.opts.MaxMatches
 	for i := count - 1; i >= 0 && len(out) < limit; i-- {
 		out = d.appendMatches(out, steps[i], limit)
@@ -44,7 +44,7 @@
 	return out
 }
 
-// droppedAt is the set of holders whose matching beginning ends at depth.
+// droppedAt is the set of holders that hold a prefix of exactly depth blocks.
 type droppedAt struct {
 	set   holderSet
 	depth int
@@ -57,7 +57,7 @@
 			Upstream:    h.upstream,
 			Incarnation: h.incarnation,
 			Blocks:      step.depth,
-			Accuracy:    h.trust,
+			Accuracy:    h.accuracy,
 			Stale:       h.stale(),
 		})
 		return len(out) < limit
@@ -65,12 +65,12 @@
 	return out
 }
 
-// touchChain marks the blocks of the last match as used, the first last. A
-// block is worth nothing without those before it, so the beginning of a chain
-// must be evicted last.
-func (d *Directory) touchChain() {
+// markChainUsed marks the blocks of the last match as used, in reverse order. A block
+// is useless without those before it, so the first block of a chain must be evicted
+// last.
+func (d *Directory) markChainUsed() {
 	for i := len(d.chain) - 1; i >= 0; i-- {
-		d.blocks.touch(d.chain[i])
+		d.blocks.markUsed(d.chain[i])
 	}
 }
 
@@ -88,8 +88,8 @@
 	return out
 }
 
-// Fetchable returns how many blocks from position from on have a store copy
-// without a hole.
+// Fetchable returns the number of consecutive blocks from position from on that have
+// a store copy.
 func (d *Directory) Fetchable(blocks []BlockID, from int) int {
 	count := 0
 	for i := max(from, 0); i < len(blocks); i++ {
--- a/prefix/table.go
+++ b/prefix/table.go
@@ -24,7 +24,7 @@
 	return s
 }
 
-// each calls f for the members in order until it returns false.
+// each calls f for the members in ascending order until f returns false.
 func (s holderSet) each(f func(i int) bool) {
 	for word, rest := range s {
 		for rest != 0 {
@@ -37,25 +37,25 @@
 	}
 }
 
-// none is the index of no record.
-const none = ^uint32(0)
+// noRecord is the index that stands for no record.
+const noRecord = ^uint32(0)
 
-// record is what is known of one block. Records lie in one slice and are
-// linked by recency, so that a block costs no allocation of its own.
+// record is the state of one block. Records are elements of one slice and are linked
+// in the order of their last use, so that a block needs no allocation of its own.
 type record struct {
 	block        BlockID
 	holders      holderSet
 	newer, older uint32
 }
 
-// storedCopy is a committed slot of the holder with this index.
+// storedCopy is a committed slot of a store host; holder is its index.
 type storedCopy struct {
 	holder int
 	copy   Copy
 }
 
-// blockTable is a bounded map from block to holders that evicts the block
-// least recently used.
+// blockTable is a bounded map from block to holders that evicts the least recently
+// used block.
 type blockTable struct {
 	index   map[BlockID]uint32
 	records []record
@@ -63,16 +63,16 @@
 	newest  uint32
 	oldest  uint32
 	limit   int
-	// copies holds the store copies, apart from the records because most
-	// blocks have none.
+	// copies has the store copies by block. They are separate from the records because
+	// most blocks have none.
 	copies map[BlockID][]storedCopy
 }
 
 func newBlockTable(limit int) blockTable {
 	return blockTable{
 		index:  make(map[BlockID]uint32),
-		newest: none,
-		oldest: none,
+		newest: noRecord,
+		oldest: noRecord,
 		limit:  limit,
 		copies: make(map[BlockID][]storedCopy),
 	}
@@ -88,7 +88,7 @@
 	return &t.records[i]
 }
 
-// add records that holder has block and returns how many blocks were evicted.
+// add records that holder has block and returns the number of evicted blocks.
 func (t *blockTable) add(block BlockID, holder int, copied *Copy) int {
 	evicted := 0
 	i, ok := t.index[block]
@@ -103,7 +103,7 @@
 	if copied != nil {
 		t.addCopy(block, holder, *copied)
 	}
-	t.touch(i)
+	t.markUsed(i)
 	return evicted
 }
 
@@ -116,7 +116,7 @@
 		i = uint32(len(t.records))
 		t.records = append(t.records, record{})
 	}
-	t.records[i] = record{block: block, newer: none, older: none}
+	t.records[i] = record{block: block, newer: noRecord, older: noRecord}
 	t.index[block] = i
 	t.pushNewest(i)
 	return i
@@ -166,10 +166,10 @@
 	}
 }
 
-// clearHolder forgets all blocks of one holder. It walks the records, which
-// is rare (a restart, a snapshot) and needs no list for each holder.
+// clearHolder removes all blocks of a holder. It walks all records, which is rare (a
+// restart, a snapshot) and avoids a list of blocks for each holder.
 func (t *blockTable) clearHolder(holder int) {
-	for i := t.oldest; i != none; {
+	for i := t.oldest; i != noRecord; {
 		next := t.records[i].newer
 		if t.records[i].holders.has(holder) {
 			t.remove(t.records[i].block, holder)
@@ -186,7 +186,7 @@
 	t.free = append(t.free, i)
 }
 
-func (t *blockTable) touch(i uint32) {
+func (t *blockTable) markUsed(i uint32) {
 	if t.newest == i {
 		return
 	}
@@ -196,12 +196,12 @@
 
 func (t *blockTable) unlink(i uint32) {
 	r := &t.records[i]
-	if r.newer != none {
+	if r.newer != noRecord {
 		t.records[r.newer].older = r.older
 	} else {
 		t.newest = r.older
 	}
-	if r.older != none {
+	if r.older != noRecord {
 		t.records[r.older].newer = r.newer
 	} else {
 		t.oldest = r.newer
@@ -210,9 +210,9 @@
 
 func (t *blockTable) pushNewest(i uint32) {
 	r := &t.records[i]
-	r.newer = none
+	r.newer = noRecord
 	r.older = t.newest
-	if t.newest != none {
+	if t.newest != noRecord {
 		t.records[t.newest].newer = i
 	} else {
 		t.oldest = i
--- a/prefix/types.go
+++ b/prefix/types.go
@@ -6,22 +6,23 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Bounds of a directory.
+// Limits of a directory.
 const (
-	// MaxHolders is the most upstreams one directory follows: the runners and
-	// store hosts of one cell. It is the width of the holder set of a block.
+	// MaxHolders is the maximum number of upstreams that a directory follows: the
+	// runners and store hosts of one cell. It is the size of a block's holder set.
 	MaxHolders = 128
-	// MaxCopies is the most store copies of one block that are remembered.
+	// MaxCopies is the maximum number of store copies that are tracked for a block.
 	MaxCopies = 4
-	// DefaultMaxBlocks bounds the blocks of one directory.
+	// DefaultMaxBlocks is the maximum number of blocks in a directory.
 	DefaultMaxBlocks = 1 << 17
-	// DefaultMaxPending bounds the events kept beyond a gap for one holder.
+	// DefaultMaxPending is the maximum number of events after a gap that are kept for
+	// a holder.
 	DefaultMaxPending = 256
-	// DefaultMaxMatches is how many holders Longest returns at most.
+	// DefaultMaxMatches is the maximum number of holders that Longest returns.
 	DefaultMaxMatches = 8
 )
 
-// Options bounds a directory. Zero fields take the defaults above.
+// Options are the limits of a directory. Zero fields stand for the defaults above.
 type Options struct {
 	MaxBlocks  int
 	MaxPending int
@@ -41,7 +42,7 @@
 	return o
 }
 
-// Validate reports the first field out of range.
+// Validate returns an error for the first field that is out of range.
 func (o Options) Validate() error {
 	if o.MaxBlocks < 0 || o.MaxBlocks > 1<<28 {
 		return fmt.Errorf("max blocks: %d is not within 0 to %d", o.MaxBlocks, 1<<28)
@@ -55,21 +56,21 @@
 	return nil
 }
 
-// EventKind is what happened to a block at a holder.
+// EventKind is the kind of change of a block at a holder.
 type EventKind uint8
 
 // The kinds of event.
 const (
-	// Stored means that the holder now has the block; with a Copy it is a
-	// committed slot of a store host.
+	// Stored means that the holder has the block; with a Copy it is a committed
+	// slot of a store host.
 	Stored EventKind = iota + 1
 	// Removed means that the holder no longer has the block.
 	Removed
-	// Cleared means that the holder has no block at all any more.
+	// Cleared means that the holder no longer has any blocks.
 	Cleared
 )
 
-// Tier is the kind of storage in which a copy lies.
+// Tier is the kind of storage of a copy.
 type Tier uint8
 
 // The tiers of a store host, fastest first.
@@ -93,8 +94,8 @@
 	return "unknown"
 }
 
-// Copy describes one committed slot of a store host. A reader presents slot
-// and generation; the store refuses any other generation.
+// Copy describes a committed slot of a store host. A reader sends slot and
+// generation; the store refuses any other generation.
 type Copy struct {
 	Slot       string
 	Generation uint64
@@ -104,9 +105,9 @@
 	Tier     Tier
 }
 
-// Event is one change of a holder's blocks.
+// Event is a change of a holder's blocks.
 type Event struct {
-	// Sequence grows by one with each event of an incarnation, from one.
+	// Sequence is the number of the event within an incarnation, from one on.
 	Sequence uint64
 	Kind     EventKind
 	Block    BlockID
@@ -114,43 +115,43 @@
 	Copy *Copy
 }
 
-// Batch is a run of events of one holder. Batches may be late, repeated, out
-// of order or lost.
+// Batch is a list of events of one holder. Batches may be late, repeated, out of
+// order or lost.
 type Batch struct {
 	Upstream    ident.Upstream
 	Incarnation ident.Incarnation
 	Events      []Event
 }
 
-// HeldBlock is one entry of a snapshot.
+// HeldBlock is a block in a snapshot.
 type HeldBlock struct {
 	Block BlockID
 	Copy  *Copy
 }
 
-// Snapshot is everything a holder has at one point of its event sequence.
+// Snapshot lists all blocks of a holder at one point of its event sequence.
 type Snapshot struct {
 	Upstream    ident.Upstream
 	Incarnation ident.Incarnation
-	// Sequence is that of the last event the snapshot includes, zero if none.
+	// Sequence is the number of the last event that the snapshot includes, zero if none.
 	Sequence uint64
 	Blocks   []HeldBlock
 }
 
-// Match is one holder of a prompt's beginning.
+// Match is a holder of a prefix of a prompt.
 type Match struct {
 	Upstream    ident.Upstream
 	Incarnation ident.Incarnation
-	// Blocks is how many of the prompt's blocks, from the first, it holds.
+	// Blocks is the number of the prompt's blocks, from the first on, that it holds.
 	Blocks int
-	// Accuracy is how much of what it was thought to hold its answers in fact
-	// reused, 0 to 1, averaged over recent answers.
+	// Accuracy is the share of the blocks attributed to it that its answers actually
+	// reused, 0 to 1, as a moving average over recent answers.
 	Accuracy float64
-	// Stale means that events are missing and a snapshot is due.
+	// Stale means that events are missing and a snapshot is needed.
 	Stale bool
 }
 
-// StoredCopy is a copy together with the store host that has it.
+// StoredCopy is a copy with the store host that has it.
 type StoredCopy struct {
 	Store       ident.Upstream
 	Incarnation ident.Incarnation
@@ -158,17 +159,17 @@
 	Copy        Copy
 }
 
-// Answer is what a finished request told about its prompt's blocks.
+// Answer describes the use of a prompt's blocks by a completed request.
 type Answer struct {
 	Upstream    ident.Upstream
 	Incarnation ident.Incarnation
 	// Blocks are the full blocks of the prompt, in order.
 	Blocks []BlockID
-	// Claimed is how many of them the directory said were held when the
+	// Claimed is how many of them the directory attributed to the upstream when the
 	// request was sent, Reused how many the engine reused.
 	Claimed int
 	Reused  int
-	// Held is how many the engine is expected to hold now: all that it
-	// computed or reused, zero if it failed before the first token.
+	// Held is how many the engine is expected to hold after the request: all that
+	// it computed or reused, zero if it failed before the first token.
 	Held int
 }
