--- a/ident/ident.go
+++ b/ident/ident.go
@@ -1,7 +1,7 @@
-// Package ident names the things that lovagereach coordinates.
+// Package ident defines the identifiers of the objects that lovagereach coordinates.
 //
-// The types are distinct strings so that the compiler rejects a team where an
-// upstream is meant. They carry no behaviour beyond formatting and validation.
+// They are distinct string types so that the compiler rejects a team where an
+// upstream is required. They have no methods beyond formatting and validation.
 package ident
 
 import (
@@ -11,11 +11,11 @@
 	"io"
 )
 
-// Team is a paying or owning group of callers whose prompts stay apart from
-// those of every other team.
+// Team is a group of callers, as an owner or payer, whose prompts are isolated from
+// those of all other teams.
 type Team string
 
-// Class is a class of work with a target, for example "clock-questions".
+// Class is a class of requests with a latency target, for example "clock-questions".
 type Class string
 
 // Model is the name by which callers ask for a model.
@@ -24,28 +24,29 @@
 // Version is one weight version of a model.
 type Version string
 
-// Adapter is a fine-tuned variant loaded beside a model's weights. The empty
-// adapter is the model as it is.
+// Adapter is a fine-tuned variant loaded in addition to a model's weights. The empty
+// adapter stands for the model without an adapter.
 type Adapter string
 
-// Service is a plain service beside the model engines.
+// Service is a plain service, as opposed to a model engine.
 type Service string
 
-// Upstream is the identity an upstream announces: an engine's runner, a store
+// Upstream is the identity that an upstream announces: an engine's runner, a store
 // host or a replica of a plain service.
 type Upstream string
 
 // Host is a host that runs one of the system's own processes.
 type Host string
 
-// DataCentre is a place whose hosts fail together and are near one another.
+// DataCentre is a location whose hosts may fail together and have a low latency to
+// each other.
 type DataCentre string
 
 // Region is a set of data centres.
 type Region string
 
-// Cell is one model in one data centre, divided further when it has more
-// upstreams than one entry should follow.
+// Cell is a model in a data centre. It is divided into shards if it has more upstreams
+// than one entry should follow.
 type Cell struct {
 	Model      Model      `cbor:"1,keyasint"`
 	DataCentre DataCentre `cbor:"2,keyasint"`
@@ -57,9 +58,9 @@
 	return fmt.Sprintf("%s@%s/%d", c.Model, c.DataCentre, c.Shard)
 }
 
-// Incarnation distinguishes successive lives of one process or upstream. Those
-// of entries, as the control group assigns them, grow. Those of connections say
-// nothing of their order. Upstreams choose their own, which mostly grow.
+// Incarnation distinguishes successive runs of one process or upstream. The control
+// group assigns those of entries in increasing order. Those of connections have no
+// order. Upstreams choose their own, which usually increase.
 type Incarnation uint64
 
 // RequestSize is the length of a request identity in bytes.
@@ -71,7 +72,7 @@
 // ErrRequestID reports a request identity that is not 32 hexadecimal digits.
 var ErrRequestID = errors.New("request id is not 32 hexadecimal digits")
 
-// NewRequest draws a request identity from random.
+// NewRequest returns a request identity read from random.
 func NewRequest(random io.Reader) (Request, error) {
 	var id Request
 	if _, err := io.ReadFull(random, id[:]); err != nil {
@@ -80,7 +81,7 @@
 	return id, nil
 }
 
-// ParseRequest reads the form written by String.
+// ParseRequest parses the format of String.
 func ParseRequest(text string) (Request, error) {
 	var id Request
 	if len(text) != hex.EncodedLen(RequestSize) {
