--- a/outcome/kind.go
+++ b/outcome/kind.go
@@ -3,7 +3,7 @@
 import "errors"
 
 // KindOf classifies the error of an attempt. A nil error is KindDone. An
-// error of no type of this package is KindUnknown: without proof that nothing
+// error of a type outside this package is KindUnknown: without proof that nothing
 // was sent, a request may have run.
 func KindOf(err error) Kind {
 	if err == nil {
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,9 +1,9 @@
-// Package outcome says what became of a request, in terms a caller can act on.
+// Package outcome defines the outcomes of requests in terms that a caller can act on.
 //
-// The distinction that matters most is between a request that certainly did
-// not run and one that may have run. They are two types, NotRun and Unknown,
-// so that code cannot turn the one into the other by accident: a NotRun is
-// made only where no byte of the request can have reached an upstream.
+// The most important distinction is between a request that certainly did not run
+// and one that may have run. They are two types, NotRun and Unknown, so that code
+// cannot convert one into the other by accident: a NotRun is created only where no
+// byte of the request can have reached an upstream.
 package outcome
 
 import (
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// Kind is the class of an outcome as it stands on the wire.
+// Kind is the class of an outcome. Its values are part of the wire format.
 type Kind uint8
 
-// The kinds of outcome. The zero value is invalid so that a forgotten
-// assignment is noticed.
+// The kinds of outcome. The zero value is invalid so that a missing assignment is
+// detected.
 const (
 	KindInvalid Kind = iota
-	// KindDone means the upstream answered in full.
+	// KindDone means that the upstream answered completely.
 	KindDone
-	// KindFailed means the upstream ran the request and reported a failure.
+	// KindFailed means that the upstream ran the request and reported a failure.
 	KindFailed
-	// KindNotRun means no upstream has run the request nor will.
+	// KindNotRun means that no upstream has run the request or will run it.
 	KindNotRun
-	// KindUnknown means an upstream may have run the request.
+	// KindUnknown means that an upstream may have run the request.
 	KindUnknown
 )
 
@@ -44,7 +44,7 @@
 	return kindNames[KindInvalid]
 }
 
-// ParseKind reads the form written by String.
+// ParseKind parses the format of String.
 func ParseKind(text string) (Kind, bool) {
 	for kind, name := range kindNames {
 		if name == text && Kind(kind) != KindInvalid {
@@ -57,8 +57,8 @@
 // Reason is a stable, machine-readable cause, such as "team-limit".
 type Reason string
 
-// Reasons shared by several packages. A package may define more beside the
-// decision that gives them.
+// Reasons shared by several packages. A package may define more next to the decisions
+// that use them.
 const (
 	ReasonBadRequest       Reason = "bad-request"
 	ReasonUnauthorized     Reason = "unauthorized"
@@ -83,19 +83,19 @@
 	ReasonUpstreamError    Reason = "upstream-error"
 	ReasonLeavingUpstream  Reason = "upstream-leaving"
 	ReasonRetriesExhausted Reason = "retries-exhausted"
-	// ReasonCrashesUpstreams: earlier attempts of the same request ended the upstreams
-	// that ran them; nothing was sent now.
+	// ReasonCrashesUpstreams means that earlier attempts of the same request crashed the
+	// upstreams that ran them and that this attempt was not sent.
 	ReasonCrashesUpstreams Reason = "ends-upstreams"
 )
 
-// NotRun states that no byte of a request can have reached an upstream that
-// might run it. It is an error so that it travels through the usual returns.
+// NotRun states that no byte of a request can have reached an upstream that might
+// run it. It is an error so that functions return it as such.
 type NotRun struct {
 	Reason Reason
-	// Detail is a sentence for people; it holds no secret.
+	// Detail is an explanation for people; it contains no secrets.
 	Detail string
-	// RetryAfter tells the caller when to come back; zero means not at all
-	// or unknown.
+	// RetryAfter is the time after which the caller should retry; zero means that it
+	// should not retry or that the time is unknown.
 	RetryAfter time.Duration
 }
 
@@ -104,8 +104,8 @@
 	return fmt.Sprintf("not run (%s): %s", n.Reason, n.Detail)
 }
 
-// Unknown states that an upstream may have run a request and that no outcome
-// is known.
+// Unknown states that an upstream may have run a request and that the outcome is not
+// known.
 type Unknown struct {
 	Reason Reason
 	Detail string
@@ -120,7 +120,7 @@
 type Failed struct {
 	Reason Reason
 	Detail string
-	// Status is the upstream's HTTP status, zero if it gave none.
+	// Status is the upstream's HTTP status, zero if there is none.
 	Status int
 }
 
