--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -26,10 +26,9 @@
 	return Closing{Kind: kind, Upstream: "kwasi-1", Version: "v3", KeptPrompt: "b7", ReusedTokens: 7000, Decided: testNow}
 }
 
-// A clerk's mapping check is accepted and its answer never comes: the entry
-// host lost it. Nobody may find that out from a missing line in a report; the
-// request must be listed from the moment its deadline has passed, once in the
-// log and for as long as it is open in queries.
+// A request is accepted and the entry host loses it, so it never gets an outcome. It
+// must be listed as soon as its deadline has passed: once in the log, and in queries
+// for as long as it is open.
 func TestRequestsWithoutOutcomeAreListed(t *testing.T) {
 	table := NewTable(DefaultOptions())
 	for n := range byte(3) {
@@ -55,7 +54,7 @@
 		t.Errorf("%d requests newly overdue, want 2", len(got))
 	}
 	if got := table.NewlyOverdue(late); len(got) != 0 {
-		t.Errorf("%d requests reported again", len(got))
+		t.Errorf("%d requests reported twice", len(got))
 	}
 	if got := table.Query(late, Query{Open: true}).Records; len(got) != 2 || got[0].Opening.Request != (ident.Request{0}) {
 		t.Errorf("open requests: %+v", got)
@@ -66,9 +65,9 @@
 	}
 }
 
-// More requests come than the table has room for. The one beyond the bound is
-// refused before it runs, instead of being answered without a trace; closed
-// records drop out in the order of their closing and never grow in number.
+// More requests arrive than the table has capacity for. The one beyond the limit must
+// be refused before it runs, instead of being answered without a trace. The oldest
+// closed records are dropped, so that their number is bounded.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable(Options{MaxOpen: 2, MaxClosed: 3, SampleEvery: 4})
 	for n := range byte(2) {
@@ -77,7 +76,7 @@
 		}
 	}
 	if err := table.Open(opening(9, "", "")); !errors.Is(err, ErrFull) {
-		t.Errorf("opening beyond the bound: %v", err)
+		t.Errorf("opening beyond the limit: %v", err)
 	}
 	table.Close(ident.Request{0}, closing(outcome.KindDone))
 	table.Close(ident.Request{1}, closing(outcome.KindDone))
@@ -90,15 +89,15 @@
 		table.Close(o.Request, closing(outcome.KindDone))
 	}
 	if got := table.Query(testNow, Query{}).Records; len(got) != 3 {
-		t.Errorf("%d closed records are kept, want the ring of 3", len(got))
+		t.Errorf("%d closed records are retained, want 3", len(got))
 	}
 	if got := table.Query(testNow, Query{Limit: 2}); len(got.Records) != 2 || !got.More {
 		t.Errorf("limited query: %d records, more %v", len(got.Records), got.More)
 	}
 }
 
-// report runs one command from the entry host's next sequence number, on the
-// trace and on one restored from its snapshot, which must stay equal.
+// reporter executes commands on a trace and on a second trace restored from its
+// snapshot, and checks that both have equal results and states.
 type reporter struct {
 	t        *testing.T
 	trace    *Trace
@@ -118,18 +117,18 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	twin := NewTrace()
-	if err := twin.Restore(before); err != nil {
+	restored := NewTrace()
+	if err := restored.Restore(before); err != nil {
 		r.t.Fatal(err)
 	}
-	got, other := r.trace.Execute(c), twin.Execute(c)
+	got, other := r.trace.Execute(c), restored.Execute(c)
 	if fmt.Sprint(got) != fmt.Sprint(other) {
-		r.t.Fatalf("restored trace answered %+v, not %+v", other, got)
+		r.t.Fatalf("the restored trace returned %+v, the original %+v", other, got)
 	}
-	mine, _ := r.trace.Snapshot()
-	theirs, _ := twin.Snapshot()
-	if !bytes.Equal(mine, theirs) {
-		r.t.Fatal("restored trace differs after the same command")
+	state, _ := r.trace.Snapshot()
+	restoredState, _ := restored.Snapshot()
+	if !bytes.Equal(state, restoredState) {
+		r.t.Fatal("the restored trace differs from the original after the same command")
 	}
 	return got
 }
@@ -143,11 +142,10 @@
 	return found.Batches[0]
 }
 
-// A batch of mapping checks is complete only when every one has an outcome. One
-// is refused as not run and never sent again, one is never sent at all: the
-// batch must stay open, and be listed once its deadline has passed, until both
-// have been made up for.
-func TestBatchClosesOnlyWhenWhole(t *testing.T) {
+// One item of a batch is refused as not run and not resent, another is never sent. The
+// batch must stay open, and be listed as overdue after its deadline, until both items
+// are resolved.
+func TestBatchIsCompleteOnlyWhenAllItemsAreResolved(t *testing.T) {
 	r := &reporter{t: t, trace: NewTrace()}
 	late := testNow.Add(time.Hour)
 	declaration := Declaration{BatchID: BatchID{Team: "ledger", Batch: "night-1"}, Expected: 3, Deadline: testNow.Add(time.Minute)}
@@ -158,7 +156,7 @@
 	other := declaration
 	other.Expected = 4
 	if got := r.send(TraceCommand{Declare: []Declaration{declaration, other}}); len(got.Refused) != 1 {
-		t.Errorf("declared again in the same and in another way: %+v", got)
+		t.Errorf("repeated declaration and one with another count: %+v", got)
 	}
 	r.send(TraceCommand{
 		Open:  []Opening{opening(1, "night-1", "t1"), opening(2, "night-1", "t2")},
@@ -182,18 +180,18 @@
 		t.Errorf("status %+v", s)
 	}
 	if got := r.trace.Query(late, Query{Open: true}); len(got.Batches)+len(got.Records) != 0 {
-		t.Errorf("still listed: %+v", got)
+		t.Errorf("listed after completion: %+v", got)
 	}
 }
 
-// A report is resent after a lost answer, or a copy arrives after the request
-// was closed. Opening it a second time would list finished work as lost.
+// A report is resent after a lost answer, or a duplicate arrives after the request was
+// closed. Opening the request a second time would list a completed request as lost.
 func TestReportsAreAppliedOnce(t *testing.T) {
 	r := &reporter{t: t, trace: NewTrace()}
 	source := Source{Host: "e1", Incarnation: 2}
-	open := TraceCommand{Source: source, Sequence: 1, Open: []Opening{opening(1, "", "")}}
-	shut := TraceCommand{Source: source, Sequence: 2, Close: []TracedClosing{{Request: ident.Request{1}, Closing: closing(outcome.KindDone)}}}
-	stale := open
+	openReport := TraceCommand{Source: source, Sequence: 1, Open: []Opening{opening(1, "", "")}}
+	closeReport := TraceCommand{Source: source, Sequence: 2, Close: []TracedClosing{{Request: ident.Request{1}, Closing: closing(outcome.KindDone)}}}
+	stale := openReport
 	stale.Source.Incarnation, stale.Sequence = 1, 9
 	steps := []struct {
 		name    string
@@ -201,11 +199,11 @@
 		applied bool
 		open    int
 	}{
-		{"opened", open, true, 1},
-		{"resent at once", open, true, 1},
-		{"closed", shut, true, 0},
-		{"late copy", open, false, 0},
-		{"report of an earlier incarnation", stale, false, 0},
+		{"opened", openReport, true, 1},
+		{"resent immediately", openReport, true, 1},
+		{"closed", closeReport, true, 0},
+		{"late duplicate", openReport, false, 0},
+		{"report of a previous incarnation", stale, false, 0},
 	}
 	for _, s := range steps {
 		if got := r.apply(s.command); got.Applied != s.applied || r.trace.OpenCount() != s.open {
--- a/audit/batch.go
+++ b/audit/batch.go
@@ -9,59 +9,59 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// BatchID names a batch of one team.
+// BatchID identifies a batch of a team.
 type BatchID struct {
 	Team  ident.Team `cbor:"1,keyasint" json:"team"`
 	Batch string     `cbor:"2,keyasint" json:"batch"`
 }
 
-// Declaration announces a batch before or while its requests are sent.
+// Declaration declares a batch before or while its requests are sent.
 type Declaration struct {
 	BatchID
-	// Expected is how many different items the batch must have.
+	// Expected is the number of different items that the batch must have.
 	Expected int       `cbor:"3,keyasint" json:"expected"`
 	Deadline time.Time `cbor:"4,keyasint" json:"deadline"`
 }
 
-// BatchState is where a batch stands.
+// BatchState is the state of a batch.
 type BatchState string
 
 // The states of a batch.
 const (
 	BatchOpen     BatchState = "open"
 	BatchComplete BatchState = "complete"
-	// BatchOverdue: its deadline has passed and items are missing.
+	// BatchOverdue means that the deadline has passed and the batch is not complete.
 	BatchOverdue BatchState = "overdue"
 )
 
-// BatchStatus is the account of one batch.
+// BatchStatus is the status of a batch.
 type BatchStatus struct {
 	Declaration
 	State BatchState `cbor:"5,keyasint" json:"state"`
-	// Resolved counts items that are done or failed by the upstream; Open
-	// counts items accepted without an outcome; Unsettled counts items whose
-	// last outcome is not-run or unknown; Missing counts items never seen.
+	// Resolved counts the items that are done or failed by the upstream; Open
+	// counts the accepted items without an outcome; Unresolved counts the items whose
+	// last outcome is not-run or unknown; Missing counts the items never received.
 	Resolved   int `cbor:"6,keyasint" json:"settled"`
 	Open       int `cbor:"7,keyasint" json:"open"`
 	Unresolved int `cbor:"8,keyasint" json:"unsettled"`
 	Missing    int `cbor:"9,keyasint" json:"missing"`
 }
 
-// itemState is where one item of a batch stands.
+// itemState is the state of an item of a batch.
 type itemState uint8
 
 const (
 	itemOpen itemState = iota + 1
-	itemSettled
-	itemUnsettled
+	itemResolved
+	itemUnresolved
 )
 
 type batch struct {
 	declaration Declaration
 	items       map[string]itemState
-	// counts holds the number of items in each state, so that an account of a
-	// large batch costs no walk over it.
-	counts [itemUnsettled + 1]int
+	// counts has the number of items in each state, so that the status of a large
+	// batch is computed without a walk over its items.
+	counts [itemUnresolved + 1]int
 }
 
 func newBatch(d Declaration) *batch {
@@ -76,8 +76,8 @@
 	b.counts[state]++
 }
 
-// itemName is the name under which a request counts in its batch: a resent
-// item keeps its name, so it is counted once.
+// itemName returns the name by which a request counts in its batch. A resent item keeps
+// its name, so that it counts once.
 func itemName(o Opening) string {
 	if o.Item != "" {
 		return o.Item
@@ -85,7 +85,8 @@
 	return o.Request.String()
 }
 
-// declare registers a batch; declaring it again in the same way is harmless.
+// declare registers a batch and reports whether it succeeded. It is idempotent for
+// declarations with the same number of items.
 func (t *Trace) declare(d Declaration) bool {
 	if known, ok := t.batches[d.BatchID]; ok {
 		return known.declaration.Expected == d.Expected
@@ -97,10 +98,9 @@
 	return true
 }
 
-// batchOpened notes an accepted item. It reports false when the batch is not
-// declared or has no room: an item that isn't counted could be skipped
-// unnoticed.
-func (t *Trace) batchOpened(o Opening) bool {
+// openItem records an accepted item. It returns false if the batch is not declared or
+// is full: the loss of an item that isn't counted would not be detected.
+func (t *Trace) openItem(o Opening) bool {
 	b, known := t.batches[BatchID{Team: o.Team, Batch: o.Batch}]
 	if !known {
 		return false
@@ -110,46 +110,47 @@
 	if !seen && len(b.items) >= MaxBatchItems {
 		return false
 	}
-	if state != itemSettled {
+	if state != itemResolved {
 		b.set(name, itemOpen)
 	}
 	return true
 }
 
-func (t *Trace) batchClosed(r *Record) {
+// closeItem records the outcome of an item. A resolved item stays resolved.
+func (t *Trace) closeItem(r *Record) {
 	b, known := t.batches[BatchID{Team: r.Team, Batch: r.Batch}]
 	if !known {
 		return
 	}
 	name := itemName(r.Opening)
-	if b.items[name] == itemSettled {
+	if b.items[name] == itemResolved {
 		return
 	}
-	state := itemUnsettled
+	state := itemUnresolved
 	if r.Kind == outcome.KindDone || r.Kind == outcome.KindFailed {
-		state = itemSettled
+		state = itemResolved
 	}
 	b.set(name, state)
 }
 
-// dropOldBatches forgets complete batches some days after their deadline. One
-// that is not complete stays until it is.
+// dropOldBatches removes complete batches batchRetentionMillis after their deadline. An
+// incomplete batch is kept until it is complete.
 func (t *Trace) dropOldBatches() {
 	if len(t.batches) < MaxBatches/2 {
 		return
 	}
 	now := time.UnixMilli(t.now)
 	maps.DeleteFunc(t.batches, func(_ BatchID, b *batch) bool {
-		old := b.declaration.Deadline.UnixMilli()+batchKeptMillis < t.now
+		old := b.declaration.Deadline.UnixMilli()+batchRetentionMillis < t.now
 		return old && b.status(now).State == BatchComplete
 	})
 }
 
 func (b *batch) status(now time.Time) BatchStatus {
 	s := BatchStatus{Declaration: b.declaration, State: BatchOpen}
-	s.Resolved = b.counts[itemSettled]
+	s.Resolved = b.counts[itemResolved]
 	s.Open = b.counts[itemOpen]
-	s.Unresolved = b.counts[itemUnsettled]
+	s.Unresolved = b.counts[itemUnresolved]
 	s.Missing = max(0, s.Expected-len(b.items))
 	switch {
 	case s.Missing == 0 && s.Open == 0 && s.Unresolved == 0:
@@ -200,7 +201,7 @@
 func (img *batchImage) restore() *batch {
 	b := newBatch(img.Declaration)
 	for _, item := range img.Items {
-		if item.State >= itemOpen && item.State <= itemUnsettled {
+		if item.State >= itemOpen && item.State <= itemUnresolved {
 			b.set(item.Name, item.State)
 		}
 	}
--- a/audit/bench_test.go
+++ b/audit/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/lovagereach/lovagereach/retry"
 )
 
-// BenchmarkRepeatableRequest is all that audit and outcome tracking do for one
-// repeatable request of a sampled class, with 1,000 others in flight.
+// BenchmarkRepeatableRequest measures the audit and outcome tracking of a repeatable
+// request of a sampled class, with 1,000 other requests in flight.
 func BenchmarkRepeatableRequest(b *testing.B) {
 	const others = 1000
 	table := audit.NewTable(audit.DefaultOptions())
@@ -39,7 +39,7 @@
 		budgets.First(o.Team, o.Class)
 		attempt := tracker.Send(o.Request, "u1")
 		if !tracker.Match(o.Request, attempt, "u1") {
-			b.Fatal("own answer does not match")
+			b.Fatal("the request's own answer does not match")
 		}
 		err := retry.Classify(retry.Evidence{Wrote: true, Answered: true, Complete: true, Status: 200})
 		tracker.Finish(o.Request)
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkTraceSnapshot is the time during which a group with a full ring of
-// closed requests applies no command.
+// BenchmarkTraceSnapshot measures a snapshot with a full ring of closed requests. The
+// group applies no commands meanwhile.
 func BenchmarkTraceSnapshot(b *testing.B) {
 	trace := audit.NewTrace()
 	now := time.Now()
@@ -70,8 +70,8 @@
 	}
 }
 
-// BenchmarkTraceCommand is a report that opens 64 requests and closes 64, as it
-// is applied on each host of a group, with its encoding.
+// BenchmarkTraceCommand measures the encoding, decoding and application of a report
+// that opens 64 requests and closes 64, as on each host of a group.
 func BenchmarkTraceCommand(b *testing.B) {
 	const batch = 64
 	trace := audit.NewTrace()
--- a/audit/query.go
+++ b/audit/query.go
@@ -7,18 +7,18 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// MaxResults bounds the answer to one query.
+// MaxResults is the maximum number of records in the answer to a query.
 const MaxResults = 1000
 
-// Query selects records. Empty fields select all.
+// Query selects records. An empty field selects all records.
 type Query struct {
-	// Open selects only requests that are overdue: without an outcome after
-	// their deadline.
+	// Open selects only the overdue requests, those without an outcome after their
+	// deadline.
 	Open    bool           `cbor:"1,keyasint,omitempty" json:"open,omitempty"`
 	Team    ident.Team     `cbor:"2,keyasint,omitempty" json:"team,omitempty"`
 	Request *ident.Request `cbor:"3,keyasint,omitempty" json:"request,omitempty"`
 	Batch   string         `cbor:"4,keyasint,omitempty" json:"batch,omitempty"`
-	// Limit bounds the records; zero means MaxResults.
+	// Limit is the maximum number of records; zero means MaxResults.
 	Limit int `cbor:"5,keyasint,omitempty" json:"limit,omitempty"`
 }
 
@@ -43,15 +43,15 @@
 	return true
 }
 
-// Result is the answer to a query, the earliest deadline first.
+// Result is the answer to a query, ordered by deadline.
 type Result struct {
 	Records []Record `cbor:"1,keyasint" json:"records"`
-	// More tells that the limit cut the answer.
+	// More is set if records beyond the limit were left out.
 	More    bool          `cbor:"2,keyasint,omitempty" json:"more,omitempty"`
 	Batches []BatchStatus `cbor:"3,keyasint,omitempty" json:"batches,omitempty"`
 }
 
-// Query answers from the open requests and the kept closed ones.
+// Query returns the open requests and the retained closed ones that q selects.
 func (t *Table) Query(now time.Time, q Query) Result {
 	var found []Record
 	for _, entry := range t.open {
@@ -68,6 +68,7 @@
 	return cut(found, q.limit())
 }
 
+// cut sorts the records by deadline and truncates them to limit.
 func cut(found []Record, limit int) Result {
 	slices.SortFunc(found, func(a, b Record) int { return compareOpenings(a.Opening, b.Opening) })
 	if len(found) > limit {
@@ -76,7 +77,7 @@
 	return Result{Records: found}
 }
 
-// Merge joins the answers of two traces to one query.
+// Merge merges the answers of two traces to the query q.
 func Merge(a, b Result, q Query) Result {
 	merged := cut(append(slices.Clone(a.Records), b.Records...), q.limit())
 	merged.More = merged.More || a.More || b.More
--- a/audit/table.go
+++ b/audit/table.go
@@ -9,13 +9,14 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Options bound a Table.
+// Options are the limits of a Table.
 type Options struct {
-	// MaxOpen bounds the open requests.
+	// MaxOpen is the maximum number of open requests.
 	MaxOpen int
-	// MaxClosed is how many closed records are kept.
+	// MaxClosed is the number of closed records that are retained.
 	MaxClosed int
-	// SampleEvery keeps one of so many closed records of sampled classes.
+	// SampleEvery is the sampling interval: one in SampleEvery closed records of
+	// sampled classes is retained.
 	SampleEvery uint64
 }
 
@@ -24,14 +25,14 @@
 	return Options{MaxOpen: 1 << 16, MaxClosed: 1 << 14, SampleEvery: 16}
 }
 
-// ErrFull reports that too many requests are open. The request must be refused
-// as not run, since it could be lost unnoticed.
+// ErrFull reports that too many requests are open. The request must be refused as
+// not run, since its loss would not be detected.
 var ErrFull = errors.New("audit: too many open requests")
 
-// ErrDuplicate reports a request identity that is open already.
+// ErrDuplicate reports a request identity that is already open.
 var ErrDuplicate = errors.New("audit: request is open already")
 
-// Counts are totals since the table was made.
+// Counts are totals since the creation of the table.
 type Counts struct {
 	Opened  uint64
 	Closed  uint64
@@ -40,8 +41,7 @@
 	Unmatched uint64
 }
 
-// Table follows the requests of one entry host. It is not safe for concurrent
-// use.
+// Table tracks the requests of one entry host. It is not safe for concurrent use.
 type Table struct {
 	options Options
 	open    map[ident.Request]*openEntry
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Close gives an open request its outcome and returns its record. It reports
+// Close closes an open request with its outcome and returns its record. It returns
 // false for a request that is not open.
 func (t *Table) Close(request ident.Request, c Closing) (Record, bool) {
 	entry, known := t.open[request]
@@ -84,15 +84,16 @@
 	}
 	delete(t.open, request)
 	t.counts.Closed++
-	c.bound()
+	c.truncate()
 	record := Record{Opening: entry.Opening, Closing: c, Closed: true}
-	if t.keeps(entry.Mode) {
+	if t.retains(entry.Mode) {
 		t.keep(record)
 	}
 	return record, true
 }
 
-func (t *Table) keeps(mode Mode) bool {
+// retains reports whether the closed record of a request with this audit mode is retained.
+func (t *Table) retains(mode Mode) bool {
 	if mode == ModeFull {
 		return true
 	}
@@ -100,6 +101,7 @@
 	return t.options.SampleEvery <= 1 || t.sampled%t.options.SampleEvery == 0
 }
 
+// keep adds a record to the ring, in place of the oldest one if the ring is full.
 func (t *Table) keep(record Record) {
 	if t.options.MaxClosed <= 0 {
 		return
@@ -112,8 +114,8 @@
 	t.next = (t.next + 1) % t.options.MaxClosed
 }
 
-// NewlyOverdue returns the requests that became overdue since the last call,
-// each once, for the log.
+// NewlyOverdue returns the requests that became overdue since the last call, each
+// once, for the log.
 func (t *Table) NewlyOverdue(now time.Time) []Opening {
 	var overdue []Opening
 	for _, entry := range t.open {
--- a/audit/trace.go
+++ b/audit/trace.go
@@ -11,52 +11,52 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// Bounds of a Trace. They are the same on every host of a group.
+// Limits of a Trace. They must be equal on all hosts of a group, or their states diverge.
 const (
-	MaxTraceOpen     = 1 << 17
-	MaxTraceClosed   = 1 << 14
-	MaxBatches       = 1 << 12
-	MaxBatchItems    = 1 << 16
-	MaxItemLength    = 128
-	MaxTraceSources  = 1 << 14
-	batchKeptMillis  = 7 * 24 * 60 * 60 * 1000
-	overdueKeptLimit = 30 * 24 * time.Hour
+	MaxTraceOpen         = 1 << 17
+	MaxTraceClosed       = 1 << 14
+	MaxBatches           = 1 << 12
+	MaxBatchItems        = 1 << 16
+	MaxItemLength        = 128
+	MaxTraceSources      = 1 << 14
+	batchRetentionMillis = 7 * 24 * 60 * 60 * 1000
+	overdueRetention     = 30 * 24 * time.Hour
 )
 
-// Source is one incarnation of an entry host that reports to a trace.
+// Source is an incarnation of an entry host that reports to a trace.
 type Source struct {
 	Host        ident.Host        `cbor:"1,keyasint"`
 	Incarnation ident.Incarnation `cbor:"2,keyasint"`
 }
 
-// TracedClosing closes one traced request.
+// TracedClosing closes a traced request.
 type TracedClosing struct {
 	Request ident.Request `cbor:"1,keyasint"`
 	Closing Closing       `cbor:"2,keyasint"`
 }
 
-// TraceCommand is one entry of the log: what a source reports in one go.
+// TraceCommand is an entry of the replicated log: one report of a source.
 type TraceCommand struct {
 	NowMillis int64  `cbor:"1,keyasint"`
 	Source    Source `cbor:"2,keyasint"`
-	// Sequence grows by one with each report of a source. A report that
-	// arrives a second time, late, would open closed requests again.
+	// Sequence grows by one with each report of a source. Without it, a duplicate
+	// that arrives late would reopen closed requests.
 	Sequence uint64          `cbor:"3,keyasint"`
 	Open     []Opening       `cbor:"4,keyasint,omitempty"`
 	Close    []TracedClosing `cbor:"5,keyasint,omitempty"`
 	Declare  []Declaration   `cbor:"6,keyasint,omitempty"`
 }
 
-// Encode returns the command as it stands in the log.
+// Encode returns the command in the encoding of the log.
 func (c TraceCommand) Encode() []byte { return wire.MustMarshal(c) }
 
-// TraceResult answers a command.
+// TraceResult is the result of a command.
 type TraceResult struct {
-	// Applied is false for a report that a later one has overtaken, or that
-	// belongs to an earlier incarnation.
+	// Applied is false for a report that arrives after a later one, or that belongs to
+	// a previous incarnation.
 	Applied bool `cbor:"1,keyasint"`
-	// Full lists opened requests for which there was no room; they must be
-	// refused as not run.
+	// Full lists the requests that could not be opened because of a limit or an
+	// undeclared batch; they must be refused as not run.
 	Full []ident.Request `cbor:"2,keyasint,omitempty"`
 	// Refused lists the batches that can't be declared.
 	Refused []BatchID `cbor:"3,keyasint,omitempty"`
@@ -64,8 +64,8 @@
 	Unmatched int `cbor:"4,keyasint,omitempty"`
 }
 
-// Trace is the replicated account of fully audited requests and of batches. It
-// is deterministic and not safe for concurrent use.
+// Trace is the replicated record of fully audited requests and of batches. It is
+// deterministic and not safe for concurrent use.
 type Trace struct {
 	now     int64
 	open    map[ident.Request]Opening
@@ -78,7 +78,7 @@
 type sourceState struct {
 	incarnation ident.Incarnation
 	sequence    uint64
-	// last is the answer to the latest report, given again when it is resent.
+	// last is the result of the latest report, returned again if the report is resent.
 	last TraceResult
 }
 
@@ -91,11 +91,11 @@
 	}
 }
 
-// Execute runs one command.
+// Execute applies a command. A resent latest report returns its first result.
 func (t *Trace) Execute(c TraceCommand) TraceResult {
 	t.now = max(t.now, c.NowMillis)
 	t.dropOldBatches()
-	if state := t.sources[c.Source.Host]; state.repeats(c) {
+	if state := t.sources[c.Source.Host]; state.isRepeat(c) {
 		return state.last
 	}
 	if !t.admit(c.Source, c.Sequence) {
@@ -123,12 +123,13 @@
 	return result
 }
 
-// repeats tells whether a command is the latest report, resent.
-func (s sourceState) repeats(c TraceCommand) bool {
+// isRepeat reports whether c is the latest applied report, resent.
+func (s sourceState) isRepeat(c TraceCommand) bool {
 	return s.incarnation == c.Source.Incarnation && s.sequence == c.Sequence && s.last.Applied
 }
 
-// admit accepts each report of a source's latest incarnation once.
+// admit reports whether a report is to be applied: each report of a source's latest
+// incarnation is admitted once.
 func (t *Trace) admit(source Source, sequence uint64) bool {
 	state, known := t.sources[source.Host]
 	switch {
@@ -148,22 +149,22 @@
 		return true
 	}
 	if len(t.open) >= MaxTraceOpen {
-		t.dropAncient()
+		t.dropLongOverdue()
 	}
 	if len(t.open) >= MaxTraceOpen || len(o.Item) > MaxItemLength {
 		return false
 	}
-	if o.Batch != "" && !t.batchOpened(o) {
+	if o.Batch != "" && !t.openItem(o) {
 		return false
 	}
 	t.open[o.Request] = o
 	return true
 }
 
-// dropAncient makes room by dropping requests overdue for so long that nobody
-// can act on them any more.
-func (t *Trace) dropAncient() {
-	horizon := time.UnixMilli(t.now).Add(-overdueKeptLimit)
+// dropLongOverdue frees capacity by removing requests that are overdue for so long
+// that they can no longer be acted on.
+func (t *Trace) dropLongOverdue() {
+	horizon := time.UnixMilli(t.now).Add(-overdueRetention)
 	maps.DeleteFunc(t.open, func(_ ident.Request, o Opening) bool {
 		return o.Deadline.Before(horizon)
 	})
@@ -175,10 +176,10 @@
 		return false
 	}
 	delete(t.open, c.Request)
-	c.Closing.bound()
+	c.Closing.truncate()
 	record := Record{Opening: opening, Closing: c.Closing, Closed: true}
 	if opening.Batch != "" {
-		t.batchClosed(&record)
+		t.closeItem(&record)
 	}
 	if len(t.closed) < MaxTraceClosed {
 		t.closed = append(t.closed, record)
@@ -189,8 +190,8 @@
 	return true
 }
 
-// Query answers from the open and the kept closed requests, with the accounts
-// of the batches that the query selects.
+// Query returns the open and the retained closed requests that q selects, with the
+// status of the batches that it selects.
 func (t *Trace) Query(now time.Time, q Query) Result {
 	var found []Record
 	for _, opening := range t.open {
@@ -227,7 +228,7 @@
 	Last     TraceResult `cbor:"3,keyasint"`
 }
 
-// Snapshot returns the whole state, equal for equal states.
+// Snapshot returns the encoded state. Equal states have equal encodings.
 func (t *Trace) Snapshot() ([]byte, error) {
 	img := traceImage{Now: t.now, Closed: t.closed, Oldest: t.oldest}
 	img.Open = slices.SortedFunc(maps.Values(t.open), func(a, b Opening) int {
@@ -248,9 +249,9 @@
 	return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Batch, b.Batch))
 }
 
-var errTraceImage = errors.New("audit: the trace of a snapshot is damaged")
+var errTraceImage = errors.New("audit: the trace in the snapshot is corrupt")
 
-// Restore replaces the whole state.
+// Restore replaces the state by that of a snapshot.
 func (t *Trace) Restore(snapshot []byte) error {
 	var img traceImage
 	if err := wire.Unmarshal(snapshot, &img); err != nil {
