--- a/internal/audited/answer.go
+++ b/internal/audited/answer.go
@@ -10,15 +10,15 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// errLeft is the outcome of an answer that nobody waited for.
-var errLeft = &outcome.Unknown{Reason: outcome.ReasonCallerGone, Detail: "the caller left before the answer was whole"}
+// errCallerLeft is the outcome of an answer whose caller left before it was complete.
+var errCallerLeft = &outcome.Unknown{Reason: outcome.ReasonCallerGone, Detail: "the caller left before the answer was whole"}
 
-// auditedAnswer closes a prompt's account when its answer ends.
+// auditedAnswer closes a prompt's audit record when its answer ends.
 type auditedAnswer struct {
 	entry.Answer
 	service *Service
 	request ident.Request
-	ended   bool
+	closed  bool
 }
 
 // Next implements entry.Answer.
@@ -33,18 +33,18 @@
 // Close implements entry.Answer.
 func (a *auditedAnswer) Close() {
 	a.Answer.Close()
-	a.end(errLeft)
+	a.end(errCallerLeft)
 }
 
 func (a *auditedAnswer) end(err error) {
-	if a.ended {
+	if a.closed {
 		return
 	}
-	a.ended = true
+	a.closed = true
 	a.service.close(a.request, a.Provenance(), err)
 }
 
-// auditedBody closes a service call's account when its answer has been read.
+// auditedBody closes a service call's audit record when its body was read or closed.
 type auditedBody struct {
 	io.ReadCloser
 	once sync.Once
@@ -66,6 +66,6 @@
 // Close implements io.Closer.
 func (b *auditedBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.once.Do(func() { b.end(errLeft) })
+	b.once.Do(func() { b.end(errCallerLeft) })
 	return err
 }
--- a/internal/audited/batch.go
+++ b/internal/audited/batch.go
@@ -19,15 +19,15 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Headers by which a caller places a request in a declared batch. A resent item
-// keeps its name, so that it counts once.
+// Headers by which a caller assigns a request to a declared batch. A resent item keeps
+// its name, so that it counts once.
 const (
 	HeaderBatch = "Lovage-Batch"
 	HeaderItem  = "Lovage-Batch-Item"
 )
 
-// PathBatches is followed by a batch's name: PUT declares it, GET asks for its
-// account. Both concern the batches of the caller's team only.
+// PathBatches is the path prefix before a batch's name: PUT declares the batch, GET
+// returns its status. Both are limited to the batches of the caller's team.
 const PathBatches = "/v1/batches/"
 
 const (
@@ -35,26 +35,27 @@
 	maxBatchBody = 4 << 10
 )
 
-type placeKey struct{}
+type batchItemKey struct{}
 
-type place struct {
+// batchItem is the batch and item that a request names in its headers.
+type batchItem struct {
 	batch, item string
 }
 
-func placeOf(ctx context.Context) place {
-	p, _ := ctx.Value(placeKey{}).(place)
+func batchItemOf(ctx context.Context) batchItem {
+	p, _ := ctx.Value(batchItemKey{}).(batchItem)
 	return p
 }
 
-// Handler serves batches, and reads the batch headers of the requests that it
-// passes on to next.
+// Handler returns the handler for batches. It passes other requests to next, with
+// their batch headers in the context.
 func (s *Service) Handler(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+PathBatches+"{name}", s.declare)
-	mux.HandleFunc("GET "+PathBatches+"{name}", s.account)
+	mux.HandleFunc("GET "+PathBatches+"{name}", s.status)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		p := place{batch: r.Header.Get(HeaderBatch), item: r.Header.Get(HeaderItem)}
-		if p == (place{}) {
+		p := batchItem{batch: r.Header.Get(HeaderBatch), item: r.Header.Get(HeaderItem)}
+		if p == (batchItem{}) {
 			next.ServeHTTP(w, r)
 			return
 		}
@@ -62,13 +63,13 @@
 			refuse(w, r, badRequest("%s must name a batch, and it and %s must have at most %d bytes", HeaderBatch, HeaderItem, audit.MaxItemLength))
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), placeKey{}, p)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), batchItemKey{}, p)))
 	})
 	return mux
 }
 
-// declared is the body of a declaration.
-type declared struct {
+// declarationBody is the body of a declaration.
+type declarationBody struct {
 	Expected int       `json:"expected"`
 	Deadline time.Time `json:"deadline"`
 }
@@ -79,7 +80,7 @@
 		refuse(w, r, err)
 		return
 	}
-	body, err := readDeclared(w, r)
+	body, err := readDeclaration(w, r)
 	if err != nil {
 		refuse(w, r, badRequest("the body can't be read: %v", err))
 		return
@@ -92,15 +93,15 @@
 	defer cancel()
 	d := audit.Declaration{BatchID: id, Expected: body.Expected, Deadline: body.Deadline}
 	if err := s.options.Batches.Declare(ctx, d); err != nil {
-		// Declaring it again is harmless, so the caller just does.
+		// Declarations are idempotent, so the caller can retry.
 		refuse(w, r, &outcome.Unknown{Reason: outcome.ReasonLedgerDown, Detail: err.Error()})
 		return
 	}
 	answer(w, http.StatusOK, d)
 }
 
-func readDeclared(w http.ResponseWriter, r *http.Request) (declared, error) {
-	var body declared
+func readDeclaration(w http.ResponseWriter, r *http.Request) (declarationBody, error) {
+	var body declarationBody
 	data, err := httpbound.ReadBody(w, r, maxBatchBody)
 	if err != nil {
 		return body, err
@@ -108,7 +109,7 @@
 	return body, httpbound.DecodeJSON(data, &body, false)
 }
 
-func (s *Service) account(w http.ResponseWriter, r *http.Request) {
+func (s *Service) status(w http.ResponseWriter, r *http.Request) {
 	id, err := s.batchOf(r)
 	if err != nil {
 		refuse(w, r, err)
@@ -128,7 +129,7 @@
 	answer(w, http.StatusOK, found.Batches[0])
 }
 
-// batchOf names the batch of a request by its team and path.
+// batchOf returns the batch of a request by the caller's team and the path.
 func (s *Service) batchOf(r *http.Request) (audit.BatchID, error) {
 	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || token == "" {
@@ -151,12 +152,12 @@
 	return &outcome.NotRun{Reason: outcome.ReasonBadRequest, Detail: fmt.Sprintf(format, args...)}
 }
 
-// refuse answers with an error in the shape of the callers' listener.
+// refuse answers with an error in the format of the callers' listener.
 func refuse(w http.ResponseWriter, r *http.Request, err error) {
 	status := 0
 	var unknown *outcome.Unknown
 	if errors.As(err, &unknown) {
-		// Only the trace was out of reach, and asking it again is harmless.
+		// Only the trace was unreachable, and requests to it are idempotent.
 		status = http.StatusServiceUnavailable
 	}
 	callers.WriteError(w, r, status, err)
@@ -165,6 +166,6 @@
 func answer(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the caller has gone.
+	// A write error means that the caller has gone.
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/internal/audited/service.go
+++ b/internal/audited/service.go
@@ -1,6 +1,6 @@
-// Package audited puts the audit around an entry: every request that names a
-// known class is opened before the entry sees it and closed with its outcome,
-// whichever way it ends.
+// Package audited wraps an entry with the audit: every request that names a known
+// class is opened before the entry receives it and closed with its outcome, however it
+// ends.
 package audited
 
 import (
@@ -16,49 +16,49 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// grace is how long after its deadline a request may stay open before it counts
-// as lost: a stream that began in time may go on for a while.
+// grace is how long after its deadline a request may stay open before it counts as
+// lost: a stream that began in time may continue after the deadline.
 const grace = 30 * time.Second
 
-// defaultDeadline holds for classes that state none.
+// defaultDeadline is the deadline of classes that set none.
 const defaultDeadline = 10 * time.Minute
 
-// Auditor keeps the account; *ledger.Auditor is one.
+// Auditor records openings and closings of requests. *ledger.Auditor implements it.
 type Auditor interface {
 	Open(ctx context.Context, o audit.Opening) error
 	Close(request ident.Request, c audit.Closing)
 }
 
-// Batches keeps the account of declared batches.
+// Batches records declared batches and answers queries about them.
 type Batches interface {
 	Declare(ctx context.Context, d audit.Declaration) error
 	Audit(ctx context.Context, q audit.Query) (audit.Result, error)
 }
 
-// Options of a Service. All but MayServe and Team are required.
+// Options are the options of a Service. All but MayServe and Team are required.
 type Options struct {
-	// Entry does the work.
+	// Entry serves the requests.
 	Entry   entry.Service
 	Auditor Auditor
 	Batches Batches
 	Host    ident.Host
-	// MayServe says why new requests are refused, nil if they are not. Without
-	// it every request is entered.
+	// MayServe returns the reason for refusing new requests, nil if they are accepted.
+	// Without it every request is opened.
 	MayServe func() error
 	// Snapshot returns the configuration in force.
 	Snapshot func() *config.Snapshot
 	Now      func() time.Time
-	// Team names the team of a caller; nil means entry.Caller.Team.
+	// Team returns the team of a caller; nil means entry.Caller.Team.
 	Team func(entry.Caller) ident.Team
 }
 
-// Service is an entry with its audit.
+// Service is an entry with the audit of its requests.
 type Service struct {
 	entry.Service
 	options Options
 }
 
-// New returns the entry with its audit around it.
+// New returns the entry wrapped with the audit.
 func New(options Options) *Service {
 	if options.Team == nil {
 		options.Team = entry.Caller.Team
@@ -77,7 +77,7 @@
 	}
 	answer, err := s.Service.Prompt(ctx, prompt)
 	if err != nil {
-		return nil, s.refused(prompt.Request, err)
+		return nil, s.closeRefused(prompt.Request, err)
 	}
 	return &auditedAnswer{Answer: answer, service: s, request: prompt.Request}, nil
 }
@@ -97,15 +97,16 @@
 	}
 	answer, err := s.Service.Call(ctx, call)
 	if err != nil {
-		return answer, s.refused(call.Request, err)
+		return answer, s.closeRefused(call.Request, err)
 	}
 	answer.Body = &auditedBody{ReadCloser: answer.Body, end: func(err error) { s.close(call.Request, answer.Provenance, err) }}
 	return answer, nil
 }
 
-// open enters a request. An entry cut off from the control hosts can't reach the
-// trace either: its callers would wait for the trace's timeout only to be
-// refused, when they should use another entry at once.
+// open opens a request in the audit. An entry that is partitioned from the control
+// hosts can't reach the trace either, so MayServe is checked first: otherwise callers
+// would wait for the trace's timeout to be refused, instead of using another entry
+// immediately.
 func (s *Service) open(ctx context.Context, o audit.Opening) error {
 	if s.options.MayServe != nil {
 		if err := s.options.MayServe(); err != nil {
@@ -115,10 +116,10 @@
 	return s.options.Auditor.Open(ctx, o)
 }
 
-// refused closes the account of a request that brought no answer. A refusal for
-// the deadline names the time at which it was decided: the caller must see how
-// much of its own time is left.
-func (s *Service) refused(request ident.Request, err error) error {
+// closeRefused closes the audit record of a request that got no answer and returns the
+// error for the caller. A refusal because of the deadline includes the time at which it
+// was decided, so that the caller can compute its remaining time.
+func (s *Service) closeRefused(request ident.Request, err error) error {
 	s.close(request, entry.Provenance{}, err)
 	var notRun *outcome.NotRun
 	if !errors.As(err, &notRun) || notRun.Reason != outcome.ReasonDeadline {
@@ -129,8 +130,8 @@
 	return &dated
 }
 
-// class finds the class as the entry does; a request without one is refused
-// there.
+// class returns the class of a request by the same rule as the entry, which refuses
+// requests without a class.
 func (s *Service) class(caller entry.Caller, asked ident.Class, kind config.ClassKind) (*config.Class, bool) {
 	snapshot := s.options.Snapshot()
 	if asked != "" {
@@ -162,10 +163,10 @@
 	if class.Audit == config.AuditFull {
 		mode = audit.ModeFull
 	}
-	place := placeOf(ctx)
+	b := batchItemOf(ctx)
 	return audit.Opening{
 		Request: request, Team: s.team(caller), Class: class.Name, Entry: s.options.Host,
-		Accepted: now, Deadline: now.Add(wait + grace), Mode: mode, Batch: place.batch, Item: place.item,
+		Accepted: now, Deadline: now.Add(wait + grace), Mode: mode, Batch: b.batch, Item: b.item,
 	}
 }
 
@@ -185,7 +186,7 @@
 	}
 }
 
-// close gives a request its outcome: done, or what err says.
+// close closes a request with its outcome: done, or that of err.
 func (s *Service) close(request ident.Request, from entry.Provenance, err error) {
 	c := audit.Closing{
 		Kind:         outcome.KindOf(err),
--- a/internal/audited/service_test.go
+++ b/internal/audited/service_test.go
@@ -19,7 +19,7 @@
 
 var testNow = time.Unix(1_764_700_000, 0)
 
-// fakeEntry answers prompts with tokens or an error, and calls with a body.
+// fakeEntry answers prompts with tokens or an error, and service calls with a body.
 type fakeEntry struct {
 	entry.Service
 	err    error
@@ -60,16 +60,16 @@
 
 func (a *fakeAnswer) Close() {}
 
-// fakeAuditor writes down what it is told.
+// fakeAuditor records the openings and closings that it receives.
 type fakeAuditor struct {
-	full   error
-	opened []audit.Opening
-	closed []audit.Closing
+	openErr error
+	opened  []audit.Opening
+	closed  []audit.Closing
 }
 
 func (f *fakeAuditor) Open(_ context.Context, o audit.Opening) error {
 	f.opened = append(f.opened, o)
-	return f.full
+	return f.openErr
 }
 
 func (f *fakeAuditor) Close(_ ident.Request, c audit.Closing) { f.closed = append(f.closed, c) }
@@ -91,49 +91,49 @@
 	return snapshot
 }
 
-// Whichever way a request ends, its account must be closed exactly once, with
-// the outcome that its caller saw; a request that can't be accounted for must
-// not reach the entry.
-func TestEveryEndIsAccountedFor(t *testing.T) {
+// A request may end in several ways. Its audit record must be closed exactly once, with
+// the outcome that the caller got. A request that can't be opened in the audit must not
+// reach the entry.
+func TestEveryOutcomeIsClosedOnce(t *testing.T) {
 	notRun := &outcome.NotRun{Reason: outcome.ReasonOverloaded}
 	late := &outcome.NotRun{Reason: outcome.ReasonDeadline, Detail: "too late"}
 	lost := &outcome.Unknown{Reason: outcome.ReasonStreamBroken}
 	done := []entry.Token{{Text: "a"}, {Index: 1, Done: true}}
 	cases := []struct {
-		name   string
-		entry  fakeEntry
-		full   error
-		left   bool
-		closed outcome.Kind
-		reason outcome.Reason
+		name    string
+		entry   fakeEntry
+		openErr error
+		leave   bool
+		closed  outcome.Kind
+		reason  outcome.Reason
 	}{
-		{name: "whole", entry: fakeEntry{tokens: done}, closed: outcome.KindDone},
+		{name: "complete", entry: fakeEntry{tokens: done}, closed: outcome.KindDone},
 		{name: "refused", entry: fakeEntry{err: notRun}, closed: outcome.KindNotRun, reason: outcome.ReasonOverloaded},
 		{name: "late", entry: fakeEntry{err: late}, closed: outcome.KindNotRun, reason: outcome.ReasonDeadline},
 		{name: "broken", entry: fakeEntry{broken: lost}, closed: outcome.KindUnknown, reason: outcome.ReasonStreamBroken},
-		{name: "caller left", entry: fakeEntry{tokens: done}, left: true, closed: outcome.KindUnknown, reason: outcome.ReasonCallerGone},
-		{name: "no account", full: notRun},
+		{name: "caller left", entry: fakeEntry{tokens: done}, leave: true, closed: outcome.KindUnknown, reason: outcome.ReasonCallerGone},
+		{name: "not opened", openErr: notRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for _, kind := range []string{"prompt", "call"} {
-				auditor, fake := &fakeAuditor{full: c.full}, c.entry
+				auditor, fake := &fakeAuditor{openErr: c.openErr}, c.entry
 				s := New(Options{
 					Entry: &fake, Auditor: auditor, Host: "e1", Now: func() time.Time { return testNow },
 					Snapshot: func() *config.Snapshot { return testSnapshot(t) },
 					Team:     func(entry.Caller) ident.Team { return "ledger" },
 				})
-				err := use(s, kind, c.left)
-				if c.full != nil && !errors.Is(err, c.full) {
+				err := runRequest(s, kind, c.leave)
+				if c.openErr != nil && !errors.Is(err, c.openErr) {
 					t.Errorf("%s: error %v", kind, err)
 				}
 				if decided := "decided at " + testNow.UTC().Format(time.RFC3339Nano); c.reason == outcome.ReasonDeadline && !strings.Contains(err.Error(), decided) {
-					t.Errorf("%s: the refusal does not name its time: %v", kind, err)
+					t.Errorf("%s: the refusal lacks its time: %v", kind, err)
 				}
 				if len(auditor.opened) != 1 {
 					t.Fatalf("%s: opened %d times", kind, len(auditor.opened))
 				}
-				if c.full != nil {
+				if c.openErr != nil {
 					continue
 				}
 				if len(auditor.closed) != 1 || auditor.closed[0].Kind != c.closed || auditor.closed[0].Reason != c.reason {
@@ -148,35 +148,36 @@
 	}
 }
 
-// An entry is cut off from the control hosts and its lease has lapsed. Callers
-// must hear at once that it does not serve; to enter their requests in a trace
-// that is out of reach would keep them waiting for seconds.
-func TestNothingIsEnteredWithoutALease(t *testing.T) {
-	lapsed := &outcome.NotRun{Reason: outcome.ReasonNoServingLease}
+// An entry is partitioned from the control hosts and its serving lease has expired.
+// Callers must be refused immediately; opening their requests in an unreachable trace
+// would delay the refusal by seconds.
+func TestNoOpeningWithoutServingLease(t *testing.T) {
+	expired := &outcome.NotRun{Reason: outcome.ReasonNoServingLease}
 	for _, kind := range []string{"prompt", "call"} {
 		auditor := &fakeAuditor{}
 		s := New(Options{
 			Entry: &fakeEntry{}, Auditor: auditor, Now: func() time.Time { return testNow },
-			MayServe: func() error { return lapsed },
+			MayServe: func() error { return expired },
 			Snapshot: func() *config.Snapshot { return testSnapshot(t) },
 			Team:     func(entry.Caller) ident.Team { return "ledger" },
 		})
-		if err := use(s, kind, false); !errors.Is(err, lapsed) || len(auditor.opened) != 0 {
+		if err := runRequest(s, kind, false); !errors.Is(err, expired) || len(auditor.opened) != 0 {
 			t.Errorf("%s: %v, opened %d times", kind, err, len(auditor.opened))
 		}
 	}
 }
 
-// use runs one request to its end, or leaves after the first piece.
-func use(s *Service, kind string, left bool) error {
-	ctx := context.WithValue(context.Background(), placeKey{}, place{batch: "night-1"})
+// runRequest runs a request and reads its answer, only the first part of it if leave
+// is set.
+func runRequest(s *Service, kind string, leave bool) error {
+	ctx := context.WithValue(context.Background(), batchItemKey{}, batchItem{batch: "night-1"})
 	if kind == "call" {
 		answer, err := s.Call(ctx, entry.ServiceCall{Service: "dwene"})
 		if err != nil {
 			return err
 		}
 		defer answer.Body.Close()
-		if !left {
+		if !leave {
 			_, err = io.Copy(io.Discard, answer.Body)
 		}
 		return err
@@ -188,13 +189,13 @@
 	defer answer.Close()
 	for {
 		token, err := answer.Next()
-		if err != nil || token.Done || left {
+		if err != nil || token.Done || leave {
 			return err
 		}
 	}
 }
 
-// fakeBatches answers with one batch, or an error.
+// fakeBatches returns one batch or an error.
 type fakeBatches struct {
 	err      error
 	declared audit.Declaration
@@ -221,9 +222,9 @@
 	return entry.Caller{}, nil
 }
 
-// Callers declare batches and place requests in them, some wrongly. A declaration
-// that is malformed, too large, unauthorized or not committed is refused with a
-// status that says which; one taken by mistake would be missed as incomplete.
+// Callers declare batches and assign requests to them, some incorrectly. A declaration
+// that is malformed, too large, unauthorized or not committed must be refused with the
+// corresponding status; accepted by mistake, it would be reported as incomplete.
 func TestHandler(t *testing.T) {
 	const good = `{"expected":3,"deadline":"2026-01-01T00:00:00Z"}`
 	down := errors.New("down")
@@ -258,8 +259,8 @@
 			Entry: &fakeEntry{}, Batches: batches, Now: func() time.Time { return testNow },
 			Team: func(entry.Caller) ident.Team { return "ledger" },
 		})
-		var got place
-		handler := s.Handler(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got = placeOf(r.Context()) }))
+		var got batchItem
+		handler := s.Handler(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got = batchItemOf(r.Context()) }))
 		r := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
 		for name, value := range c.header {
 			r.Header.Set(name, value)
@@ -270,10 +271,10 @@
 			t.Errorf("%s %s %v: status %d (%s), want %d", c.method, c.path, c.header, w.Code, w.Body, c.status)
 		}
 		if shape := `"type":"`; w.Code != http.StatusOK && (!strings.Contains(w.Body.String(), shape) || w.Header().Get("Lovage-Request-Id") == "") {
-			t.Errorf("%s %s: %s is not in the usual shape", c.method, c.path, w.Body)
+			t.Errorf("%s %s: error %s lacks the type or the request ID", c.method, c.path, w.Body)
 		}
-		if want := (place{c.header[HeaderBatch], c.header[HeaderItem]}); w.Code == http.StatusOK && got != want {
-			t.Errorf("%s %s: place %+v, want %+v", c.method, c.path, got, want)
+		if want := (batchItem{c.header[HeaderBatch], c.header[HeaderItem]}); w.Code == http.StatusOK && got != want {
+			t.Errorf("%s %s: batch item %+v, want %+v", c.method, c.path, got, want)
 		}
 		if team := batches.declared.Team + batches.asked.Team; team != "" && team != "ledger" {
 			t.Errorf("%s %s: team %q", c.method, c.path, team)
--- a/internal/audited/stack.go
+++ b/internal/audited/stack.go
@@ -16,22 +16,22 @@
 	"github.com/lovagereach/lovagereach/internal/ledger"
 )
 
-// Stack is the whole audit of one entry host.
+// Stack has all parts of the audit on an entry host.
 type Stack struct {
-	// Service stands between the callers' listener and the entry.
+	// Service is called by the callers' listener and calls the entry.
 	*Service
 	auditor *ledger.Auditor
 	tracer  *ledger.Tracer
 }
 
-// Entry is what the audit stands before.
+// Entry is the entry that the audit wraps.
 type Entry interface {
 	entry.Service
-	// MayServe says why new requests are refused, nil if they are not.
+	// MayServe returns the reason for refusing new requests, nil if they are accepted.
 	MayServe() error
 }
 
-// NewStack puts the audit around an entry. ledgerClient reaches the trace.
+// NewStack wraps an entry with the audit. ledgerClient is the client of the trace.
 func NewStack(service Entry, ledgerClient *ledger.Client, host ident.Host, snapshot func() *config.Snapshot, logger *log.Logger) *Stack {
 	tracer := ledger.NewTracer(ledgerClient)
 	auditor := ledger.NewAuditor(audit.DefaultOptions(), tracer, time.Now, logger)
@@ -45,7 +45,7 @@
 	}
 }
 
-// Run reports to the trace and looks for lost requests until ctx ends.
+// Run reports to the trace and detects lost requests until ctx is done.
 func (s *Stack) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { s.tracer.Run(ctx) })
@@ -53,17 +53,17 @@
 	running.Wait()
 }
 
-// Drain reports what is still to be reported, for a graceful shutdown, after the
+// Drain sends the pending reports, for a graceful shutdown. It must be called after the
 // last request has ended and while Run is running.
 func (s *Stack) Drain(ctx context.Context) { s.tracer.Drain(ctx) }
 
-// Queries answers operators from this entry host's own table.
+// Queries returns the handler for operators' queries about this entry host's own table.
 func (s *Stack) Queries() http.Handler { return auditapi.New(s.auditor) }
 
-// Counts returns the totals for dumps.
+// Counts returns the totals for state dumps.
 func (s *Stack) Counts() audit.Counts { return s.auditor.Counts() }
 
-// batches reaches the replicated account of batches.
+// batches implements Batches by the replicated trace.
 type batches struct {
 	tracer *ledger.Tracer
 	client *ledger.Client
