--- a/internal/port/porttest/engine_test.go
+++ b/internal/port/porttest/engine_test.go
@@ -60,12 +60,12 @@
 				first, second := prompt(1), prompt(2)
 				text, _, err := collect(callContext(t, p.engineFaults, c.fault), p.engine, first)
 				wantKind(t, err, c.stream)
-				want := standin.ExpectedAnswer(first.Tokens, first.Seed, first.MaxTokens)
-				if err == nil && text != want {
-					t.Errorf("answer %q, want %q", text, want)
+				complete := standin.ExpectedAnswer(first.Tokens, first.Seed, first.MaxTokens)
+				if err == nil && text != complete {
+					t.Errorf("answer %q, want %q", text, complete)
 				}
-				if !strings.HasPrefix(want, text) {
-					t.Errorf("answer %q is not a prefix of %q", text, want)
+				if !strings.HasPrefix(complete, text) {
+					t.Errorf("answer %q is not a prefix of %q", text, complete)
 				}
 				text, _, err = collect(plainContext(t), p.engine, second)
 				wantKind(t, err, outcome.KindDone)
