--- a/internal/entry/address.go
+++ b/internal/entry/address.go
@@ -12,10 +12,11 @@
 
 // Address implements Service.
 //
-// A caller is given the same entry each time it asks, whichever entry it asks,
-// as long as the entries stay the same: rendezvous hashing of team and caller
-// over the entries. So callers that all know the same one entry spread over
-// all, and one that left or may not serve is in no answer.
+// The answer is the same at every entry and does not change while the set of
+// entries stays the same: it is chosen by rendezvous hashing of team and caller
+// over the entries. Callers that are all configured with the same entry are
+// thereby spread over all entries. Entries that have left or have no serving
+// lease are never named.
 func (e *Entry) Address(caller Caller, from string) (AddressAnswer, error) {
 	now := time.Now()
 	peers := e.usable(now)
@@ -33,13 +34,13 @@
 			answer.Alternates = append(answer.Alternates, peer.Callers)
 		}
 	}
-	if e.named(answer) {
-		e.drain.keep(now.Add(answer.Keep))
+	if e.includesSelf(answer) {
+		e.drain.extendKeptUntil(now.Add(answer.Keep))
 	}
 	return answer, nil
 }
 
-// usable lists the entries that callers may be sent to.
+// usable lists the entries that callers may be directed to.
 func (e *Entry) usable(now time.Time) []Peer {
 	self := Peer{Host: e.options.Host, DataCentre: e.options.DataCentre, Callers: e.options.Callers}
 	var peers []Peer
@@ -54,7 +55,7 @@
 	return peers
 }
 
-// preferred returns the place in peers of the entry that a caller should use.
+// preferred returns the index in peers of the entry that a caller should use.
 func (e *Entry) preferred(caller Caller, from string, peers []Peer) int {
 	key := xxhash.Sum64String(string(caller.Team()) + "\x00" + from)
 	e.mu.Lock()
@@ -66,15 +67,16 @@
 	return max(0, slices.IndexFunc(peers, func(peer Peer) bool { return peer.Host == home }))
 }
 
-// named tells whether an answer names this entry.
-func (e *Entry) named(answer AddressAnswer) bool {
+// includesSelf reports whether an answer names this entry.
+func (e *Entry) includesSelf(answer AddressAnswer) bool {
 	return answer.Address == e.options.Callers || slices.Contains(answer.Alternates, e.options.Callers)
 }
 
-// maxAlternates bounds the other entries named in one answer.
+// maxAlternates is the maximum number of other entries in one answer.
 const maxAlternates = 8
 
-// listAlternates names the other entries, for the text of a refusal.
+// listAlternates returns the addresses of other entries as a suffix for the
+// detail of a refusal, empty if there are none.
 func (e *Entry) listAlternates() string {
 	var names []string
 	for _, peer := range e.options.Control.Entries() {
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -11,33 +11,35 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// poolKey names what requests compete for: a model or a service.
+// poolKey identifies a pool by its model or service; one of the two is set.
 type poolKey struct {
 	model   ident.Model
 	service ident.Service
 }
 
-// pool is the admission to one model or service. The entry's mutex guards it.
+// pool is the admission control of one model or service. The entry's mutex
+// guards it.
 type pool struct {
 	entry      *Entry
 	controller *admit.Controller
-	// slots is how many the upstreams had when the pool began.
+	// slots is the number of upstream slots when the pool was created.
 	slots int
-	// revision is the configuration whose shares the controller has.
+	// revision is the configuration revision whose shares were given to the
+	// controller.
 	revision config.Revision
 	waiting  map[ident.Request]chan admission
 	timer    *time.Timer
 }
 
-// admission is the end of a wait.
+// admission is the result of waiting in a pool: a grant or a refusal.
 type admission struct {
 	grant   admit.Grant
 	refused *outcome.NotRun
 }
 
-// poolOf returns the pool of a configured model or service. The caller holds
-// the mutex. A pool that was outgrown makes way for a new one; its own requests
-// wait and run on in it.
+// poolOf returns the pool of a configured model or service, creating it if
+// needed. An outgrown pool is replaced by a new one; requests already in the
+// old pool wait and run on in it. The caller holds the mutex.
 func (e *Entry) poolOf(key poolKey, snapshot *config.Snapshot) (*pool, error) {
 	p, slots := e.pools[key], e.slots[key]
 	if p == nil && len(e.pools) >= maxPools {
@@ -50,9 +52,9 @@
 	if snapshot.Revision() > p.revision {
 		p.revision = snapshot.Revision()
 		if err := p.controller.SetShares(e.sharesOf(snapshot)); err != nil {
-			// The configuration is validated before it is committed; shares
-			// that do not fit leave the former ones in force.
-			e.options.Log.Error("shares refused", "revision", uint64(snapshot.Revision()), "err", err)
+			// A configuration is validated before it is committed. If its
+			// shares are refused nevertheless, the previous ones stay in force.
+			e.options.Log.Error("shares rejected", "revision", uint64(snapshot.Revision()), "err", err)
 		}
 	}
 	return p, nil
@@ -73,22 +75,22 @@
 	return p
 }
 
-// requestsPerSlot is how many requests the limit of a new pool allows for each
-// slot of its upstreams: one that runs and one that waits at the engine, so
-// that a slot that becomes free is filled at once.
+// requestsPerSlot is the number of requests per upstream slot in the initial
+// limit of a pool: one running and one queued at the engine, so that a slot
+// that becomes free is filled immediately.
 const requestsPerSlot = 2
 
-// outgrown tells whether the upstreams' slots have changed by more than a
-// quarter since the pool began. Its limit adapts by one request a round, which
-// would take minutes after the start of an entry, when upstreams announce
-// themselves one after the other.
+// outgrown reports whether the number of upstream slots has changed by more
+// than a quarter since the pool was created. The limit adapts by one request
+// per round, which would take minutes after an entry starts, while upstreams
+// announce themselves one after the other.
 func (p *pool) outgrown(slots int) bool {
 	change := slots - p.slots
 	return 4*max(change, -change) > p.slots
 }
 
-// countSlots adds the slots of an upstream to its pools, or takes them away.
-// The caller holds the mutex.
+// countSlots adds the slots of an upstream to its pools (sign 1) or subtracts
+// them (sign -1). The caller holds the mutex.
 func (e *Entry) countSlots(f *followed, sign int) {
 	var keys []poolKey
 	if f.announced.Service != "" {
@@ -107,13 +109,14 @@
 	}
 }
 
-// teamShares are the shares of one revision, the same map for all pools.
+// teamShares caches the shares of one configuration revision. All pools use the
+// same map.
 type teamShares struct {
 	revision config.Revision
 	shares   map[ident.Team]admit.Share
 }
 
-// sharesOf returns the shares of a snapshot, listed once for each revision. The
+// sharesOf returns the shares of a snapshot, computed once per revision. The
 // caller holds the mutex.
 func (e *Entry) sharesOf(snapshot *config.Snapshot) map[ident.Team]admit.Share {
 	if e.shares.shares == nil || e.shares.revision != snapshot.Revision() {
@@ -122,7 +125,8 @@
 	return e.shares.shares
 }
 
-// listShares lists the teams that have a floor or a ceiling.
+// listShares returns the shares of the teams that have a guaranteed or a
+// maximum share.
 func listShares(snapshot *config.Snapshot) map[ident.Team]admit.Share {
 	shares := make(map[ident.Team]admit.Share)
 	for team := range snapshot.Teams() {
@@ -136,7 +140,8 @@
 	return shares
 }
 
-// enter waits for a place in a pool. On success leave must follow.
+// enter waits for admission to a pool. After success the caller must call
+// leave.
 func (e *Entry) enter(ctx context.Context, key poolKey, snapshot *config.Snapshot, req admit.Request) (*pool, admit.Grant, error) {
 	e.mu.Lock()
 	p, err := e.poolOf(key, snapshot)
@@ -161,8 +166,8 @@
 
 func (p *pool) await(ctx context.Context, id ident.Request, wait chan admission) (*pool, admit.Grant, error) {
 	select {
-	case end := <-wait:
-		return p.ended(end)
+	case received := <-wait:
+		return p.result(received)
 	case <-ctx.Done():
 	}
 	p.entry.mu.Lock()
@@ -175,19 +180,19 @@
 	if cancelled {
 		return nil, admit.Grant{}, endedBeforeSend(ctx)
 	}
-	// The grant or refusal came at the same moment; it is in the channel.
-	return p.ended(<-wait)
+	// The grant or refusal was delivered concurrently and is in the channel.
+	return p.result(<-wait)
 }
 
-func (p *pool) ended(end admission) (*pool, admit.Grant, error) {
-	if end.refused != nil {
-		return nil, admit.Grant{}, end.refused
+func (p *pool) result(received admission) (*pool, admit.Grant, error) {
+	if received.refused != nil {
+		return nil, admit.Grant{}, received.refused
 	}
-	return p, end.grant, nil
+	return p, received.grant, nil
 }
 
-// endedBeforeSend is the outcome of a request whose context ended while
-// nothing of it had been sent.
+// endedBeforeSend returns the outcome of a request whose context ended before
+// any of it was sent.
 func endedBeforeSend(ctx context.Context) error {
 	if context.Cause(ctx) == errDeadline {
 		return &outcome.NotRun{Reason: outcome.ReasonDeadline, Detail: "the deadline passed before the request was sent"}
@@ -195,7 +200,7 @@
 	return &outcome.NotRun{Reason: outcome.ReasonCallerGone, Detail: "the caller left before the request was sent"}
 }
 
-// leave gives a place back and lets the next request start.
+// leave releases a request's admission and admits the next requests.
 func (p *pool) leave(id ident.Request) {
 	p.entry.mu.Lock()
 	defer p.entry.mu.Unlock()
@@ -203,15 +208,15 @@
 	p.advance()
 }
 
-// wake is called by the pool's timer.
+// wake is the callback of the pool's timer.
 func (p *pool) wake() {
 	p.entry.mu.Lock()
 	defer p.entry.mu.Unlock()
 	p.advance()
 }
 
-// advance delivers grants and refusals and sets the timer for the next one.
-// The caller holds the mutex.
+// advance delivers grants and refusals and schedules the next wake-up. The
+// caller holds the mutex.
 func (p *pool) advance() {
 	now := time.Now()
 	grants, refusals := p.controller.Next(now)
@@ -226,14 +231,15 @@
 	}
 }
 
-// minWake keeps a pool whose next wake is due from spinning.
+// minWake is the minimum timer delay. It prevents a busy loop when the next
+// wake-up is already due.
 const minWake = time.Millisecond
 
-func (p *pool) deliver(id ident.Request, end admission) {
+func (p *pool) deliver(id ident.Request, result admission) {
 	wait, ok := p.waiting[id]
 	if !ok {
 		return
 	}
 	delete(p.waiting, id)
-	wait <- end
+	wait <- result
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -14,37 +14,41 @@
 
 type requestID = ident.Request
 
-// answer relays one prompt's answer. It implements Answer.
+// answer relays the answer to one prompt. It implements Answer.
 type answer struct {
 	entry  *Entry
 	job    *job
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// overdue ends the wait for the first token.
-	overdue *time.Timer
-	pool    *pool
-	// next is a plan made at admission, good for the first attempt only.
-	next *plan
+	// deadlineTimer cancels the request if the first token has not arrived by
+	// the deadline.
+	deadlineTimer *time.Timer
+	pool          *pool
+	// initialPlan is the plan made at admission, valid for the first attempt
+	// only.
+	initialPlan *plan
 
 	plan    plan
 	attempt upstream.Attempt
 	stream  port.TokenStream
 	sent    time.Time
-	// began is when the attempt reached for the engine, after its import.
-	began    time.Time
-	imported int
-	attempts int
-	// joining ends with the import of another request that the plan builds on,
-	// and joined is how long that was waited for.
-	joining <-chan struct{}
-	joined  time.Duration
+	// generateStarted is the time at which the attempt was sent to the engine,
+	// after its import.
+	generateStarted time.Time
+	importedBlocks  int
+	attempts        int
+	// joinedImport is closed when the import of another request, on which the
+	// plan relies, has ended; nil if there is none. joinWait is the time spent
+	// waiting for it.
+	joinedImport <-chan struct{}
+	joinWait     time.Duration
 
 	delivered  int
 	provenance Provenance
-	// ran is the outcome of an attempt that may have run; once there is one,
-	// the request is never said not to have run.
-	ran  error
-	over bool
+	// possiblyRan is the outcome of an attempt that may have run. Once it is
+	// set, the request is never reported as not run.
+	possiblyRan error
+	finished    bool
 }
 
 func newAnswer(ctx context.Context, e *Entry, j *job) *answer {
@@ -59,36 +63,36 @@
 	}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	if !j.deadline.IsZero() {
-		a.overdue = time.AfterFunc(time.Until(j.deadline), func() { a.cancel(errDeadline) })
+		a.deadlineTimer = time.AfterFunc(time.Until(j.deadline), func() { a.cancel(errDeadline) })
 	}
 	return a
 }
 
-// start takes a place and sends the first attempt, or further ones as long as
-// they are certain not to have run.
+// start waits for admission and makes attempts until an upstream accepts one or
+// no further attempt is permitted.
 func (a *answer) start() error {
-	if err := a.entry.mayRun(a.job.print); err != nil {
+	if err := a.entry.checkQuarantine(a.job.fingerprint); err != nil {
 		return err
 	}
-	if err := a.admitted(); err != nil {
+	if err := a.awaitAdmission(); err != nil {
 		return err
 	}
 	a.entry.firstAttempt(a.job)
-	return a.verdict(a.send(nil))
+	return a.finalOutcome(a.send(nil))
 }
 
-// verdict is the outcome of the request when its last attempt ended with err.
-// A last attempt that found no upstream did not run, but one before it may
-// have; a caller told not-run would then be told an untruth.
-func (a *answer) verdict(err error) error {
-	if a.ran != nil && outcome.KindOf(err) == outcome.KindNotRun {
-		return a.ran
+// finalOutcome returns the outcome of the request when its last attempt ended
+// with err. If the last attempt did not run but an earlier one may have, it is
+// the earlier outcome: reporting not-run would be wrong.
+func (a *answer) finalOutcome(err error) error {
+	if a.possiblyRan != nil && outcome.KindOf(err) == outcome.KindNotRun {
+		return a.possiblyRan
 	}
 	return err
 }
 
-// send makes attempts until one is accepted by an upstream. cause is the error
-// that ended the attempt before, nil for the first.
+// send makes attempts until an upstream accepts one. cause is the error of the
+// previous attempt, nil for the first.
 func (a *answer) send(cause error) error {
 	for {
 		if cause != nil {
@@ -105,23 +109,23 @@
 
 // try makes one attempt.
 func (a *answer) try() error {
-	if err := a.entry.mayRun(a.job.print); err != nil {
+	if err := a.entry.checkQuarantine(a.job.fingerprint); err != nil {
 		return err
 	}
-	if err := a.place(); err != nil {
+	if err := a.dispatch(); err != nil {
 		return err
 	}
-	a.join()
+	a.awaitJoinedImport()
 	a.fetch()
 	a.entry.mu.Lock()
-	a.entry.landed(a.job.prompt.Request, a.plan)
+	a.entry.importEnded(a.job.prompt.Request, a.plan)
 	a.entry.mu.Unlock()
 	if a.ctx.Err() != nil {
 		a.finishAttempt(upstream.Cancelled)
 		return endedBeforeSend(a.ctx)
 	}
 	j := a.job
-	a.began = time.Now()
+	a.generateStarted = time.Now()
 	stream, err := a.entry.options.Upstreams.Engine(a.plan.candidate.Address).Generate(a.ctx, port.GenerateRequest{
 		Request:   j.prompt.Request,
 		Attempt:   a.attempt.Number,
@@ -145,19 +149,20 @@
 	return nil
 }
 
-// maxPlaces bounds how often an upstream may leave between choice and send.
-const maxPlaces = 3
+// maxDispatches bounds the retries when a chosen upstream leaves before the
+// attempt is recorded.
+const maxDispatches = 3
 
-// place chooses an upstream and records that the attempt is being sent.
-func (a *answer) place() error {
+// dispatch chooses an upstream and records the attempt.
+func (a *answer) dispatch() error {
 	e := a.entry
 	if a.attempts == 0 {
-		// The lease may have run out while the request waited in the queue.
+		// The serving lease may have expired while the request was queued.
 		if err := e.mayServe(time.Now()); err != nil {
 			return err
 		}
 	}
-	for range maxPlaces {
+	for range maxDispatches {
 		chosen, err := a.choice()
 		if err != nil {
 			return err
@@ -167,16 +172,16 @@
 		number := e.tracker.Send(a.job.prompt.Request, chosen.candidate.Upstream)
 		attempt := upstream.Attempt{Request: a.job.prompt.Request, Number: number}
 		ok := e.registry.Dispatch(now, attempt, chosen.candidate.Upstream, int64(chosen.decision.RecomputeTokens))
-		var joining <-chan struct{}
+		var importDone <-chan struct{}
 		if ok {
-			if joining = e.joins(chosen); joining == nil {
-				e.bring(now, attempt.Request, chosen, a.job.model.BlockTokens)
+			if importDone = e.joinableImport(chosen); importDone == nil {
+				e.addPending(now, attempt.Request, chosen, a.job.model.BlockTokens)
 			}
 		}
 		e.mu.Unlock()
 		if ok {
-			a.plan, a.attempt, a.sent, a.imported = chosen, attempt, now, 0
-			a.joining, a.joined = joining, 0
+			a.plan, a.attempt, a.sent, a.importedBlocks = chosen, attempt, now, 0
+			a.joinedImport, a.joinWait = importDone, 0
 			a.attempts++
 			return nil
 		}
@@ -185,18 +190,19 @@
 }
 
 func (a *answer) choice() (plan, error) {
-	if a.next != nil {
-		chosen := *a.next
-		a.next = nil
+	if a.initialPlan != nil {
+		chosen := *a.initialPlan
+		a.initialPlan = nil
 		return chosen, nil
 	}
 	return a.entry.choose(a.job)
 }
 
-// mayRetry waits before another attempt, or returns the outcome to answer.
+// mayRetry waits for the back-off before another attempt and returns nil, or
+// returns the outcome if no further attempt is permitted.
 func (a *answer) mayRetry(cause error) error {
 	j := a.job
-	if !a.entry.mayRepeat(j.print, cause, a.ran) {
+	if !a.entry.mayRepeat(j.fingerprint, cause, a.possiblyRan) {
 		return cause
 	}
 	call := retry.Call{
@@ -208,7 +214,7 @@
 		Expected:   a.plan.decision.FirstToken,
 	}
 	if a.delivered > 0 {
-		// The first token came in time; what is left is to end the answer.
+		// The deadline applies to the first token, which was delivered in time.
 		call.Deadline = time.Time{}
 	}
 	e := a.entry
@@ -233,8 +239,8 @@
 // Next implements Answer.
 func (a *answer) Next() (Token, error) {
 	for {
-		if a.over {
-			return Token{}, errOver
+		if a.finished {
+			return Token{}, errFinished
 		}
 		event, err := a.stream.Next(a.ctx)
 		if err == nil && event.Index != a.delivered {
@@ -245,7 +251,7 @@
 			err = &outcome.Unknown{Reason: outcome.ReasonBadAnswer, Detail: "the upstream left out tokens"}
 		}
 		if err != nil {
-			if err = a.verdict(a.resume(err)); err != nil {
+			if err = a.finalOutcome(a.resume(err)); err != nil {
 				a.fail(err)
 				return Token{}, err
 			}
@@ -263,14 +269,14 @@
 	}
 }
 
-var errOver = errors.New("the answer is over")
+var errFinished = errors.New("the answer is over")
 
 // Provenance implements Answer.
 func (a *answer) Provenance() Provenance { return a.provenance }
 
 // Close implements Answer.
 func (a *answer) Close() {
-	if a.over {
+	if a.finished {
 		return
 	}
 	a.entry.counts.abandoned.Inc()
@@ -278,8 +284,8 @@
 	a.release()
 }
 
-// resume takes a broken stream up again at the token reached, or returns the
-// outcome that ends it.
+// resume continues a broken stream from the next undelivered token, or returns
+// the outcome with which the answer ends.
 func (a *answer) resume(cause error) error {
 	a.attemptFailed(cause)
 	if a.ctx.Err() != nil {
@@ -288,15 +294,16 @@
 	if a.delivered > 0 {
 		a.job.version = a.plan.version
 		if !a.mayResume() {
-			return broken(cause)
+			return streamBroken(cause)
 		}
-		// A stream is resumed whatever the class says of repeats: the caller
-		// has its beginning, and the rest runs once.
+		// A stream is resumed even if the class is not repeatable: the caller
+		// already has the tokens delivered so far, and the remaining ones are
+		// generated once.
 		cause = &outcome.NotRun{Reason: outcome.ReasonConnectionLost, Detail: cause.Error()}
 	}
 	if err := a.send(cause); err != nil {
 		if a.delivered > 0 {
-			return broken(err)
+			return streamBroken(err)
 		}
 		return err
 	}
@@ -307,8 +314,9 @@
 	return nil
 }
 
-// broken is the outcome of an answer of which the caller has a part only.
-func broken(cause error) error {
+// streamBroken returns the outcome of an answer that was delivered in part
+// only.
+func streamBroken(cause error) error {
 	return &outcome.Unknown{
 		Reason: outcome.ReasonStreamBroken,
 		Detail: "the stream broke and could not be resumed: " + cause.Error(),
@@ -328,10 +336,10 @@
 	return at != retry.ResumeNowhere
 }
 
-// maxResumes bounds how often one answer is taken up again.
+// maxResumes bounds the resumptions of one answer.
 const maxResumes = 4
 
-// interrupted is the outcome of a request whose context ended after it was
+// interrupted returns the outcome of a request whose context ended after it was
 // sent.
 func (a *answer) interrupted() error {
 	if context.Cause(a.ctx) == errDeadline {
--- a/internal/entry/budgets.go
+++ b/internal/entry/budgets.go
@@ -6,11 +6,12 @@
 	"github.com/lovagereach/lovagereach/keep"
 )
 
-// maxTeamsDumped bounds the teams in a dump, those that hold most first.
+// maxTeamsDumped bounds the teams in a dump. Those with the most kept bytes
+// come first.
 const maxTeamsDumped = 50
 
-// budgetsOf lists what the teams are promised and allowed of kept prompts.
-// Teams without a floor and a ceiling have the defaults of package keep.
+// budgetsOf returns the guaranteed and maximum shares of store capacity of each
+// team. Teams without configured shares get the defaults of package keep.
 func budgetsOf(snapshot *config.Snapshot) map[ident.Team]keep.Budget {
 	budgets := make(map[ident.Team]keep.Budget)
 	for team := range snapshot.Teams() {
@@ -24,17 +25,17 @@
 	return budgets
 }
 
-// followBudgets brings the manager's budgets up to the configuration in force.
-// Only the loop of plans calls it. The teams are listed without the mutex:
-// there may be as many as callers.
+// followBudgets updates the manager's budgets to the configuration in force.
+// Only the planning loop calls it. The budgets are computed without the mutex
+// because the number of teams can be as large as the number of callers.
 func (k *keeper) followBudgets() {
 	snapshot := k.entry.options.Control.Snapshot()
-	if snapshot == k.budgeted {
+	if snapshot == k.budgetSnapshot {
 		return
 	}
 	budgets := budgetsOf(snapshot)
 	k.entry.mu.Lock()
 	k.manager.SetBudgets(budgets)
 	k.entry.mu.Unlock()
-	k.budgeted = snapshot
+	k.budgetSnapshot = snapshot
 }
--- a/internal/entry/budgets_test.go
+++ b/internal/entry/budgets_test.go
@@ -25,12 +25,12 @@
 		b.whole(t, 1)
 		initial := b.keptOf(t)
 		b.setShare(t, 2, config.TeamShare{Guaranteed: config.FullShare / 4, Maximum: config.FullShare / 2})
-		time.Sleep(2 * planEvery)
+		time.Sleep(2 * planInterval)
 		if floor, ceiling := b.keptOf(t)[0], b.keptOf(t)[1]; floor != 1<<28 || ceiling != 1<<29 {
 			t.Errorf("of a store of 1 GiB the floor is %d and the ceiling %d", floor, ceiling)
 		}
 		b.setShare(t, 3, config.TeamShare{})
-		time.Sleep(2 * planEvery)
+		time.Sleep(2 * planInterval)
 		if again := b.keptOf(t); again != initial {
 			t.Errorf("without a share: %v, before %v", again, initial)
 		}
--- /dev/null
+++ b/internal/entry/crashes.go
@@ -0,0 +1,336 @@
+package entry
+
+import (
+	"context"
+	"encoding/binary"
+	"io"
+	"slices"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"github.com/lovagereach/lovagereach/ident"
+	"github.com/lovagereach/lovagereach/internal/wait"
+	"github.com/lovagereach/lovagereach/internal/wire"
+	"github.com/lovagereach/lovagereach/outcome"
+	"github.com/lovagereach/lovagereach/quarantine"
+)
+
+const (
+	// crashInterval is the interval at which a crash is sent again, since
+	// messages between entries may be lost; crashRepeat is for how long.
+	crashInterval = time.Second
+	crashRepeat   = 10 * time.Second
+	// probeWorkers bounds the concurrent probes of lost upstreams and maxProbes
+	// the queued ones: all upstreams of a rack may be lost at once.
+	probeWorkers, maxProbes = 8, 256
+	// maxOwnCrashes bounds the crashes that this entry reports to others.
+	maxOwnCrashes = 64
+)
+
+// crashMessage is what an entry sends to all others about requests that crash
+// upstreams. Applying it is idempotent.
+type crashMessage struct {
+	Crashes []crashReport `cbor:"1,keyasint,omitempty"`
+	// Served are requests that completed although they were quarantined or
+	// suspected.
+	Served []quarantine.Fingerprint `cbor:"2,keyasint,omitempty"`
+}
+
+// crashReport is a crash and the time since it was observed. Without the age, a
+// crash that is forwarded would count as new at entries that have already
+// dropped it, and would never expire.
+type crashReport struct {
+	Crash quarantine.Crash `cbor:"1,keyasint"`
+	Age   time.Duration    `cbor:"2,keyasint,omitempty"`
+}
+
+// crashState is what this entry knows about requests that crash upstreams. Each
+// entry decides by itself, from the same crashes.
+type crashState struct {
+	tracker *quarantine.Tracker
+	lost    quarantine.Lost
+	served  quarantine.Served
+	// seen records when each crash was observed, as far as this entry knows.
+	seen quarantine.Seen
+	// own are the crashes that this entry observed itself. It sends them to the
+	// other entries, and again when an entry has started since.
+	own      []ownCrash
+	peers    []Peer
+	lastSent time.Time
+}
+
+type ownCrash struct {
+	crash  quarantine.Crash
+	seenAt time.Time
+}
+
+func newCrashState() crashState {
+	return crashState{tracker: quarantine.NewTracker()}
+}
+
+// apply merges crashes and served requests observed by this entry or another.
+// It reports whether the set of quarantined or suspected requests has changed.
+func (n *crashState) apply(now time.Time, m crashMessage) bool {
+	before := n.tracker.Revision()
+	var crashes []quarantine.Crash
+	for _, report := range m.Crashes {
+		if report.Age < 0 || report.Age >= quarantine.CrashRetention {
+			continue
+		}
+		crashes = append(crashes, report.Crash)
+		n.seen.Record(report.Crash.Life, now.Add(-report.Age))
+	}
+	n.tracker.Ended(crashes...)
+	n.tracker.Served(m.Served...)
+	n.expire(now)
+	return n.tracker.Revision() != before
+}
+
+// expire drops crashes that are older than quarantine.CrashRetention.
+func (n *crashState) expire(now time.Time) {
+	n.seen.Follow(n.tracker.Incarnations(), now)
+	if old := n.seen.Old(now); len(old) > 0 {
+		n.tracker.Forget(old...)
+		n.seen.Follow(n.tracker.Incarnations(), now)
+	}
+	n.own = slices.DeleteFunc(n.own, func(o ownCrash) bool { return now.Sub(o.seenAt) >= quarantine.CrashRetention })
+}
+
+// due returns the crashes to send to the other entries now: own recent ones
+// repeatedly, and all own ones when the set of entries has changed, since a
+// started entry knows none. In that case the entry with the lowest host name
+// also sends the crashes of quarantined requests, because the entry that
+// observed them may be lost.
+func (n *crashState) due(now time.Time, self ident.Host, peers []Peer) crashMessage {
+	var m crashMessage
+	if now.Sub(n.lastSent) < crashInterval {
+		return m
+	}
+	n.lastSent = now
+	n.expire(now)
+	peersChanged := !slices.Equal(peers, n.peers)
+	n.peers = slices.Clone(peers)
+	for _, o := range n.own {
+		if peersChanged || now.Sub(o.seenAt) < crashRepeat {
+			m.Crashes = append(m.Crashes, crashReport{Crash: o.crash, Age: now.Sub(o.seenAt)})
+		}
+	}
+	if peersChanged && !slices.ContainsFunc(peers, func(p Peer) bool { return p.Host < self }) {
+		m.Crashes = append(m.Crashes, n.quarantinedCrashes(now, maxOwnCrashes-len(m.Crashes))...)
+	}
+	return m
+}
+
+// quarantinedCrashes lists the crashes of quarantined requests, latest first
+// and limited to these requests. It returns at most limit crashes.
+func (n *crashState) quarantinedCrashes(now time.Time, limit int) []crashReport {
+	var list []crashReport
+	for _, crash := range slices.Backward(n.tracker.Save().Ends) {
+		crash.Prints = slices.DeleteFunc(crash.Prints, func(p quarantine.Fingerprint) bool { return !slices.Contains(n.tracker.Quarantined(), p) })
+		if len(crash.Prints) > 0 && len(list) < limit {
+			list = append(list, crashReport{Crash: crash, Age: n.seen.Age(crash.Life, now)})
+		}
+	}
+	return list
+}
+
+// promptFingerprint returns the fingerprint that identifies a prompt for
+// quarantine.
+func promptFingerprint(p *Prompt) quarantine.Fingerprint {
+	body := binary.BigEndian.AppendUint64(nil, p.Seed)
+	body = binary.BigEndian.AppendUint64(body, uint64(p.MaxTokens))
+	for _, token := range p.Tokens {
+		body = binary.BigEndian.AppendUint32(body, token)
+	}
+	r := quarantine.Request{
+		Service: string(p.Model), Team: string(p.Caller.Team()), Method: "prompt", Target: string(p.Adapter), Body: body,
+	}
+	return r.Fingerprint()
+}
+
+// callFingerprint returns the fingerprint that identifies a service call for
+// quarantine.
+func callFingerprint(c *ServiceCall) quarantine.Fingerprint {
+	r := quarantine.Request{
+		Service: string(c.Service), Team: string(c.Caller.Team()), Method: c.Method, Target: c.Path, Body: c.Body,
+	}
+	return r.Fingerprint()
+}
+
+// checkQuarantine returns an error if a request is quarantined because it
+// crashes the upstreams that run it.
+func (e *Entry) checkQuarantine(p quarantine.Fingerprint) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !slices.Contains(e.crashes.tracker.Quarantined(), p) || e.crashes.served.Has(p, time.Now()) {
+		return nil
+	}
+	e.counts.quarantined.Inc()
+	return quarantine.ErrQuarantined
+}
+
+// mayRepeat reports whether the entry itself may send a request again after
+// cause. possiblyRan is the outcome of an attempt that may have run. A request
+// that one more crash would quarantine is not repeated by the entry; its caller
+// may repeat it.
+func (e *Entry) mayRepeat(p quarantine.Fingerprint, cause, possiblyRan error) bool {
+	if possiblyRan == nil && outcome.KindOf(cause) == outcome.KindNotRun {
+		return true
+	}
+	return !e.isSuspect(p)
+}
+
+// isSuspect reports whether a request is quarantined or suspected.
+func (e *Entry) isSuspect(p quarantine.Fingerprint) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.Contains(e.crashes.tracker.Quarantined(), p) || slices.Contains(e.crashes.tracker.Suspects(), p)
+}
+
+// recordLost records that the connection of an attempt broke. The first such
+// attempt since the last probe of the incarnation queues a new probe.
+func (e *Entry) recordLost(id ident.Upstream, incarnation ident.Incarnation, address string, a quarantine.Attempt) {
+	lost := quarantine.Incarnation{Upstream: string(id), StartedMs: uint64(incarnation)}
+	e.mu.Lock()
+	first := e.crashes.lost.Add(lost, a)
+	e.mu.Unlock()
+	if !first {
+		return
+	}
+	select {
+	case e.probes <- probe{incarnation: lost, address: address, at: time.Now().Add(quarantine.LookAfter)}:
+	default:
+		// The queue is full. The next attempt whose connection breaks there
+		// queues the probe.
+		e.mu.Lock()
+		e.crashes.lost.Take(lost)
+		e.mu.Unlock()
+	}
+}
+
+// probe is a pending check whether an upstream has crashed.
+type probe struct {
+	incarnation quarantine.Incarnation
+	address     string
+	at          time.Time
+}
+
+func (e *Entry) probeLoop(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case next := <-e.probes:
+			wait.For(ctx, time.Until(next.at))
+			e.probe(ctx, next.incarnation, next.address)
+		}
+	}
+}
+
+// probe checks whether an upstream has crashed and, if so, reports the crash to
+// the other entries.
+func (e *Entry) probe(ctx context.Context, incarnation quarantine.Incarnation, address string) {
+	ctx, cancel := context.WithTimeout(ctx, quarantine.LookTimeout)
+	defer cancel()
+	crashed := e.options.Upstreams.Crashed(ctx, address)
+	now := time.Now()
+	e.mu.Lock()
+	attempts := e.crashes.lost.Take(incarnation)
+	crash := quarantine.Blame(incarnation, attempts, &e.crashes.served, now)
+	blamed := crashed && len(crash.Prints) > 0
+	if blamed {
+		e.crashes.own = append(e.crashes.own, ownCrash{crash: crash, seenAt: now})
+		e.crashes.own = e.crashes.own[max(len(e.crashes.own)-maxOwnCrashes, 0):]
+	}
+	e.mu.Unlock()
+	e.options.Log.Info("upstream lost", "upstream", incarnation.Upstream, "ended", crashed, "under_way", len(attempts))
+	if blamed {
+		e.counts.upstreamCrashes.Inc()
+		message := crashMessage{Crashes: []crashReport{{Crash: crash}}}
+		e.applyCrashes(message)
+		e.sendCrashes(message)
+	}
+}
+
+// recordServed records that a request completed and clears it from quarantine
+// and suspicion.
+func (e *Entry) recordServed(p quarantine.Fingerprint) {
+	e.mu.Lock()
+	e.crashes.served.Record(p, time.Now())
+	e.mu.Unlock()
+	if e.isSuspect(p) {
+		cleared := crashMessage{Served: []quarantine.Fingerprint{p}}
+		e.applyCrashes(cleared)
+		e.sendCrashes(cleared)
+	}
+}
+
+// sendCrashes sends a message to the other entries, unless it is empty. The
+// mutex must not be held.
+func (e *Entry) sendCrashes(m crashMessage) {
+	if len(m.Crashes)+len(m.Served) > 0 {
+		e.options.SendCrashes(wire.MustMarshal(m))
+	}
+}
+
+// ApplyCrashes applies another entry's message about requests that crash
+// upstreams.
+func (e *Entry) ApplyCrashes(body []byte) error {
+	var m crashMessage
+	if err := wire.UnmarshalStrict(body, &m); err != nil {
+		return eris.Wrap(err, "entry: crashes")
+	}
+	if len(m.Crashes) > maxOwnCrashes || len(m.Served) > quarantine.MaxTold {
+		return eris.Errorf("entry: crashes: %d crashes and %d requests, more than %d and %d", len(m.Crashes), len(m.Served), maxOwnCrashes, quarantine.MaxTold)
+	}
+	e.applyCrashes(m)
+	return nil
+}
+
+// applyCrashes merges a message. Requests that it would quarantine or suspect
+// are cleared again if this entry has recently served them.
+func (e *Entry) applyCrashes(m crashMessage) {
+	now := time.Now()
+	e.mu.Lock()
+	var cleared crashMessage
+	if e.crashes.apply(now, m) {
+		for _, p := range append(slices.Clone(e.crashes.tracker.Quarantined()), e.crashes.tracker.Suspects()...) {
+			if e.crashes.served.Has(p, now) {
+				cleared.Served = append(cleared.Served, p)
+			}
+		}
+		e.crashes.apply(now, cleared)
+		e.options.Log.Info("quarantined requests changed", "held", len(e.crashes.tracker.Quarantined()), "suspects", len(e.crashes.tracker.Suspects()))
+	}
+	e.mu.Unlock()
+	e.sendCrashes(cleared)
+}
+
+// observedBody reports whether the body of a call's answer was read to its end
+// or its connection broke.
+type observedBody struct {
+	io.ReadCloser
+	served func()
+	lost   func()
+}
+
+// Read implements io.Reader.
+func (b *observedBody) Read(p []byte) (int, error) {
+	n, err := b.ReadCloser.Read(p)
+	switch {
+	case err == io.EOF:
+		b.report(b.served)
+	case err != nil:
+		b.report(b.lost)
+	}
+	return n, err
+}
+
+// report calls the function of the first result only.
+func (b *observedBody) report(callback func()) {
+	if callback != nil && b.served != nil {
+		b.served, b.lost = nil, nil
+		callback()
+	}
+}
--- a/internal/entry/ends_test.go
+++ b/internal/entry/crashes_test.go
@@ -106,8 +106,8 @@
 // joined lets entries hear of each other. Upstreams that break off have ended.
 func joined(t *testing.T, one, two *bench) {
 	one.upstreams.ended, two.upstreams.ended = true, true
-	one.options.SendEnds = func(body []byte) { _ = two.TakeEnds(body) }
-	two.options.SendEnds = func(body []byte) { _ = one.TakeEnds(body) }
+	one.options.SendCrashes = func(body []byte) { _ = two.ApplyCrashes(body) }
+	two.options.SendCrashes = func(body []byte) { _ = one.ApplyCrashes(body) }
 	run(t, one, two)
 }
 
@@ -157,9 +157,9 @@
 		one, two, three := newBench(t), newBench(t), newBench(t)
 		one.upstreams.ended = true
 		var told atomic.Int32
-		one.options.SendEnds = func(body []byte) {
+		one.options.SendCrashes = func(body []byte) {
 			if told.Add(1) > 3 {
-				_, _ = two.TakeEnds(body), three.TakeEnds(body)
+				_, _ = two.ApplyCrashes(body), three.ApplyCrashes(body)
 			}
 		}
 		for i := range quarantine.CrashThreshold {
@@ -173,16 +173,16 @@
 			time.Sleep(time.Second)
 			reborn(t, one)
 		}
-		time.Sleep(2 * endEvery)
+		time.Sleep(2 * crashInterval)
 		if err := two.ask(t, 10, 7); !isHeld(err) {
 			t.Errorf("the second entry answers %v", err)
 		}
-		time.Sleep(2 * endRepeat)
+		time.Sleep(2 * crashRepeat)
 		three.mu.Lock()
-		three.ends = newEnds()
+		three.crashes = newCrashState()
 		three.mu.Unlock()
 		one.control.enter(Peer{Host: "entry-3"})
-		time.Sleep(2 * endEvery)
+		time.Sleep(2 * crashInterval)
 		three.announceAgain(t)
 		if err := three.ask(t, 11, 7); !isHeld(err) {
 			t.Errorf("an entry that started later answers %v", err)
@@ -190,7 +190,7 @@
 		if err := three.ask(t, 12, 8); err != nil {
 			t.Errorf("another prompt ends with %v", err)
 		}
-		_ = three.TakeEnds(wire.MustMarshal(endsMessage{Served: three.ends.ledger.Quarantined()}))
+		_ = three.ApplyCrashes(wire.MustMarshal(crashMessage{Served: three.crashes.tracker.Quarantined()}))
 		three.announceAgain(t)
 		if err := three.ask(t, 13, 7); err != nil {
 			t.Errorf("a prompt that was served elsewhere ends with %v", err)
@@ -210,7 +210,7 @@
 			time.Sleep(time.Second)
 			reborn(t, b)
 		}
-		if held := b.ends.ledger.Quarantined(); len(held) != 0 || b.ends.lost.Len() != 0 {
+		if held := b.crashes.tracker.Quarantined(); len(held) != 0 || b.crashes.lost.Len() != 0 {
 			t.Fatalf("held %v without an end", held)
 		}
 		b.upstreams.ended = true
@@ -223,8 +223,8 @@
 			t.Fatal("not held")
 		}
 		time.Sleep(quarantine.CrashRetention)
-		b.endsDue(time.Now())
-		if len(b.ends.ledger.Incarnations())+len(b.ends.own)+b.ends.seen.Len() != 0 {
+		b.crashesDue(time.Now())
+		if len(b.crashes.tracker.Incarnations())+len(b.crashes.own)+b.crashes.seen.Len() != 0 {
 			t.Fatal("old ends are kept")
 		}
 	})
@@ -233,10 +233,10 @@
 // What another process says is bounded.
 func TestTakeEndsIsBounded(t *testing.T) {
 	b := newBench(t)
-	if b.TakeEnds(wire.MustMarshal(endsMessage{Ends: make([]endWord, maxOwnEnds+1)})) == nil {
+	if b.ApplyCrashes(wire.MustMarshal(crashMessage{Crashes: make([]crashReport, maxOwnCrashes+1)})) == nil {
 		t.Error("too many ends are taken")
 	}
-	if b.TakeEnds([]byte("no message")) == nil {
+	if b.ApplyCrashes([]byte("no message")) == nil {
 		t.Error("bytes that can't be read are taken")
 	}
 }
@@ -247,24 +247,24 @@
 func TestEndsAreToldOnAfterTheirEntryIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		two, three := newBench(t), newBench(t)
-		two.options.SendEnds = func(body []byte) { _ = three.TakeEnds(body) }
+		two.options.SendCrashes = func(body []byte) { _ = three.ApplyCrashes(body) }
 		two.engine(t, "runner-1")
 		three.engine(t, "runner-1")
 		run(t, two)
-		bad := printOfPrompt(&Prompt{Caller: two.prompt(t, 1).Caller, Model: testModel, Tokens: two.prompt(t, 1).Tokens, MaxTokens: 5, Seed: 7})
+		bad := promptFingerprint(&Prompt{Caller: two.prompt(t, 1).Caller, Model: testModel, Tokens: two.prompt(t, 1).Tokens, MaxTokens: 5, Seed: 7})
 		var seen []quarantine.Crash
 		for i := range quarantine.CrashThreshold {
 			seen = append(seen, quarantine.Crash{
 				Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{bad, {byte(i)}},
 			})
 		}
-		if err := two.TakeEnds(wire.MustMarshal(toldNow(seen))); err != nil {
+		if err := two.ApplyCrashes(wire.MustMarshal(toldNow(seen))); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * endRepeat)
+		time.Sleep(2 * crashRepeat)
 		two.control.enter(Peer{Host: "entry-1"})
 		two.control.enter(Peer{Host: "entry-3"})
-		time.Sleep(2 * endEvery)
+		time.Sleep(2 * crashInterval)
 		three.announceAgain(t)
 		if err := three.ask(t, 1, 7); !isHeld(err) {
 			t.Errorf("an entry that starts later answers %v", err)
@@ -280,9 +280,9 @@
 		first, late := newBench(t), newBench(t)
 		tell := func(from, to *bench) {
 			from.mu.Lock()
-			m := from.ends.due(time.Now(), "entry-0", []Peer{{Host: "entry-0"}, {Host: ident.Host("entry-" + time.Now().String())}})
+			m := from.crashes.due(time.Now(), "entry-0", []Peer{{Host: "entry-0"}, {Host: ident.Host("entry-" + time.Now().String())}})
 			from.mu.Unlock()
-			if err := to.TakeEnds(wire.MustMarshal(m)); err != nil {
+			if err := to.ApplyCrashes(wire.MustMarshal(m)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -290,27 +290,27 @@
 		for i := range quarantine.CrashThreshold {
 			seen = append(seen, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
 		}
-		first.takeEnds(toldNow(seen))
+		first.applyCrashes(toldNow(seen))
 		time.Sleep(quarantine.CrashRetention - time.Minute)
 		tell(first, late)
-		if len(late.ends.ledger.Quarantined()) != 1 {
+		if len(late.crashes.tracker.Quarantined()) != 1 {
 			t.Fatal("the late entry was not told")
 		}
 		time.Sleep(2 * time.Minute)
-		first.endsDue(time.Now())
+		first.crashesDue(time.Now())
 		tell(late, first)
 		first.mu.Lock()
 		defer first.mu.Unlock()
-		if held := first.ends.ledger.Quarantined(); len(held) != 0 {
+		if held := first.crashes.tracker.Quarantined(); len(held) != 0 {
 			t.Errorf("%d requests are held for ends that no longer count", len(held))
 		}
 	})
 }
 
 // toldNow is a message on ends that have just been seen.
-func toldNow(seen []quarantine.Crash) (m endsMessage) {
+func toldNow(seen []quarantine.Crash) (m crashMessage) {
 	for _, end := range seen {
-		m.Ends = append(m.Ends, endWord{End: end})
+		m.Crashes = append(m.Crashes, crashReport{Crash: end})
 	}
 	return m
 }
--- a/internal/entry/departures.go
+++ b/internal/entry/departures.go
@@ -12,121 +12,125 @@
 )
 
 const (
-	// departureEvery is how often a departure is told again, since a message
-	// to another entry may be lost.
-	departureEvery = time.Second
-	// departureRepeat is how long it is told again after the upstream's own
-	// last word. It is shorter than upstream.DefaultDepartureLife: entries that
-	// told each other of departures which they had already forgotten would
-	// bring them back for ever.
+	// departureInterval is the interval at which a departure is sent again,
+	// since messages between entries may be lost.
+	departureInterval = time.Second
+	// departureRepeat is how long a departure is sent again after the
+	// upstream's last announcement of it. It is shorter than
+	// upstream.DefaultDepartureLife: otherwise entries would resend departures
+	// that the receivers have already forgotten, and the departures would
+	// circulate forever.
 	departureRepeat = 30 * time.Second
-	// maxDepartureWords bounds the departures in one message.
-	maxDepartureWords = 256
+	// maxDeparturesPerMessage bounds the departures in one message.
+	maxDeparturesPerMessage = 256
 )
 
-// departureWord names one incarnation of an upstream that is leaving. It may
-// be taken any number of times, in any order.
-type departureWord struct {
+// departureNotice identifies the incarnation of an upstream that is leaving.
+// Applying it is idempotent and independent of order.
+type departureNotice struct {
 	Upstream    ident.Upstream    `cbor:"1,keyasint"`
 	Incarnation ident.Incarnation `cbor:"2,keyasint"`
 }
 
 type departureMessage struct {
-	Words []departureWord `cbor:"1,keyasint"`
+	Departures []departureNotice `cbor:"1,keyasint"`
 }
 
-// departureNews are the departures that upstreams announced to this entry
-// itself and that it tells the other entries.
-type departureNews struct {
-	words    map[ident.Upstream]toldDeparture
-	lastTold time.Time
+// departureRepeater holds the departures that upstreams announced directly to
+// this entry and that it sends repeatedly to the other entries.
+type departureRepeater struct {
+	repeated map[ident.Upstream]repeatedDeparture
+	lastSent time.Time
 }
 
-type toldDeparture struct {
+type repeatedDeparture struct {
 	incarnation ident.Incarnation
 	until       time.Time
 }
 
-func newDepartureNews() departureNews {
-	return departureNews{words: make(map[ident.Upstream]toldDeparture)}
+func newDepartureRepeater() departureRepeater {
+	return departureRepeater{repeated: make(map[ident.Upstream]repeatedDeparture)}
 }
 
-// add begins or prolongs the telling of a departure. Beyond the bound it is
-// told only once, by the caller.
-func (n *departureNews) add(now time.Time, word departureWord) {
-	if _, known := n.words[word.Upstream]; !known && len(n.words) >= upstream.MaxDepartures {
+// add starts or extends the repetition of a departure. When MaxDepartures are
+// already repeated, a new one is not added; it is then sent only once, by the
+// caller.
+func (n *departureRepeater) add(now time.Time, notice departureNotice) {
+	if _, known := n.repeated[notice.Upstream]; !known && len(n.repeated) >= upstream.MaxDepartures {
 		return
 	}
-	n.words[word.Upstream] = toldDeparture{incarnation: word.Incarnation, until: now.Add(departureRepeat)}
+	n.repeated[notice.Upstream] = repeatedDeparture{incarnation: notice.Incarnation, until: now.Add(departureRepeat)}
 }
 
-// due returns the departures that are to be told again at now.
-func (n *departureNews) due(now time.Time) []departureWord {
-	if now.Sub(n.lastTold) < departureEvery {
+// due returns the departures to send again at now, at most once per
+// departureInterval.
+func (n *departureRepeater) due(now time.Time) []departureNotice {
+	if now.Sub(n.lastSent) < departureInterval {
 		return nil
 	}
-	n.lastTold = now
-	var words []departureWord
-	for id, told := range n.words {
-		if now.After(told.until) {
-			delete(n.words, id)
+	n.lastSent = now
+	var notices []departureNotice
+	for id, departure := range n.repeated {
+		if now.After(departure.until) {
+			delete(n.repeated, id)
 			continue
 		}
-		words = append(words, departureWord{Upstream: id, Incarnation: told.incarnation})
+		notices = append(notices, departureNotice{Upstream: id, Incarnation: departure.incarnation})
 	}
-	return words
+	return notices
 }
 
-// tellDepartures sends departures to the other entries. The mutex is not held.
-func (e *Entry) tellDepartures(words []departureWord) {
-	for part := range slices.Chunk(words, maxDepartureWords) {
-		e.options.SendDepartures(wire.MustMarshal(departureMessage{Words: part}))
+// sendDepartures sends departures to the other entries. The mutex must not be
+// held.
+func (e *Entry) sendDepartures(notices []departureNotice) {
+	for part := range slices.Chunk(notices, maxDeparturesPerMessage) {
+		e.options.SendDepartures(wire.MustMarshal(departureMessage{Departures: part}))
 	}
 }
 
-// departed takes an upstream out of the entry's own sums. The caller holds the
-// mutex.
-func (e *Entry) departed(word departureWord) {
-	f := e.followed[word.Upstream]
-	if f == nil || f.incarnation > word.Incarnation {
+// markLeaving removes the slots of a leaving upstream from its pools. The
+// caller holds the mutex.
+func (e *Entry) markLeaving(notice departureNotice) {
+	f := e.followed[notice.Upstream]
+	if f == nil || f.incarnation > notice.Incarnation {
 		return
 	}
 	e.countSlots(f, -1)
 	f.announced.Leaving, f.announced.Slots = true, 0
 }
 
-// TakeDepartures takes another entry's word that upstreams are leaving. What
-// was news here is passed on once: the entry that heard it from the upstream
-// may not reach all others.
-func (e *Entry) TakeDepartures(body []byte) error {
+// ApplyDepartures applies another entry's message about leaving upstreams.
+// Departures that were not known here are forwarded once, since the entry that
+// received them from the upstream may not reach all others.
+func (e *Entry) ApplyDepartures(body []byte) error {
 	var message departureMessage
 	if err := wire.UnmarshalStrict(body, &message); err != nil {
 		return eris.Wrap(err, "entry: departures")
 	}
-	if len(message.Words) > maxDepartureWords {
-		return eris.Errorf("entry: departures: %d words, more than %d", len(message.Words), maxDepartureWords)
+	if len(message.Departures) > maxDeparturesPerMessage {
+		return eris.Errorf("entry: departures: %d departures, more than %d", len(message.Departures), maxDeparturesPerMessage)
 	}
-	words := make([]upstream.Departure, 0, len(message.Words))
-	for _, word := range message.Words {
-		if word.Upstream == "" || len(word.Upstream) > upstream.MaxNameLength {
-			return eris.Errorf("entry: departures: upstream: a name of %d bytes", len(word.Upstream))
+	departures := make([]upstream.Departure, 0, len(message.Departures))
+	for _, notice := range message.Departures {
+		if notice.Upstream == "" || len(notice.Upstream) > upstream.MaxNameLength {
+			return eris.Errorf("entry: departures: upstream: a name of %d bytes", len(notice.Upstream))
 		}
-		words = append(words, upstream.Departure(word))
+		departures = append(departures, upstream.Departure(notice))
 	}
-	e.tellDepartures(e.takeDepartures(words))
+	e.sendDepartures(e.applyDepartures(departures))
 	return nil
 }
 
-func (e *Entry) takeDepartures(words []upstream.Departure) []departureWord {
+func (e *Entry) applyDepartures(departures []upstream.Departure) []departureNotice {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var passOn []departureWord
-	for _, departure := range e.registry.MergeDepartures(time.Now(), words) {
-		word := departureWord(departure)
-		e.departed(word)
-		e.counts.departuresHeard.Inc()
-		e.options.Log.Info("upstream leaves", "upstream", string(word.Upstream), "heard", "entry")
-		passOn = append(passOn, word)
+	var forward []departureNotice
+	for _, departure := range e.registry.MergeDepartures(time.Now(), departures) {
+		notice := departureNotice(departure)
+		e.markLeaving(notice)
+		e.counts.departuresReceived.Inc()
+		e.options.Log.Info("upstream is leaving", "upstream", string(notice.Upstream), "heard", "entry")
+		forward = append(forward, notice)
 	}
-	return passOn
+	return forward
 }
--- a/internal/entry/departures_test.go
+++ b/internal/entry/departures_test.go
@@ -80,7 +80,7 @@
 }
 
 func (b *bench) takeWords(t *testing.T, body []byte) {
-	if err := b.TakeDepartures(body); err != nil {
+	if err := b.ApplyDepartures(body); err != nil {
 		t.Error(err)
 	}
 }
@@ -116,7 +116,7 @@
 		time.Sleep(10 * time.Minute)
 		cancel()
 		synctest.Wait()
-		if quiet := lastTold.Sub(started); told < 2 || quiet > departureRepeat+departureEvery {
+		if quiet := lastTold.Sub(started); told < 2 || quiet > departureRepeat+departureInterval {
 			t.Errorf("told %d times, the last time after %v", told, quiet)
 		}
 		for _, b := range []*bench{one, two} {
@@ -131,25 +131,25 @@
 // A message that is damaged, too long or of another kind must be refused whole:
 // taken in part, it would take out engines that nobody said are leaving.
 func TestBadDeparturesAreRefused(t *testing.T) {
-	word := departureWord{Upstream: "runner-1", Incarnation: 1}
+	word := departureNotice{Upstream: "runner-1", Incarnation: 1}
 	many := departureMessage{}
-	for i := range maxDepartureWords + 1 {
-		many.Words = append(many.Words, departureWord{Upstream: ident.Upstream(fmt.Sprint("runner-", i)), Incarnation: 1})
+	for i := range maxDeparturesPerMessage + 1 {
+		many.Departures = append(many.Departures, departureNotice{Upstream: ident.Upstream(fmt.Sprint("runner-", i)), Incarnation: 1})
 	}
-	long := departureWord{Upstream: ident.Upstream(strings.Repeat("r", upstream.MaxNameLength+1)), Incarnation: 1}
+	long := departureNotice{Upstream: ident.Upstream(strings.Repeat("r", upstream.MaxNameLength+1)), Incarnation: 1}
 	cases := map[string]any{
 		"another kind":        "runner-1",
 		"too many":            many,
-		"no name":             departureMessage{Words: []departureWord{word, {Incarnation: 1}}},
-		"long name":           departureMessage{Words: []departureWord{word, long}},
-		"unknown field":       map[int]any{1: []departureWord{word}, 2: true},
+		"no name":             departureMessage{Departures: []departureNotice{word, {Incarnation: 1}}},
+		"long name":           departureMessage{Departures: []departureNotice{word, long}},
+		"unknown field":       map[int]any{1: []departureNotice{word}, 2: true},
 		"unknown inner field": map[int]any{1: []any{map[int]any{1: "runner-1", 2: 1, 3: "more"}}},
 	}
 	for name, message := range cases {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
 			b.engine(t, "runner-1")
-			if err := b.TakeDepartures(wire.MustMarshal(message)); err == nil {
+			if err := b.ApplyDepartures(wire.MustMarshal(message)); err == nil {
 				t.Error("the message is taken")
 			}
 			if left := b.registry.Departures(nil); len(left) > 0 {
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -9,7 +9,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// errClosed refuses requests after the drain has ended.
+// errClosed is the refusal of requests after the drain has ended.
 var errClosed = &outcome.NotRun{
 	Reason:     outcome.ReasonDraining,
 	Detail:     "this entry has shut down; ask another one",
@@ -18,20 +18,20 @@
 
 var errLeaving = errors.New("leaving: no new callers are sent here")
 
-// drainState is how far a graceful shutdown has come.
+// drainState is the progress of a graceful shutdown.
 type drainState struct {
 	mu      sync.Mutex
 	open    int
 	leaving bool
 	closed  bool
-	// keptUntil is when the last address answer that names this entry runs
-	// out.
+	// keptUntil is the latest expiry of the address answers that name this
+	// entry.
 	keptUntil time.Time
-	// idle is closed once nothing is open after closed was set.
+	// idle is closed when closed is set and no request is open.
 	idle chan struct{}
 }
 
-// enter counts a request in; it fails once the entry is closed.
+// enter counts a new request as open. It returns false if the entry is closed.
 func (d *drainState) enter() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,8 +66,9 @@
 	return d.leaving
 }
 
-// keep notes that a caller may use this entry until the given time.
-func (d *drainState) keep(until time.Time) {
+// extendKeptUntil records that a caller may use this entry until the given
+// time.
+func (d *drainState) extendKeptUntil(until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if until.After(d.keptUntil) {
@@ -75,20 +76,22 @@
 	}
 }
 
-// startLeaving returns until when callers may still come: until own answers
-// and those of the other entries that may name this one have run out.
-func (d *drainState) startLeaving(othersUntil time.Time) time.Time {
+// startLeaving marks the entry as leaving. It returns the time until which
+// callers may still arrive: the latest expiry of address answers given by this
+// entry or, until peersUntil, by other entries.
+func (d *drainState) startLeaving(peersUntil time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaving = true
-	if othersUntil.After(d.keptUntil) {
-		return othersUntil
+	if peersUntil.After(d.keptUntil) {
+		return peersUntil
 	}
 	return d.keptUntil
 }
 
-// leaveNotice is how long the other entries may go on naming an entry that has
-// said that it leaves: its word travels with lease renewals, one a second.
+// leaveNotice is how long other entries may continue to name an entry that has
+// announced its leaving. The announcement is sent with the lease renewals, one
+// per second.
 const leaveNotice = 2 * time.Second
 
 func (d *drainState) close() {
@@ -98,11 +101,12 @@
 	d.signal()
 }
 
-// Drain shuts down gracefully. The entry first leaves the address answers, so
-// that no new caller comes. It goes on serving until the longest answer that
-// names it has run out: those callers don't ask again before and would else
-// find the door shut. Then it refuses new requests and returns once every open
-// one has ended, or when ctx does.
+// Drain shuts down gracefully. It first removes the entry from address answers,
+// so that no new callers are directed to it. The entry continues to serve until
+// the last address answer that names it has expired, because callers with such
+// an answer do not request another address before and would be refused. Drain
+// then refuses new requests and returns when all open requests have ended, or
+// with the error of ctx when ctx ends.
 func (e *Entry) Drain(ctx context.Context) error {
 	until := e.drain.startLeaving(time.Now().Add(leaveNotice + e.options.KeepAddress))
 	e.options.Control.Leave()
--- a/internal/entry/dump.go
+++ b/internal/entry/dump.go
@@ -14,8 +14,8 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// Dump is the state of an entry for operators. It holds no secret: neither the
-// block key nor any digest of a token, and no prompt.
+// Dump is the entry's state for operators. It contains no secrets: no block
+// key, no token digest and no prompt.
 type Dump struct {
 	Host          ident.Host        `json:"host" cbor:"host"`
 	DataCentre    ident.DataCentre  `json:"data_centre" cbor:"data_centre"`
@@ -35,7 +35,7 @@
 	RepairsQueued int               `json:"repairs_queued" cbor:"repairs_queued"`
 }
 
-// DrainDump is how far a graceful shutdown has come.
+// DrainDump is the progress of a graceful shutdown.
 type DrainDump struct {
 	Open      int       `json:"open" cbor:"open"`
 	Leaving   bool      `json:"leaving" cbor:"leaving"`
@@ -43,22 +43,22 @@
 	KeptUntil time.Time `json:"kept_until" cbor:"kept_until"`
 }
 
-// KeptDump describes the kept prompts whose home is here.
+// KeptDump describes the kept prompts whose home is this entry.
 type KeptDump struct {
 	Prompts int `json:"prompts" cbor:"prompts"`
 	Copies  int `json:"copies" cbor:"copies"`
-	// Waiting is the work that waits to be carried out, Homes the entries
-	// among which prompts are divided.
+	// Waiting is the number of queued store operations. Homes is the number of
+	// entries over which prompts are distributed.
 	Waiting int        `json:"waiting" cbor:"waiting"`
 	Homes   int        `json:"homes" cbor:"homes"`
 	Stats   keep.Stats `json:"stats" cbor:"stats"`
-	// Stores is what is kept on each store host, Teams what the teams have that
-	// hold most.
+	// Stores lists what is kept on each store host. Teams lists the teams with
+	// the most kept bytes.
 	Stores []keep.StoreView `json:"stores" cbor:"stores"`
 	Teams  []keep.TeamView  `json:"teams" cbor:"teams"`
 }
 
-// UpstreamDump is one followed upstream.
+// UpstreamDump describes one followed upstream.
 type UpstreamDump struct {
 	Upstream    ident.Upstream    `json:"upstream" cbor:"upstream"`
 	Incarnation ident.Incarnation `json:"incarnation" cbor:"incarnation"`
@@ -67,24 +67,25 @@
 	Offered     bool              `json:"offered" cbor:"offered"`
 	Load        upstream.Load     `json:"load" cbor:"load"`
 	Tiers       []port.TierStatus `json:"tiers,omitempty" cbor:"tiers,omitempty"`
-	// FetchingBytes is what own imports still read from a store host.
+	// FetchingBytes is the number of bytes that this entry's imports are
+	// currently reading from a store host.
 	FetchingBytes int64 `json:"fetching_bytes,omitempty" cbor:"fetching_bytes,omitempty"`
 }
 
-// PoolDump is the admission to one model or service.
+// PoolDump describes the admission control of one model or service.
 type PoolDump struct {
 	Model   ident.Model   `json:"model,omitempty" cbor:"model,omitempty"`
 	Service ident.Service `json:"service,omitempty" cbor:"service,omitempty"`
 	Status  admit.Status  `json:"status" cbor:"status"`
 }
 
-// CellDump is the directory of one cell.
+// CellDump describes the directory of one cell.
 type CellDump struct {
 	Cell      string        `json:"cell" cbor:"cell"`
 	Directory DirectoryDump `json:"directory" cbor:"directory"`
 }
 
-// DirectoryDump describes a directory.
+// DirectoryDump describes a block directory.
 type DirectoryDump struct {
 	Blocks int          `json:"blocks" cbor:"blocks"`
 	Stats  prefix.Stats `json:"stats" cbor:"stats"`
@@ -146,7 +147,7 @@
 			Offered:       offered,
 			Load:          candidate.Load,
 			Tiers:         f.tiers,
-			FetchingBytes: e.fetching.store(id),
+			FetchingBytes: e.fetching.fromStore(id),
 		})
 	}
 	slices.SortFunc(out.Upstreams, func(a, b UpstreamDump) int {
--- a/internal/entry/engines.go
+++ b/internal/entry/engines.go
@@ -8,8 +8,8 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// EngineSummary is what the control hosts need to know of an engine to order
-// it to load versions.
+// EngineSummary is the information about an engine that the control hosts use
+// to order it to load versions.
 type EngineSummary struct {
 	Upstream    ident.Upstream
 	Incarnation ident.Incarnation
@@ -23,7 +23,7 @@
 	Queued      int
 }
 
-// Engines lists the engines that this entry follows, by name.
+// Engines lists the engines that this entry follows, sorted by name.
 func (e *Entry) Engines() []EngineSummary {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -22,9 +22,9 @@
 	counts  counts
 	keeper  *keeper
 	repairs chan ident.Upstream
-	// looks are upstreams at which attempts broke off.
-	looks chan look
-	drain drainState
+	// probes are the queued checks of upstreams with broken connections.
+	probes chan probe
+	drain  drainState
 
 	// mu guards the decision state below. It is never held during I/O.
 	mu       sync.Mutex
@@ -35,27 +35,28 @@
 	tracker  *retry.Tracker
 	pools    map[poolKey]*pool
 	shares   teamShares
-	// slots adds up the slots of the upstreams of each model and service.
+	// slots is the total number of upstream slots of each model and service.
 	slots map[poolKey]int
-	// cells holds the directory of each cell's engines, stores that of the
-	// store hosts.
+	// cells holds the block directory of each cell's engines; stores is the
+	// directory of all store hosts.
 	cells    map[ident.Cell]*prefix.Directory
 	stores   *prefix.Directory
 	followed map[ident.Upstream]*followed
-	// departures are told to the other entries.
-	departures departureNews
-	// ends are of upstreams, and the requests that may have brought them about.
-	ends ends
-	// centres lists the data centres where a model, a service or (under the
-	// empty name) a store host was announced.
+	// departures are sent repeatedly to the other entries.
+	departures departureRepeater
+	// crashes records upstream crashes and the requests that may have caused
+	// them.
+	crashes crashState
+	// centres lists the data centres in which a model, a service or (under the
+	// zero key) a store host was announced.
 	centres map[poolKey][]ident.DataCentre
-	// fetching is what own imports still move.
-	fetching underWay
-	// inFlight tells where prompts are about to be, and bringing of each request
-	// that takes one there what it brings.
-	inFlight *route.InFlight
-	bringing map[ident.Request]*bringing
-	// callTimes is what is learned of each service's calls.
+	// fetching is the volume of this entry's imports in progress.
+	fetching fetchingBytes
+	// inFlight records which engines are going to hold which prompts, and
+	// pendingPrompts the blocks of each request that causes it.
+	inFlight       *route.InFlight
+	pendingPrompts map[ident.Request]*pendingPrompt
+	// callTimes holds the measured answer times of each service.
 	callTimes map[ident.Service]*callTimes
 }
 
@@ -86,43 +87,44 @@
 	}
 	budgets := retry.NewBudgets(retry.DefaultBudgetOptions())
 	e := &Entry{
-		options:    options,
-		counts:     newCounts(options.Metrics),
-		repairs:    make(chan ident.Upstream, maxRepairs),
-		looks:      make(chan look, maxLooks),
-		registry:   registry,
-		planner:    planner,
-		policy:     retry.NewPolicy(retry.DefaultOptions(), budgets),
-		budgets:    budgets,
-		tracker:    retry.NewTracker(options.MaxInFlight),
-		pools:      make(map[poolKey]*pool),
-		slots:      make(map[poolKey]int),
-		cells:      make(map[ident.Cell]*prefix.Directory),
-		stores:     stores,
-		followed:   make(map[ident.Upstream]*followed),
-		departures: newDepartureNews(),
-		ends:       newEnds(),
-		centres:    make(map[poolKey][]ident.DataCentre),
-		fetching:   newUnderWay(),
-		inFlight:   route.NewInFlight(),
-		bringing:   make(map[ident.Request]*bringing),
-		callTimes:  make(map[ident.Service]*callTimes),
+		options:        options,
+		counts:         newCounts(options.Metrics),
+		repairs:        make(chan ident.Upstream, maxRepairs),
+		probes:         make(chan probe, maxProbes),
+		registry:       registry,
+		planner:        planner,
+		policy:         retry.NewPolicy(retry.DefaultOptions(), budgets),
+		budgets:        budgets,
+		tracker:        retry.NewTracker(options.MaxInFlight),
+		pools:          make(map[poolKey]*pool),
+		slots:          make(map[poolKey]int),
+		cells:          make(map[ident.Cell]*prefix.Directory),
+		stores:         stores,
+		followed:       make(map[ident.Upstream]*followed),
+		departures:     newDepartureRepeater(),
+		crashes:        newCrashState(),
+		centres:        make(map[poolKey][]ident.DataCentre),
+		fetching:       newFetchingBytes(),
+		inFlight:       route.NewInFlight(),
+		pendingPrompts: make(map[ident.Request]*pendingPrompt),
+		callTimes:      make(map[ident.Service]*callTimes),
 	}
 	e.drain.idle = make(chan struct{})
 	e.keeper, err = newKeeper(e)
 	return e, err
 }
 
-// Run does the entry's background work until ctx ends: leases that run out,
-// snapshots that repair directories, looks at upstreams that were lost, and exports.
+// Run does the entry's background work until ctx ends: expiry of upstream
+// leases, snapshots that repair directories, probes of lost upstreams, and the
+// operations on kept prompts.
 func (e *Entry) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	work.Go(func() { e.housekeeping(ctx) })
 	for range repairWorkers {
 		work.Go(func() { e.repairLoop(ctx) })
 	}
-	for range lookWorkers {
-		work.Go(func() { e.lookLoop(ctx) })
+	for range probeWorkers {
+		work.Go(func() { e.probeLoop(ctx) })
 	}
 	work.Go(func() { e.keeper.runPlans(ctx) })
 	for range keepWorkers {
@@ -133,9 +135,10 @@
 
 // Authorize implements Service.
 //
-// An entry that may not serve can't say that a token is unknown: the
-// configuration that names it may be in force elsewhere, and a caller that is
-// told "unauthorized" would give up instead of using another entry.
+// An entry without a serving lease or configuration can't know that a token is
+// invalid: a configuration that contains it may be in force elsewhere, and a
+// caller that receives "unauthorized" would give up instead of using another
+// entry. Such an entry returns the error of MayServe.
 func (e *Entry) Authorize(digest config.TokenDigest) (Caller, error) {
 	caller, ok := NewCaller(e.options.Control.Snapshot(), digest)
 	if ok {
@@ -150,13 +153,13 @@
 	}
 }
 
-// MayServe refuses new requests while this entry has no serving lease or no
-// configuration; it says why.
+// MayServe returns an error with the reason while this entry has no serving
+// lease or no configuration and therefore refuses new requests.
 func (e *Entry) MayServe() error { return e.mayServe(time.Now()) }
 
-// mayServe refuses new requests while this entry has no serving lease: it may
-// then be behind a configuration that is in force elsewhere. It refuses them
-// too while it holds no configuration, under which nothing can be served.
+// mayServe returns an error while this entry has no serving lease, since its
+// configuration may then be older than the one in force elsewhere, or while it
+// has no configuration.
 func (e *Entry) mayServe(now time.Time) error {
 	serving := e.options.Control.Serving(now)
 	if serving && e.options.Control.Snapshot().Revision() > 0 {
@@ -176,26 +179,26 @@
 	}
 }
 
-// renew brings a caller up to the configuration in force. A caller may take
-// long to send its body; a request that went by the revision of its first byte
-// could act on a configuration that every entry has acknowledged to be over,
-// for example with a token that was taken back meanwhile.
-func (e *Entry) renew(caller Caller) (Caller, error) {
+// refreshCaller resolves a caller again under the configuration in force.
+// Sending a body may take a caller long. A request that used the revision of
+// its first byte could act on a configuration that every entry has acknowledged
+// as replaced, for example with a token that has been revoked meanwhile.
+func (e *Entry) refreshCaller(caller Caller) (Caller, error) {
 	if e.options.Control.Snapshot() == caller.snapshot {
 		return caller, nil
 	}
 	return e.Authorize(caller.digest)
 }
 
-// classOf finds the class of a request: the one asked for, else the first of
-// the team's classes of that kind.
-func classOf(caller Caller, asked ident.Class, kind config.ClassKind) (*config.Class, error) {
-	if asked != "" {
-		class, ok := caller.snapshot.Class(asked)
-		if !ok || !caller.team.Allows(asked) || class.Kind != kind {
+// classOf returns the class of a request: the requested one, or the first of
+// the team's classes of that kind if none is requested.
+func classOf(caller Caller, requested ident.Class, kind config.ClassKind) (*config.Class, error) {
+	if requested != "" {
+		class, ok := caller.snapshot.Class(requested)
+		if !ok || !caller.team.Allows(requested) || class.Kind != kind {
 			return nil, &outcome.NotRun{
 				Reason: outcome.ReasonBadRequest,
-				Detail: "the team may not use class \"" + limitName(string(asked)) + "\" for this request",
+				Detail: "the team may not use class \"" + limitName(string(requested)) + "\" for this request",
 			}
 		}
 		return class, nil
@@ -211,7 +214,7 @@
 	}
 }
 
-// maxNameEcho bounds how much of a caller's own text an error repeats.
+// maxNameEcho bounds, in bytes, how much of a caller's text an error repeats.
 const maxNameEcho = 100
 
 func limitName(name string) string {
@@ -221,8 +224,8 @@
 	return name[:maxNameEcho] + "…"
 }
 
-// NewCaller finds the team that a bearer token's digest names in a
-// configuration.
+// NewCaller returns the caller whose team has a token with the given digest in
+// a configuration, and whether there is one.
 func NewCaller(snapshot *config.Snapshot, digest config.TokenDigest) (Caller, bool) {
 	team, ok := snapshot.TeamByToken(digest)
 	return Caller{team: team, snapshot: snapshot, digest: digest}, ok
--- a/internal/entry/exports.go
+++ b/internal/entry/exports.go
@@ -9,19 +9,19 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// exportRun is one export under way.
+// exportRun is one export in progress.
 type exportRun struct {
 	keeper *keeper
 	plan   keep.Export
 	store  port.Store
-	// blocks finds the planned block of a target.
+	// blocks maps a target's block to the planned block.
 	blocks  map[port.BlockID]keep.PlannedBlock
 	targets map[port.BlockID]port.ExportTarget
 }
 
-// export reserves slots, lets the engine write them and asks the store to
-// commit what was written. The store arbitrates: a block that another entry
-// exports at the same time is reserved once only.
+// export reserves slots on the store, has the engine write them, and requests
+// the store to commit what was written. The store arbitrates between entries: a
+// block that several entries export at once is reserved only once.
 func (k *keeper) export(ctx context.Context, plan keep.Export) {
 	storeAddress, storeKnown := k.address(plan.Store)
 	engineAddress, engineKnown := k.address(plan.Runner)
@@ -47,19 +47,19 @@
 		Targets: targets,
 	})
 	if err != nil {
-		k.failed(ctx, "export", err)
+		k.logFailure(ctx, "export", err)
 	}
 	for _, block := range result.Written {
 		run.commit(ctx, block)
 	}
-	// What is left was not written, or the engine did not say so.
+	// The remaining targets were not written or not reported by the engine.
 	for id := range run.targets {
 		run.fail(id, keep.FailedEngine)
 	}
 }
 
-// reserveAll reserves slots until one is refused: a later block is of no use
-// without those before it.
+// reserveAll reserves slots until one is refused: a block is useless without
+// the preceding ones.
 func (r *exportRun) reserveAll(ctx context.Context, address string) []port.ExportTarget {
 	var targets []port.ExportTarget
 	for i, block := range r.plan.Blocks {
@@ -70,14 +70,14 @@
 			Team:     r.plan.Scope.Team,
 			Bytes:    block.Bytes,
 			Tier:     portTier(r.plan.Tier),
-			Lifetime: reservationLife,
+			Lifetime: reservationLifetime,
 		})
 		if err != nil {
-			r.keeper.failed(ctx, "reserve", err)
+			r.keeper.logFailure(ctx, "reserve", err)
 			r.keeper.failAll(r.plan.Blocks[i:], keep.FailedStore)
 			return targets
 		}
-		if r.reserved(block, reservation) != keep.Write {
+		if r.recordReservation(block, reservation) != keep.Write {
 			continue
 		}
 		target := port.ExportTarget{
@@ -93,7 +93,7 @@
 	return targets
 }
 
-func (r *exportRun) reserved(block keep.PlannedBlock, answer port.Reservation) keep.Step {
+func (r *exportRun) recordReservation(block keep.PlannedBlock, answer port.Reservation) keep.Step {
 	r.keeper.entry.mu.Lock()
 	defer r.keeper.entry.mu.Unlock()
 	return r.keeper.manager.Reserved(time.Now(), block.ID, keep.Reservation{
@@ -105,11 +105,11 @@
 	})
 }
 
-// commit asks the store to verify and commit one written block.
+// commit requests the store to verify and commit one written block.
 func (r *exportRun) commit(ctx context.Context, written port.ExportedBlock) {
 	target, ok := r.targets[written.Block]
 	if !ok {
-		return // the engine wrote what it was not asked to
+		return // not requested
 	}
 	delete(r.targets, written.Block)
 	block := r.blocks[written.Block]
@@ -128,7 +128,7 @@
 		Checksum:   written.Checksum,
 	})
 	if err != nil {
-		r.keeper.failed(ctx, "commit", err)
+		r.keeper.logFailure(ctx, "commit", err)
 		r.fail(written.Block, keep.FailedStore)
 		return
 	}
@@ -147,7 +147,7 @@
 	r.keeper.manager.Failed(time.Now(), r.blocks[id].ID, failure)
 }
 
-// anyCopyOf describes a slot in whatever phase.
+// anyCopyOf converts a slot in any phase to a copy.
 func anyCopyOf(state port.SlotState) prefix.Copy {
 	return prefix.Copy{
 		Slot:       state.Slot,
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -265,10 +265,10 @@
 	ended bool
 }
 
-func (u *fakeUpstreams) Engine(address string) port.Engine   { return u.engines[address] }
-func (u *fakeUpstreams) Store(string) port.Store             { return u.store }
-func (u *fakeUpstreams) Ended(context.Context, string) bool  { return u.ended }
-func (u *fakeUpstreams) Service(address string) port.Service { return u.services[address] }
+func (u *fakeUpstreams) Engine(address string) port.Engine    { return u.engines[address] }
+func (u *fakeUpstreams) Store(string) port.Store              { return u.store }
+func (u *fakeUpstreams) Crashed(context.Context, string) bool { return u.ended }
+func (u *fakeUpstreams) Service(address string) port.Service  { return u.services[address] }
 
 const (
 	testModel   ident.Model   = "appraiser-llm"
--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -11,17 +11,17 @@
 	"github.com/lovagereach/lovagereach/route"
 )
 
-// fetch lets the engine import the plan's blocks. Whatever does not arrive is
-// computed again, so a failure costs time and never the answer.
+// fetch has the engine import the blocks of the plan. Blocks that don't arrive
+// are recomputed, so a failed import costs time but does not fail the answer.
 func (a *answer) fetch() {
-	if len(a.plan.sources)+len(a.plan.held) == 0 {
+	if len(a.plan.sources)+len(a.plan.cachedSources) == 0 {
 		return
 	}
 	e := a.entry
 	pinned := a.pin()
 	var missing []port.BlockID
 	defer func() { e.keeper.unpin(pinned, missing) }()
-	named := slices.Concat(a.plan.held, a.plan.sources)
+	named := slices.Concat(a.plan.cachedSources, a.plan.sources)
 	if len(named) == 0 {
 		return
 	}
@@ -45,35 +45,37 @@
 	}
 	missing = result.Missing
 	if result.Bytes > 0 {
-		a.imported = len(result.Present)
+		a.importedBlocks = len(result.Present)
 	}
 	e.imported(a.plan, result, before, time.Since(start))
 }
 
-// pin takes holds on the copies that the import names and leaves out those
+// pin pins the copies that the import names, and removes those from the plan
 // that may no longer be read.
 func (a *answer) pin() pins {
 	e := a.entry
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now, scope := time.Now(), a.plan.scope(a.job)
-	var pinned, more pins
+	var pinned, cachedPins pins
 	a.plan.sources, pinned = e.keeper.pin(now, scope, a.plan.sources)
-	a.plan.held, more = e.keeper.pin(now, scope, a.plan.held)
-	maps.Copy(pinned, more)
+	a.plan.cachedSources, cachedPins = e.keeper.pin(now, scope, a.plan.cachedSources)
+	maps.Copy(pinned, cachedPins)
 	return pinned
 }
 
-// fetchFactor is how many times its prediction an import may take before the
-// request goes on without it.
+// fetchFactor is the multiple of its predicted duration that an import may
+// take, in addition to at least fetchSlack, before the request continues
+// without it.
 const (
 	fetchFactor = 4
 	fetchSlack  = 250 * time.Millisecond
 )
 
-// fetchTimeout gives an import several times its prediction, and never less
-// than computing the prompt would take: given up sooner, a fetch that is only
-// late would cost its own time and the computation as well.
+// fetchTimeout returns the timeout of an import: fetchFactor times its
+// predicted duration plus a slack, which is at least the time to compute the
+// prompt. With a shorter timeout, a fetch that is merely late would cost both
+// its own time and the computation.
 func (a *answer) fetchTimeout() time.Duration {
 	compute := time.Duration(0)
 	for _, considered := range a.plan.decision.Considered {
@@ -83,8 +85,8 @@
 	return min(wait, a.entry.options.ImportTimeout)
 }
 
-// imported learns from a finished import: the links' speed, and copies that
-// the stores no longer have. before is what was under way when it began.
+// imported updates link speeds and the store directory from a finished import.
+// before is the volume of imports in progress when it began.
 func (e *Entry) imported(p plan, result port.ImportResult, before map[storeTier]int64, took time.Duration) {
 	e.counts.importedBlocks.Add(len(result.Present))
 	e.counts.missingBlocks.Add(len(result.Missing))
@@ -95,14 +97,15 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.retractMissing(p.held, missing)
+	e.retractMissing(p.cachedSources, missing)
 	e.retractMissing(p.sources, missing)
 	for _, transfer := range p.transfers(result, missing, before, took) {
 		e.planner.ObserveTransfer(transfer)
 	}
 }
 
-// transfers lists what an import showed of each tier it read from.
+// transfers returns the measured transfer of each store tier that an import
+// read from.
 func (p plan) transfers(result port.ImportResult, missing map[port.BlockID]bool, before map[storeTier]int64, took time.Duration) []route.Transfer {
 	read := make(map[storeTier]int64, 1)
 	planned := int64(0)
@@ -113,8 +116,9 @@
 		}
 	}
 	if result.Bytes > planned {
-		// Blocks that the engine was thought to hold came too; from which
-		// store, and how many, isn't told, so the time says nothing of a link.
+		// The store also sent blocks that the engine was expected to hold. The
+		// result doesn't report from which store and how many, so the duration
+		// can't be attributed to a link.
 		return nil
 	}
 	transfers := make([]route.Transfer, 0, len(read))
@@ -130,8 +134,8 @@
 	return transfers
 }
 
-// retractMissing forgets copies that the engine did not find. The caller holds
-// the mutex.
+// retractMissing removes copies that the engine did not find from the store
+// directory. The caller holds the mutex.
 func (e *Entry) retractMissing(sources []port.BlockSource, missing map[port.BlockID]bool) {
 	for _, source := range sources {
 		if !missing[source.Block] {
--- a/internal/entry/underway.go
+++ b/internal/entry/fetching.go
@@ -9,45 +9,46 @@
 	"github.com/lovagereach/lovagereach/route"
 )
 
-// storeTier is one tier of a store host. A disk is slower than the link behind
-// which it sits, so what is being read from it delays no reader of the memory
-// as it delays another of the disk.
+// storeTier is one tier of a store host. A disk is slower than the host's link,
+// so a read from the disk delays other reads from the disk but not reads from
+// memory.
 type storeTier struct {
 	store ident.Upstream
 	slow  bool
 }
 
-// underWay is what own imports still move, in bytes.
-type underWay struct {
+// fetchingBytes is the volume, in bytes, of this entry's imports in progress,
+// by source and by destination.
+type fetchingBytes struct {
 	from map[storeTier]int64
 	into map[ident.Upstream]int64
 }
 
-func newUnderWay() underWay {
-	return underWay{from: make(map[storeTier]int64), into: make(map[ident.Upstream]int64)}
+func newFetchingBytes() fetchingBytes {
+	return fetchingBytes{from: make(map[storeTier]int64), into: make(map[ident.Upstream]int64)}
 }
 
-// store is what is being read from all tiers of a store host.
-func (u underWay) store(id ident.Upstream) int64 {
+// fromStore returns the bytes being read from all tiers of a store host.
+func (u fetchingBytes) fromStore(id ident.Upstream) int64 {
 	return u.from[storeTier{store: id}] + u.from[storeTier{store: id, slow: true}]
 }
 
-// forget drops an upstream that is gone.
-func (u underWay) forget(id ident.Upstream) {
+// forget removes an upstream that is gone.
+func (u fetchingBytes) forget(id ident.Upstream) {
 	delete(u.from, storeTier{store: id})
 	delete(u.from, storeTier{store: id, slow: true})
 	delete(u.into, id)
 }
 
-func moved[K comparable](under map[K]int64, key K, bytes int64) {
+func addBytes[K comparable](under map[K]int64, key K, bytes int64) {
 	if under[key] += bytes; under[key] <= 0 {
 		delete(under, key)
 	}
 }
 
-// tierOf tells from which tier the plan reads a source.
+// tierOf returns the tier from which the plan reads a source.
 func (p plan) tierOf(source port.BlockSource) storeTier {
-	return storeTier{store: source.Store, slow: p.slow[source.Block]}
+	return storeTier{store: source.Store, slow: p.slowBlocks[source.Block]}
 }
 
 func tierOfCopy(c prefix.StoredCopy) storeTier {
@@ -56,7 +57,7 @@
 
 func tierOfRun(run route.Copy) storeTier { return storeTier{store: run.Store, slow: run.Slow} }
 
-// slowOf names the blocks whose copies are on a tier below memory.
+// slowOf returns the blocks whose copies are in a tier below memory.
 func slowOf(decision route.Decision, located []prefix.StoredCopy) map[port.BlockID]bool {
 	if len(decision.Parts) == 0 {
 		return nil
@@ -74,8 +75,8 @@
 	return slow
 }
 
-// beginFetching counts the plan's imports as under way and returns what was
-// under way before.
+// beginFetching counts the plan's imports as in progress and returns the
+// previous volume by source.
 func (e *Entry) beginFetching(p plan) map[storeTier]int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,7 +93,7 @@
 
 func (e *Entry) countFetching(p plan, sign int64) {
 	for _, source := range p.sources {
-		moved(e.fetching.from, p.tierOf(source), sign*source.Bytes)
-		moved(e.fetching.into, p.candidate.Upstream, sign*source.Bytes)
+		addBytes(e.fetching.from, p.tierOf(source), sign*source.Bytes)
+		addBytes(e.fetching.into, p.candidate.Upstream, sign*source.Bytes)
 	}
 }
--- a/internal/entry/finish.go
+++ b/internal/entry/finish.go
@@ -13,47 +13,49 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// firstToken records how the first token compares with the prediction.
+// firstToken handles the first token of the answer: it stops the deadline timer
+// and compares the time to first token with the prediction.
 func (a *answer) firstToken() {
-	if a.overdue != nil {
-		a.overdue.Stop()
+	if a.deadlineTimer != nil {
+		a.deadlineTimer.Stop()
 	}
 	now := time.Now()
 	e := a.entry
 	e.mu.Lock()
 	e.registry.FirstToken(a.attempt)
-	e.brought(a.attempt.Request, a.plan)
-	// The limit guards the engines: with the import in it, a slow link would
-	// lower the limit while they are idle.
+	e.removePending(a.attempt.Request, a.plan)
+	// The admission limit protects the engines. If it included the import, a
+	// slow link would lower the limit while the engines are idle.
 	decision := a.plan.decision
 	predicted := 2*a.plan.load.NetworkDelay + decision.Wait + decision.Prefill
-	if a.joining == nil { // else the predicted wait is for another's import
-		a.pool.controller.FirstToken(now, predicted, now.Sub(a.began))
+	if a.joinedImport == nil { // otherwise the predicted wait is for the import of another request
+		a.pool.controller.FirstToken(now, predicted, now.Sub(a.generateStarted))
 	}
 	e.mu.Unlock()
 	e.counts.firstToken.Update(now.Sub(a.job.arrived).Seconds())
 }
 
-// finish records a whole answer.
+// finish records a complete answer.
 func (a *answer) finish(usage port.Usage) {
 	e := a.entry
 	if usage.Version != "" && usage.Version != a.plan.version {
-		// The engine refuses a version it does not have, so this can't happen
-		// with one that keeps the contract; it is counted and shown.
+		// An engine that follows the protocol refuses a version that it doesn't
+		// have. Violations are counted, and the version is reported to the
+		// caller.
 		e.counts.wrongVersion.Inc()
 	}
 	a.setUsage(usage)
 	now := time.Now()
 	e.mu.Lock()
 	e.registry.Finish(now, a.attempt, upstream.Succeeded)
-	e.brought(a.attempt.Request, a.plan)
+	e.removePending(a.attempt.Request, a.plan)
 	e.tracker.End(a.attempt.Request, a.attempt.Number)
 	a.learn(usage)
 	e.mu.Unlock()
-	e.noteServed(a.job.print)
+	e.recordServed(a.job.fingerprint)
 	e.counts.done.Inc()
-	e.counts.ended(outcome.KindDone)
-	e.keeper.used(a.job, a.plan, usage)
+	e.counts.countOutcome(outcome.KindDone)
+	e.keeper.reportUse(a.job, a.plan, usage)
 	a.release()
 }
 
@@ -74,18 +76,18 @@
 	}
 	a.provenance.KeptPrompt = a.plan.chain.blocks[reused-1]
 	a.provenance.KeptFrom = KeptInCache
-	if a.imported > 0 {
+	if a.importedBlocks > 0 {
 		a.provenance.KeptFrom = KeptInStore
 	}
 }
 
-// reusedBlocks is how many of the prompt's blocks the engine reused.
+// reusedBlocks returns how many of the prompt's blocks the engine reused.
 func (a *answer) reusedBlocks(usage port.Usage) int {
 	return min(usage.ReusedTokens/a.job.model.BlockTokens, len(a.plan.chain.blocks))
 }
 
-// learn corrects directory and planner by what the answer showed. The caller
-// holds the mutex.
+// learn corrects the directory and the planner by the usage that the engine
+// reported. The caller holds the mutex.
 func (a *answer) learn(usage port.Usage) {
 	e := a.entry
 	p := a.plan
@@ -102,7 +104,7 @@
 		})
 	}
 	if a.provenance.Resumes > 0 {
-		return // the times are not those of one whole request
+		return // the times cover only part of the request
 	}
 	e.planner.Observe(route.Observation{
 		Upstream:         p.candidate.Upstream,
@@ -113,17 +115,18 @@
 		RecomputedTokens: usage.PromptTokens - usage.ReusedTokens,
 		Prefill:          usage.Prefill,
 		Predicted:        p.decision.FirstToken,
-		FirstToken:       a.joined + p.decision.Fetch + usage.Queue + usage.Prefill,
+		FirstToken:       a.joinWait + p.decision.Fetch + usage.Queue + usage.Prefill,
 	})
 }
 
-// attemptFailed records what a failed attempt tells about its upstream.
+// attemptFailed records a failed attempt and its result for the health of the
+// upstream.
 func (a *answer) attemptFailed(err error) {
 	if outcome.KindOf(err) != outcome.KindNotRun {
-		a.ran = err
+		a.possiblyRan = err
 		if a.ctx.Err() == nil {
 			c := a.plan.candidate
-			a.entry.noteLost(c.Upstream, c.Incarnation, c.Address, quarantine.Attempt{Request: a.attempt.Request.String(), Print: a.job.print})
+			a.entry.recordLost(c.Upstream, c.Incarnation, c.Address, quarantine.Attempt{Request: a.attempt.Request.String(), Print: a.job.fingerprint})
 		}
 	}
 	result := upstream.Failed
@@ -133,7 +136,7 @@
 	case a.ctx.Err() != nil:
 		result = upstream.Cancelled
 	case errors.As(err, &notRun) && notRun.Reason == outcome.ReasonRefused:
-		// A refusal for want of room says that the upstream is well.
+		// A refusal for lack of capacity shows that the upstream is healthy.
 		result = upstream.Succeeded
 		a.overloaded()
 	case errors.As(err, &unknown) && unknown.Reason == outcome.ReasonTimeout:
@@ -150,16 +153,16 @@
 	a.entry.mu.Unlock()
 }
 
-// finishAttempt ends the current attempt and cancels its stream.
+// finishAttempt ends the current attempt and closes its stream.
 func (a *answer) finishAttempt(result upstream.Result) {
 	if a.stream != nil {
-		_ = a.stream.Close() // the attempt is over whatever Close says
+		_ = a.stream.Close() // the attempt has ended regardless of the error
 		a.stream = nil
 	}
 	e := a.entry
 	e.mu.Lock()
 	e.registry.Finish(time.Now(), a.attempt, result)
-	e.brought(a.attempt.Request, a.plan)
+	e.removePending(a.attempt.Request, a.plan)
 	e.tracker.End(a.attempt.Request, a.attempt.Number)
 	e.mu.Unlock()
 }
@@ -167,18 +170,18 @@
 // fail ends the answer with an outcome other than done.
 func (a *answer) fail(err error) {
 	a.provenance.Outcome = outcome.KindOf(err)
-	a.entry.counts.ended(a.provenance.Outcome)
+	a.entry.counts.countOutcome(a.provenance.Outcome)
 	a.release()
 }
 
-// release gives back everything the request holds.
+// release frees all resources of the request.
 func (a *answer) release() {
-	if a.over {
+	if a.finished {
 		return
 	}
-	a.over = true
-	if a.overdue != nil {
-		a.overdue.Stop()
+	a.finished = true
+	if a.deadlineTimer != nil {
+		a.deadlineTimer.Stop()
 	}
 	if a.stream != nil {
 		_ = a.stream.Close()
@@ -191,7 +194,7 @@
 	a.entry.end(a.job.prompt.Request)
 }
 
-// firstAttempt lets the request pay into the retry budgets.
+// firstAttempt credits the retry budgets for a request's first attempt.
 func (e *Entry) firstAttempt(j *job) {
 	e.mu.Lock()
 	e.budgets.First(j.prompt.Caller.Team(), j.class.Name)
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -10,24 +10,25 @@
 	"github.com/lovagereach/lovagereach/retry"
 )
 
-// callTimes learns how long the calls of one service usually take until their
-// answer begins: a smoothed mean and deviation, as for a retransmission timer.
+// callTimes estimates the time until the answer to a call of one service
+// begins: a smoothed mean and deviation, as for a TCP retransmission timer.
 type callTimes struct {
 	count           int
 	mean, deviation float64 // seconds
 }
 
 const (
-	// meanGain and deviationGain are the weights of one call.
+	// meanGain and deviationGain are the weights of one observation.
 	meanGain      = 0.125
 	deviationGain = 0.25
-	// usualDeviations above the mean is longer than a call usually takes.
-	usualDeviations = 4
-	// minObserved is how many calls must have been seen before one counts as
-	// slow.
+	// slowDeviations is the number of deviations above the mean beyond which a
+	// call counts as slow.
+	slowDeviations = 4
+	// minObserved is the number of observations before calls can count as slow.
 	minObserved = 16
-	// minUsual keeps fast services from being asked twice for a hiccup.
-	minUsual = 10 * time.Millisecond
+	// minSlowAfter is the lower bound of slowAfter. It prevents hedges of fast
+	// services because of short delays.
+	minSlowAfter = 10 * time.Millisecond
 )
 
 func (t *callTimes) observe(took time.Duration) {
@@ -41,18 +42,17 @@
 	t.deviation += deviationGain * (math.Abs(miss) - t.deviation)
 }
 
-// usual returns the time after which a call counts as slow; false while too
-// little is known.
-func (t *callTimes) usual() (time.Duration, bool) {
+// slowAfter returns the duration after which a call counts as slow, and false
+// while there are too few observations.
+func (t *callTimes) slowAfter() (time.Duration, bool) {
 	if t.count < minObserved {
 		return 0, false
 	}
-	seconds := t.mean + usualDeviations*t.deviation
-	return max(time.Duration(seconds*float64(time.Second)), minUsual), true
+	seconds := t.mean + slowDeviations*t.deviation
+	return max(time.Duration(seconds*float64(time.Second)), minSlowAfter), true
 }
 
-// timesOf returns what is known of a service's calls. The caller holds the
-// mutex.
+// timesOf returns the call times of a service. The caller holds the mutex.
 func (e *Entry) timesOf(service ident.Service) *callTimes {
 	times := e.callTimes[service]
 	if times == nil {
@@ -64,75 +64,75 @@
 	return times
 }
 
-// forwarded is the end of one attempt.
-type forwarded struct {
+// forwardResult is the result of one attempt.
+type forwardResult struct {
 	answer ServiceAnswer
 	err    error
 	cancel context.CancelFunc
 }
 
-// forwardHedged makes one attempt of a repeatable call, and a second one beside
-// it when the first takes longer than such calls usually do and the policy has
-// budget and slack for it. The first good answer wins; the other attempt is
-// cancelled and its answer dropped.
+// forwardHedged makes one attempt of a repeatable call, and a second,
+// concurrent one when the first is slower than usual for the service and the
+// retry policy permits a hedge within budget and deadline. The first success is
+// returned; the other attempt is cancelled and its answer discarded.
 func (e *Entry) forwardHedged(ctx context.Context, j *serviceJob) (ServiceAnswer, error) {
 	e.mu.Lock()
-	usual, known := e.timesOf(j.call.Service).usual()
+	slowAfter, estimated := e.timesOf(j.call.Service).slowAfter()
 	e.mu.Unlock()
-	if !known {
+	if !estimated {
 		return e.forward(ctx, j)
 	}
-	ended := make(chan forwarded, maxHedges)
+	results := make(chan forwardResult, maxHedges)
 	started := time.Now()
-	e.attempt(ctx, j, ended)
+	e.attempt(ctx, j, results)
 	open := 1
-	// The policy wants more than the usual time to have passed.
-	slow := time.NewTimer(usual + time.Millisecond)
+	// The policy requires that more than the usual time has passed.
+	slow := time.NewTimer(slowAfter + time.Millisecond)
 	defer slow.Stop()
 	for {
 		select {
 		case <-slow.C:
-			if open == 1 && e.mayHedge(j, time.Since(started), usual) {
+			if open == 1 && e.mayHedge(j, time.Since(started), slowAfter) {
 				e.counts.hedges.Inc()
-				e.attempt(ctx, j, ended)
+				e.attempt(ctx, j, results)
 				open++
 			}
-		case end := <-ended:
+		case result := <-results:
 			open--
-			if end.err != nil && open > 0 {
-				end.cancel()
-				continue // the other may still answer
+			if result.err != nil && open > 0 {
+				result.cancel()
+				continue // the other attempt may still succeed
 			}
-			e.dropLate(ended, open)
-			if end.err != nil {
-				end.cancel()
+			e.dropLate(results, open)
+			if result.err != nil {
+				result.cancel()
 			}
-			return end.answer, end.err
+			return result.answer, result.err
 		}
 	}
 }
 
-// maxHedges bounds the attempts of one call under way at once.
+// maxHedges bounds the concurrent attempts of one call.
 const maxHedges = 2
 
-// attempt forwards the call on a goroutine of its own. The context of a good
-// answer stays open until the whole call's ends, since its body is read later.
-func (e *Entry) attempt(ctx context.Context, j *serviceJob, ended chan<- forwarded) {
+// attempt forwards the call in a new goroutine. After a success its context
+// stays open until the context of the call ends, since the body is read later.
+func (e *Entry) attempt(ctx context.Context, j *serviceJob, results chan<- forwardResult) {
 	own, cancel := context.WithCancel(ctx)
 	go func() {
 		answer, err := e.forward(own, j)
-		ended <- forwarded{answer: answer, err: err, cancel: cancel}
+		results <- forwardResult{answer: answer, err: err, cancel: cancel}
 	}()
 }
 
-// dropLate closes the answers of attempts that lost.
-func (e *Entry) dropLate(ended <-chan forwarded, open int) {
+// dropLate closes the answers of the attempts that lost.
+func (e *Entry) dropLate(results <-chan forwardResult, open int) {
 	if open == 0 {
 		return
 	}
 	go func() {
 		for range open {
-			late := <-ended
+			late := <-results
 			if late.err == nil {
 				_ = late.answer.Body.Close()
 				e.counts.lateAnswers.Inc()
@@ -142,8 +142,8 @@
 	}()
 }
 
-func (e *Entry) mayHedge(j *serviceJob, waited, usual time.Duration) bool {
-	if e.judged(j.print) {
+func (e *Entry) mayHedge(j *serviceJob, waited, slowAfter time.Duration) bool {
+	if e.isSuspect(j.fingerprint) {
 		return false
 	}
 	e.mu.Lock()
@@ -154,17 +154,18 @@
 		Repeatable: j.repeatable,
 		Attempts:   j.attempts,
 		Deadline:   j.deadline,
-		Expected:   usual,
-	}, waited, usual)
+		Expected:   slowAfter,
+	}, waited, slowAfter)
 }
 
-// noteCall learns from one attempt. The caller holds the mutex.
-func (e *Entry) noteCall(j *serviceJob, took time.Duration, err error) {
+// recordCall records the duration or the error of one attempt. The caller holds
+// the mutex.
+func (e *Entry) recordCall(j *serviceJob, took time.Duration, err error) {
 	if err == nil {
 		e.timesOf(j.call.Service).observe(took)
 		return
 	}
 	if outcome.KindOf(err) != outcome.KindNotRun {
-		j.ran = err
+		j.possiblyRan = err
 	}
 }
--- a/internal/entry/keeper.go
+++ b/internal/entry/keeper.go
@@ -16,36 +16,37 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// Bounds of the work on kept prompts.
+// Bounds and intervals of the operations on kept prompts.
 const (
-	// maxKeepWork bounds what waits to be carried out.
+	// maxKeepWork bounds the queued operations.
 	maxKeepWork = 256
-	// keepWorkers bounds what is carried out at once.
+	// keepWorkers bounds the concurrent operations.
 	keepWorkers = 4
-	// planEvery is how often the manager is asked what to do.
-	planEvery = 100 * time.Millisecond
-	// statusEvery is how often store hosts are asked for room and links.
-	statusEvery = time.Second
-	// keepTimeout bounds one export, free or prefetch, reservationLife the
-	// time that a slot stays reserved for an export.
-	keepTimeout     = 20 * time.Second
-	reservationLife = 30 * time.Second
+	// planInterval is the interval at which the manager plans operations.
+	planInterval = 100 * time.Millisecond
+	// statusInterval is the interval at which store hosts are queried for
+	// capacity and link usage.
+	statusInterval = time.Second
+	// keepTimeout bounds one export, free or prefetch; reservationLifetime is
+	// how long a slot stays reserved for an export.
+	keepTimeout         = 20 * time.Second
+	reservationLifetime = 30 * time.Second
 )
 
-// keeper carries out what package keep decides. The entry's mutex guards
-// manager and homes.
+// keeper executes the operations planned by package keep. The entry's mutex
+// guards manager and homes.
 type keeper struct {
 	entry   *Entry
 	manager *keep.Manager
 	homes   *cell.Table
 	members []cell.Member
-	// proposed are members that differ from the present ones since changed.
+	// proposed are members that differ from the current ones since changed.
 	proposed []cell.Member
 	changed  time.Time
 	work     chan func(context.Context)
-	// budgeted is the configuration whose budgets the manager has; only the
-	// loop of plans uses it.
-	budgeted *config.Snapshot
+	// budgetSnapshot is the configuration whose budgets were given to the
+	// manager. Only the planning loop uses it.
+	budgetSnapshot *config.Snapshot
 }
 
 func newKeeper(e *Entry) (*keeper, error) {
@@ -63,7 +64,8 @@
 	return k, nil
 }
 
-// use is one finished prompt on its way to its home.
+// use is the message about one finished prompt that is sent to the prompt's
+// home.
 type use struct {
 	Team        ident.Team        `cbor:"1,keyasint"`
 	Model       ident.Model       `cbor:"2,keyasint"`
@@ -78,10 +80,10 @@
 	SavedMicros int64             `cbor:"11,keyasint"`
 }
 
-// used tells the prompt's home that it was used. Only the home decides what is
-// kept of a prompt: two entries that both counted its uses would export it
-// twice, and one that saw only some of them would think it worth little.
-func (k *keeper) used(j *job, p plan, usage port.Usage) {
+// reportUse reports a use of the prompt to its home. Only the home decides what
+// is kept of a prompt: if two entries counted all its uses, both would export
+// it, and if each counted some, both would underestimate its value.
+func (k *keeper) reportUse(j *job, p plan, usage port.Usage) {
 	blocks := p.chain.blocks
 	if len(blocks) == 0 || p.candidate.BlockBytes <= 0 {
 		return
@@ -98,25 +100,26 @@
 	}
 	e := k.entry
 	e.mu.Lock()
-	home, ok := k.homes.Home(homeCell, firstOf(blocks[0]))
+	home, ok := k.homes.Home(homeCell, homeKey(blocks[0]))
 	e.mu.Unlock()
 	if ok && home != e.options.Host {
 		if e.options.SendUse(home, encodeUse(finished)) {
 			return
 		}
-		// A home that can't be reached now will export nothing. It is better
-		// that two entries keep the prompt than that nobody does; the store
-		// arbitrates between them.
+		// The home can't be reached and will not export the prompt, so this
+		// entry records the use itself. That both may keep the prompt is better
+		// than that neither does; the store arbitrates between them.
 		e.counts.usesDropped.Inc()
 	}
 	e.mu.Lock()
-	k.take(time.Now(), finished)
+	k.recordUse(time.Now(), finished)
 	e.mu.Unlock()
 }
 
-// savedBy is the time that recomputing one block would take at the rate of this
-// request. The saving of the whole prompt would make each block of a long prompt
-// look worth more than one of a short prompt, though both save the same.
+// savedBy returns the time that recomputing one block would take at the rate of
+// this request. With the saving of the whole prompt, a block of a long prompt
+// would be valued higher than one of a short prompt, although both save the
+// same time.
 func savedBy(j *job, usage port.Usage) time.Duration {
 	computed := usage.PromptTokens - usage.ReusedTokens
 	if computed <= 0 || usage.Prefill <= 0 {
@@ -126,12 +129,12 @@
 	return time.Duration(perToken * float64(j.model.BlockTokens))
 }
 
-// homeCell is the one cell of today's deployment: every entry follows all
-// upstreams, so that a prompt's home may be any of them, whichever data centre
-// served it.
+// homeCell is the only cell of the home table: every entry follows all
+// upstreams, so a prompt's home may be any entry, independent of the data
+// centre that served the prompt.
 var homeCell ident.Cell
 
-func firstOf(block prefix.BlockID) uint64 { return binary.BigEndian.Uint64(block[:8]) }
+func homeKey(block prefix.BlockID) uint64 { return binary.BigEndian.Uint64(block[:8]) }
 
 func (p plan) scope(j *job) prefix.Scope {
 	return prefix.Scope{
@@ -142,9 +145,9 @@
 	}
 }
 
-// take counts a use here and adopts the copies that are known of the prompt,
-// which another home may have made. The caller holds the mutex.
-func (k *keeper) take(now time.Time, finished keep.Use) {
+// recordUse counts a use and adopts known store copies of the prompt, which may
+// have been made by another home. The caller holds the mutex.
+func (k *keeper) recordUse(now time.Time, finished keep.Use) {
 	k.manager.Used(now, finished)
 	var copies []prefix.StoredCopy
 	for _, block := range finished.Blocks {
@@ -178,9 +181,9 @@
 	return wire.MustMarshal(out)
 }
 
-// TakeUse takes another entry's word that a prompt whose home is here was
-// used.
-func (e *Entry) TakeUse(body []byte) error {
+// ApplyUse applies another entry's report that a prompt whose home is this
+// entry was used.
+func (e *Entry) ApplyUse(body []byte) error {
 	var in use
 	if err := wire.Unmarshal(body, &in); err != nil {
 		return eris.Wrap(err, "entry: use of a prompt")
@@ -205,21 +208,21 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keeper.take(time.Now(), finished)
+	e.keeper.recordUse(time.Now(), finished)
 	return nil
 }
 
-// setMembers follows the entries of the deployment. A prompt whose home moved
-// is handed over. The caller holds the mutex.
+// setMembers sets the entries over which prompts are distributed. Prompts whose
+// home is now another entry are released. The caller holds the mutex.
 func (k *keeper) setMembers(now time.Time, members []cell.Member) {
 	if err := k.homes.SetMembers(members); err != nil {
-		k.entry.options.Log.Error("members refused", "err", err)
+		k.entry.options.Log.Error("members of the home table rejected", "err", err)
 		return
 	}
 	k.members = members
 	k.manager.SetShare(1 / float64(len(members)))
 	k.manager.Rehome(now, func(first prefix.BlockID) bool {
-		home, ok := k.homes.Home(homeCell, firstOf(first))
+		home, ok := k.homes.Home(homeCell, homeKey(first))
 		return !ok || home == k.entry.options.Host
 	})
 }
--- a/internal/entry/keeper_test.go
+++ b/internal/entry/keeper_test.go
@@ -250,7 +250,7 @@
 		}
 		home := newBench(t)
 		for _, body := range sent {
-			if err := home.TakeUse(body); err != nil {
+			if err := home.ApplyUse(body); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -272,7 +272,7 @@
 		both := []Peer{{Host: "entry-1"}, {Host: "entry-2"}}
 		see := func(peers []Peer, lasting time.Duration) {
 			b.control.peers = peers
-			for end := time.Now().Add(lasting); !time.Now().After(end); time.Sleep(planEvery) {
+			for end := time.Now().Add(lasting); !time.Now().After(end); time.Sleep(planInterval) {
 				b.keeper.planOnce(time.Now())
 			}
 		}
@@ -348,7 +348,7 @@
 	for name, body := range map[string][]byte{
 		"empty": nil, "not CBOR": {0xff}, "many blocks": wire.MustMarshal(long), "short block": wire.MustMarshal(short),
 	} {
-		if err := newBench(t).TakeUse(body); err == nil {
+		if err := newBench(t).ApplyUse(body); err == nil {
 			t.Errorf("%s was taken", name)
 		}
 	}
@@ -358,7 +358,7 @@
 	f.Add(wire.MustMarshal(use{Team: "t", Blocks: [][]byte{bytes.Repeat([]byte{1}, prefix.BlockIDSize)}, BlockBytes: 1}))
 	b := newBench(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if b.TakeUse(body) == nil && b.keeper.manager.Prompts() > keep.DefaultMaxPrompts {
+		if b.ApplyUse(body) == nil && b.keeper.manager.Prompts() > keep.DefaultMaxPrompts {
 			t.Fatal("more prompts than the bound")
 		}
 	})
--- a/internal/entry/keepwork.go
+++ b/internal/entry/keepwork.go
@@ -14,11 +14,11 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// runPlans asks the manager what to do until ctx ends.
+// runPlans runs the planning loop and queries the store hosts until ctx ends.
 func (k *keeper) runPlans(ctx context.Context) {
-	plans := time.NewTicker(planEvery)
+	plans := time.NewTicker(planInterval)
 	defer plans.Stop()
-	statuses := time.NewTicker(statusEvery)
+	statuses := time.NewTicker(statusInterval)
 	defer statuses.Stop()
 	for {
 		select {
@@ -32,7 +32,7 @@
 	}
 }
 
-// runWork carries out one piece of work after the other until ctx ends.
+// runWork executes queued operations one after the other until ctx ends.
 func (k *keeper) runWork(ctx context.Context) {
 	for {
 		select {
@@ -51,7 +51,7 @@
 	peers := e.options.Control.Entries()
 	k.followBudgets()
 	e.mu.Lock()
-	k.follow(now, k.membersOf(peers))
+	k.updateMembers(now, k.membersOf(peers))
 	plan := k.manager.Plan(now, e.options.Random)
 	e.mu.Unlock()
 	for _, export := range plan.Exports {
@@ -61,7 +61,7 @@
 	}
 	for _, free := range plan.Frees {
 		if !k.queue(func(ctx context.Context) { k.free(ctx, free) }) {
-			k.freed(free, false)
+			k.recordFreed(free, false)
 		}
 	}
 	for _, prefetch := range plan.Prefetches {
@@ -71,15 +71,15 @@
 	}
 }
 
-// homeDelay is how long a change of the entries must last before prompts change
-// their homes.
+// homeDelay is how long a change of the set of entries must last before prompts
+// change their homes.
 const homeDelay = 5 * time.Second
 
-// follow takes the entries as they are seen now. One that misses a few lease
-// renewals is back in a moment; if its prompts went to other homes meanwhile,
-// and back again, what was not yet exported of them would be forgotten twice.
-// The caller holds the mutex.
-func (k *keeper) follow(now time.Time, members []cell.Member) {
+// updateMembers adopts a changed set of entries after homeDelay. An entry that
+// misses a few lease renewals returns soon; if its prompts moved to other homes
+// and back meanwhile, those not yet exported would be lost twice. The caller
+// holds the mutex.
+func (k *keeper) updateMembers(now time.Time, members []cell.Member) {
 	switch {
 	case slices.Equal(members, k.members):
 		k.proposed = nil
@@ -92,8 +92,8 @@
 	}
 }
 
-// membersOf lists the entries in order, this one always among them: it knows
-// best that it lives.
+// membersOf returns the entries sorted by host. This entry is always included,
+// even if its own renewals are late.
 func (k *keeper) membersOf(peers []Peer) []cell.Member {
 	own := k.entry.options
 	members := []cell.Member{{Host: own.Host, DataCentre: own.DataCentre}}
@@ -106,7 +106,7 @@
 	return members
 }
 
-// queue reports whether there was room for the work.
+// queue enqueues an operation. It returns false if the queue is full.
 func (k *keeper) queue(do func(context.Context)) bool {
 	select {
 	case k.work <- do:
@@ -117,7 +117,8 @@
 	}
 }
 
-// readStatuses asks each store host for its room and links.
+// readStatuses queues a query of each store host for its capacity and link
+// usage.
 func (k *keeper) readStatuses(ctx context.Context) {
 	e := k.entry
 	e.mu.Lock()
@@ -138,14 +139,14 @@
 	e.mu.Lock()
 	address, centre := f.address, f.announced.DataCentre
 	e.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, statusEvery)
+	ctx, cancel := context.WithTimeout(ctx, statusInterval)
 	defer cancel()
 	status, err := e.options.Upstreams.Store(address).Status(ctx)
 	if err != nil {
-		e.options.Log.Debug("store status not read", "store", string(id), "err", err)
+		e.options.Log.Debug("failed to read store status", "store", string(id), "err", err)
 		return
 	}
-	seen := keep.StoreStatus{
+	current := keep.StoreStatus{
 		Store:              id,
 		Incarnation:        status.Incarnation,
 		DataCentre:         centre,
@@ -154,12 +155,12 @@
 	}
 	for _, tier := range status.Tiers {
 		at := tierOf(tier.Tier)
-		seen.Capacity[at], seen.Used[at] = tier.Capacity, tier.Used
+		current.Capacity[at], current.Used[at] = tier.Capacity, tier.Used
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.followed[id] == f && f.incarnation == seen.Incarnation {
-		k.manager.StoreSeen(time.Now(), seen)
+	if e.followed[id] == f && f.incarnation == current.Incarnation {
+		k.manager.StoreSeen(time.Now(), current)
 	}
 }
 
@@ -177,7 +178,8 @@
 	return port.TierMemory
 }
 
-// address returns where a followed upstream is.
+// address returns the address of a followed upstream, and whether it is
+// followed.
 func (k *keeper) address(id ident.Upstream) (string, bool) {
 	k.entry.mu.Lock()
 	defer k.entry.mu.Unlock()
@@ -201,17 +203,17 @@
 func (k *keeper) free(ctx context.Context, free keep.Free) {
 	address, ok := k.address(free.Store)
 	if !ok {
-		k.freed(free, false)
+		k.recordFreed(free, false)
 		return
 	}
 	err := k.entry.options.Upstreams.Store(address).Free(ctx, port.BlockID(free.Block.String()), free.Generation)
 	if err != nil {
-		k.failed(ctx, "free", err)
+		k.logFailure(ctx, "free", err)
 	}
-	k.freed(free, err == nil)
+	k.recordFreed(free, err == nil)
 }
 
-func (k *keeper) freed(free keep.Free, done bool) {
+func (k *keeper) recordFreed(free keep.Free, done bool) {
 	k.entry.mu.Lock()
 	defer k.entry.mu.Unlock()
 	k.manager.Freed(time.Now(), free.ID, done)
@@ -220,11 +222,11 @@
 	}
 }
 
-// failed logs a failure unless the entry is stopping.
-func (k *keeper) failed(ctx context.Context, step string, err error) {
+// logFailure counts and logs a failed step, unless the entry is stopping.
+func (k *keeper) logFailure(ctx context.Context, step string, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	k.entry.counts.keepFailures.Inc()
-	k.entry.options.Log.Warn("kept prompt", "step", step, "err", err)
+	k.entry.options.Log.Warn("operation on a kept prompt failed", "step", step, "err", err)
 }
--- a/internal/entry/learning_test.go
+++ b/internal/entry/learning_test.go
@@ -167,9 +167,9 @@
 		return port.BlockSource{Block: block, Store: "cellar", Bytes: 10}
 	}
 	p := plan{
-		sources: []port.BlockSource{source("a"), source("b"), source("c")},
-		held:    []port.BlockSource{source("z")},
-		slow:    map[port.BlockID]bool{"c": true},
+		sources:       []port.BlockSource{source("a"), source("b"), source("c")},
+		cachedSources: []port.BlockSource{source("z")},
+		slowBlocks:    map[port.BlockID]bool{"c": true},
 	}
 	missing := map[port.BlockID]bool{"a": true}
 	before := map[storeTier]int64{{"cellar", true}: 70}
@@ -214,7 +214,7 @@
 		open.Go(func() { b.answered(t, prompt) })
 		time.Sleep(100 * time.Millisecond)
 		b.mu.Lock()
-		reading := b.fetching.store("cellar")
+		reading := b.fetching.fromStore("cellar")
 		b.mu.Unlock()
 		open.Wait()
 		if reading != 2000 {
@@ -292,8 +292,8 @@
 		open.Wait()
 		first := route.Prompt(b.blocksOf(&job{prompt: Prompt{Caller: b.prompt(t, 9).Caller, Model: testModel, Tokens: longPrompt(1)},
 			model: &config.Model{BlockTokens: 10}}, testVersion).blocks[0])
-		if len(b.bringing) != 0 || len(b.inFlight.Lookup(first)) != 0 {
-			t.Errorf("still in flight: %v, %v", b.bringing, b.inFlight.Lookup(first))
+		if len(b.pendingPrompts) != 0 || len(b.inFlight.Lookup(first)) != 0 {
+			t.Errorf("still in flight: %v, %v", b.pendingPrompts, b.inFlight.Lookup(first))
 		}
 	})
 }
@@ -304,8 +304,8 @@
 	b := newBench(t)
 	now := time.Now()
 	first := plan{candidate: upstream.Candidate{Upstream: "runner-1"}, chain: chain{blocks: []prefix.BlockID{{1}, {2}, {3}}}}
-	b.bring(now, ident.Request{1}, first, 10)
-	got := b.arrivals(now, chain{blocks: []prefix.BlockID{{1}, {9}, {8}, {7}}})
+	b.addPending(now, ident.Request{1}, first, 10)
+	got := b.pendingPrefixes(now, chain{blocks: []prefix.BlockID{{1}, {9}, {8}, {7}}})
 	if len(got) != 1 || got[0].upstream != "runner-1" || got[0].blocks != 1 {
 		t.Errorf("got %+v, want one block", got)
 	}
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -16,18 +16,19 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// Control is what an entry knows from the control hosts.
+// Control is the entry's view of the control hosts.
 type Control interface {
 	// Snapshot returns the newest configuration this entry has acknowledged.
 	Snapshot() *config.Snapshot
-	// Serving reports whether this entry's serving lease holds at now. Without
-	// it the entry may be behind the configuration in force and takes no new
-	// request.
+	// Serving reports whether this entry holds a serving lease at now. Without
+	// one, its configuration may be older than the one in force, and the entry
+	// refuses new requests.
 	Serving(now time.Time) bool
-	// Entries lists the entries of the deployment that serve callers, this one
-	// included unless it is leaving.
+	// Entries lists the entries of the deployment that serve callers, including
+	// this one unless it is leaving.
 	Entries() []Peer
-	// Leave tells the other processes that this entry takes no new callers.
+	// Leave announces to the other processes that this entry accepts no new
+	// callers.
 	Leave()
 }
 
@@ -35,57 +36,60 @@
 type Peer struct {
 	Host       ident.Host
 	DataCentre ident.DataCentre
-	// Callers and Announce are the addresses of its listeners, IP and port.
+	// Callers and Announce are the addresses of its listeners, as IP and port.
 	Callers  string
 	Announce string
 }
 
-// Upstreams gives the ports of announced upstreams by their address.
+// Upstreams returns clients for announced upstreams by address.
 type Upstreams interface {
 	Engine(address string) port.Engine
 	Store(address string) port.Store
 	Service(address string) port.Service
-	// Ended reports whether the process of an upstream has ended: nothing listens at
-	// its address. Without a clear answer it reports false.
-	Ended(ctx context.Context, address string) bool
+	// Crashed reports whether the process of an upstream has ended, which is
+	// when nothing listens at its address. It returns false if that can't be
+	// determined.
+	Crashed(ctx context.Context, address string) bool
 }
 
-// Options configure an Entry. Zero times and bounds take the defaults below.
+// Options configure an Entry. Zero durations and bounds take the defaults
+// below.
 type Options struct {
 	Host        ident.Host
 	DataCentre  ident.DataCentre
 	Incarnation ident.Incarnation
-	// Callers and Announce are the addresses under which others reach this
-	// entry's listeners.
+	// Callers and Announce are the addresses at which others reach this entry's
+	// listeners.
 	Callers  string
 	Announce string
-	// BlockKey is the secret under which blocks are named; all entries of a
-	// deployment have the same.
+	// BlockKey is the secret key of block identifiers. All entries of a
+	// deployment use the same one.
 	BlockKey  prefix.Key
 	Control   Control
 	Ledger    Ledger
 	Upstreams Upstreams
-	// SendUse sends the use of a prompt to the entry that is its home, which
-	// passes it to TakeUse. It never blocks and reports whether it was queued;
-	// nil drops them.
+	// SendUse sends a use of a prompt to the entry that is its home, which
+	// passes it to ApplyUse. It never blocks and reports whether the message
+	// was queued. If it is nil, no message is sent.
 	SendUse func(home ident.Host, body []byte) bool
 	// SendDepartures sends a message to every other entry, which passes it to
-	// TakeDepartures. It never blocks; nil drops it.
+	// ApplyDepartures. It never blocks. If it is nil, messages are dropped.
 	SendDepartures func(body []byte)
-	// SendEnds does the same for TakeEnds.
-	SendEnds func(body []byte)
-	// Keep bounds and times what is kept of prompts.
+	// SendCrashes sends a message to every other entry, which passes it to
+	// ApplyCrashes. It never blocks. If it is nil, messages are dropped.
+	SendCrashes func(body []byte)
+	// Keep holds the bounds and intervals of kept prompts.
 	Keep    keep.Options
 	Log     *log.Logger
 	Metrics *metrics.Set
-	// Random drives tie-breaks and back-off.
+	// Random is the source of randomness for tie-breaking and back-off.
 	Random *rand.Rand
 
-	// KeepAddress is how long callers may keep an address answer.
+	// KeepAddress is how long callers may use an address answer.
 	KeepAddress time.Duration
 	// MaxInFlight bounds the requests in flight.
 	MaxInFlight int
-	// ImportTimeout bounds the fetch of blocks for one attempt.
+	// ImportTimeout bounds the import of blocks for one attempt.
 	ImportTimeout time.Duration
 	// LocalDelay and RemoteDelay are the one-way network delays to upstreams in
 	// the same and in another data centre.
@@ -117,8 +121,8 @@
 	if o.SendDepartures == nil {
 		o.SendDepartures = func([]byte) {}
 	}
-	if o.SendEnds == nil {
-		o.SendEnds = func([]byte) {}
+	if o.SendCrashes == nil {
+		o.SendCrashes = func([]byte) {}
 	}
 	return o
 }
@@ -130,7 +134,8 @@
 	}
 }
 
-// Validate reports the first option that is missing or out of range.
+// Validate returns an error for the first option that is missing or out of
+// range.
 func (o Options) Validate() error {
 	switch {
 	case o.Host == "":
--- a/internal/entry/pipeline.go
+++ b/internal/entry/pipeline.go
@@ -11,7 +11,8 @@
 	"github.com/lovagereach/lovagereach/retry"
 )
 
-// errDeadline ends the context of a request whose first token is overdue.
+// errDeadline is the cancellation cause of a request whose first token did not
+// arrive by the deadline.
 var errDeadline = errors.New("the request's deadline has passed")
 
 // Prompt implements Service.
@@ -33,14 +34,14 @@
 	return a, nil
 }
 
-// newJob resolves model, class and times within the caller's configuration.
+// newJob resolves model, class and deadline under the caller's configuration.
 func (e *Entry) newJob(prompt Prompt) (*job, error) {
 	now := time.Now()
 	if err := e.mayServe(now); err != nil {
 		return nil, err
 	}
 	var err error
-	if prompt.Caller, err = e.renew(prompt.Caller); err != nil {
+	if prompt.Caller, err = e.refreshCaller(prompt.Caller); err != nil {
 		return nil, err
 	}
 	model, ok := prompt.Caller.snapshot.Model(prompt.Model)
@@ -55,20 +56,21 @@
 		return nil, err
 	}
 	return &job{
-		prompt:   prompt,
-		print:    printOfPrompt(&prompt),
-		model:    model,
-		class:    class,
-		arrived:  now,
-		deadline: deadlineOf(now, prompt.Deadline, class),
+		prompt:      prompt,
+		fingerprint: promptFingerprint(&prompt),
+		model:       model,
+		class:       class,
+		arrived:     now,
+		deadline:    deadlineOf(now, prompt.Deadline, class),
 	}, nil
 }
 
-// deadlineOf is the sooner of the caller's deadline and that of the class.
-func deadlineOf(now time.Time, asked time.Duration, class *config.Class) time.Time {
+// deadlineOf returns the earlier of the caller's deadline and that of the
+// class, or the zero time if neither is set.
+func deadlineOf(now time.Time, requested time.Duration, class *config.Class) time.Time {
 	wait := class.Deadline.Std()
-	if asked > 0 && (wait <= 0 || asked < wait) {
-		wait = asked
+	if requested > 0 && (wait <= 0 || requested < wait) {
+		wait = requested
 	}
 	if wait <= 0 {
 		return time.Time{}
@@ -76,7 +78,7 @@
 	return now.Add(wait)
 }
 
-// begin registers a request; end must follow.
+// begin registers a request. After success the caller must call end.
 func (e *Entry) begin(id requestID) error {
 	if !e.drain.enter() {
 		return errClosed
@@ -101,8 +103,8 @@
 	e.drain.leave()
 }
 
-// admitted takes a place in the model's pool.
-func (a *answer) admitted() error {
+// awaitAdmission waits for admission to the model's pool.
+func (a *answer) awaitAdmission() error {
 	j := a.job
 	expected, err := a.entry.expect(j)
 	if err != nil {
@@ -123,11 +125,12 @@
 	a.pool = p
 	j.priority = grant.Priority
 	if grant.Waited == 0 {
-		a.next = &expected
+		a.initialPlan = &expected
 	}
 	return nil
 }
 
-// expect plans the request as if it could start now. Admission needs its cost,
-// and a request that starts at once goes by this plan.
+// expect plans the request as if it started immediately. Admission uses the
+// plan's cost, and a request that is admitted without waiting uses the plan
+// itself.
 func (e *Entry) expect(j *job) (plan, error) { return e.choose(j) }
--- a/internal/entry/plan.go
+++ b/internal/entry/plan.go
@@ -15,58 +15,60 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// Bounds of one choice.
+// Bounds of one planning run.
 const (
-	// picksPerCentre is how many of the least loaded engines of each data
-	// centre are weighed beside those that hold the prefix.
+	// picksPerCentre is the number of least loaded engines per data centre that
+	// are considered in addition to those that hold the prefix.
 	picksPerCentre = 4
-	// maxVersions bounds the wanted versions that are weighed.
+	// maxVersions bounds the target versions that are considered.
 	maxVersions = 4
 )
 
-// job is one prompt on its way, across its attempts.
+// job is one prompt being served, across its attempts.
 type job struct {
 	prompt Prompt
-	// print tells the prompt from all others.
-	print    quarantine.Fingerprint
-	model    *config.Model
-	class    *config.Class
-	arrived  time.Time
-	deadline time.Time
-	priority int
-	// version is fixed once a token has been delivered: the answer must go on
-	// under the weights that began it.
+	// fingerprint identifies the prompt for quarantine.
+	fingerprint quarantine.Fingerprint
+	model       *config.Model
+	class       *config.Class
+	arrived     time.Time
+	deadline    time.Time
+	priority    int
+	// version is set once a token has been delivered: the answer must continue
+	// under the weights with which it began.
 	version ident.Version
 	// avoid lists upstreams that failed this request.
 	avoid  []ident.Upstream
 	chains map[ident.Version]chain
 }
 
-// chain is the prompt's blocks under one version.
+// chain lists the prompt's blocks under one version.
 type chain struct {
 	blocks []prefix.BlockID
 	ids    []port.BlockID
 }
 
-// plan is a chosen place for one attempt.
+// plan is the upstream chosen for one attempt and the blocks to import.
 type plan struct {
 	decision  route.Decision
 	candidate upstream.Candidate
 	load      route.Candidate
 	version   ident.Version
 	chain     chain
-	// claimed is how many blocks the directory says the engine holds.
+	// claimed is the number of blocks that the engine holds according to the
+	// directory.
 	claimed int
 	// sources are the copies to import, in prompt order.
 	sources []port.BlockSource
-	// held are copies of blocks that the engine is thought to hold, named in
-	// the import too: it keeps those it has and fetches the others.
-	held []port.BlockSource
-	// slow names the blocks whose copies are on a tier below memory.
-	slow map[port.BlockID]bool
+	// cachedSources are copies of blocks that the engine is expected to hold.
+	// The import names them too: the engine keeps those it has and fetches the
+	// others.
+	cachedSources []port.BlockSource
+	// slowBlocks are the blocks whose copies are in a tier below memory.
+	slowBlocks map[port.BlockID]bool
 }
 
-// blocksOf names the prompt's blocks under a version. It hashes the whole
+// blocksOf returns the prompt's blocks under a version. It hashes the whole
 // prompt and must not be called with the mutex held.
 func (e *Entry) blocksOf(j *job, version ident.Version) chain {
 	if known, ok := j.chains[version]; ok {
@@ -90,7 +92,7 @@
 	return c
 }
 
-// versions lists the versions that an attempt may name, most wanted first.
+// versions lists the versions that an attempt may use, in order of preference.
 func (j *job) versions() []ident.Version {
 	if j.version != "" {
 		return []ident.Version{j.version}
@@ -105,12 +107,13 @@
 	return versions
 }
 
-// choose weighs the upstreams of each wanted version. The first version that
-// meets the class target wins, so that new weights take over as they are
-// loaded; when none meets it, the fastest does.
+// choose plans the request for each target version. The first version that
+// meets the target of the class is chosen, so that new weights take over as
+// they are loaded. If none meets it, the one with the earliest first token is
+// chosen.
 //
-// Upstreams that failed this request are chosen only when there is no other:
-// what ended one attempt has often passed by the next.
+// Upstreams that failed this request are chosen only if there is no other: the
+// cause of a failure has often passed by the next attempt.
 func (e *Entry) choose(j *job) (plan, error) {
 	chosen, err := e.chooseAvoiding(j, j.avoid)
 	if err != nil && len(j.avoid) > 0 {
@@ -124,7 +127,7 @@
 	found := false
 	for _, version := range j.versions() {
 		chain := e.blocksOf(j, version)
-		next, ok := e.weigh(j, version, chain, avoid)
+		next, ok := e.planVersion(j, version, chain, avoid)
 		if !ok {
 			continue
 		}
@@ -145,8 +148,8 @@
 	return best, nil
 }
 
-// weigh chooses among the upstreams that have one version loaded.
-func (e *Entry) weigh(j *job, version ident.Version, chain chain, avoid []ident.Upstream) (plan, bool) {
+// planVersion chooses among the upstreams that have one version loaded.
+func (e *Entry) planVersion(j *job, version ident.Version, chain chain, avoid []ident.Upstream) (plan, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -172,42 +175,44 @@
 	}
 	chosen := slices.IndexFunc(candidates, func(c candidate) bool { return c.Upstream == decision.Upstream })
 	return plan{
-		decision:  decision,
-		candidate: candidates[chosen].Candidate,
-		load:      request.Candidates[chosen],
-		version:   version,
-		chain:     chain,
-		claimed:   candidates[chosen].blocks,
-		sources:   e.sources(decision, located, j.model.BlockTokens),
-		held:      e.held(decision, located, j.model.BlockTokens),
-		slow:      slowOf(decision, located),
+		decision:      decision,
+		candidate:     candidates[chosen].Candidate,
+		load:          request.Candidates[chosen],
+		version:       version,
+		chain:         chain,
+		claimed:       candidates[chosen].blocks,
+		sources:       e.sources(decision, located, j.model.BlockTokens),
+		cachedSources: e.cachedSources(decision, located, j.model.BlockTokens),
+		slowBlocks:    slowOf(decision, located),
 	}, true
 }
 
-// candidate is an engine with the number of the prompt's blocks it holds.
+// candidate is an engine, the number of the prompt's blocks that it holds, the
+// accuracy of that number, and the prefix that it is going to hold.
 type candidate struct {
 	upstream.Candidate
-	blocks int
-	trust  float64
-	coming arrival
+	blocks   int
+	accuracy float64
+	pending  pendingPrefix
 }
 
-// reusable is how many of the prompt's blocks are there or about to be.
-func (c candidate) reusable() int { return max(c.blocks, c.coming.blocks) }
+// reusable returns how many of the prompt's blocks are present or pending.
+func (c candidate) reusable() int { return max(c.blocks, c.pending.blocks) }
 
-// candidates offers the holders of the prefix first, then the least loaded
-// engines of each data centre. The caller holds the mutex.
+// candidates lists the engines that hold or are going to hold a prefix first,
+// then the least loaded engines of each data centre. The caller holds the
+// mutex.
 func (e *Entry) candidates(now time.Time, j *job, version ident.Version, chain chain, avoid []ident.Upstream) []candidate {
 	var out []candidate
 	var picks []upstream.Candidate
-	arrivals := e.arrivals(now, chain)
+	pendingPrefixes := e.pendingPrefixes(now, chain)
 	for _, centre := range e.centres[poolKey{model: j.prompt.Model}] {
 		cell := ident.Cell{Model: j.prompt.Model, DataCentre: centre}
 		key := upstream.EnginePool(cell, version, j.prompt.Adapter)
 		picks = e.registry.Pick(now, e.options.Random, key, picksPerCentre, picks)
-		for _, coming := range arrivals {
-			if c, ok := e.registry.Candidate(now, key, coming.upstream); ok && !slices.Contains(avoid, c.Upstream) {
-				out = append(out, candidate{Candidate: c, coming: coming})
+		for _, pending := range pendingPrefixes {
+			if c, ok := e.registry.Candidate(now, key, pending.upstream); ok && !slices.Contains(avoid, c.Upstream) {
+				out = append(out, candidate{Candidate: c, pending: pending})
 			}
 		}
 		directory := e.cells[cell]
@@ -218,11 +223,11 @@
 		for _, match := range directory.Longest(chain.blocks, matches[:0]) {
 			at := slices.IndexFunc(out, func(o candidate) bool { return o.Upstream == match.Upstream })
 			if at >= 0 {
-				out[at].blocks, out[at].trust = match.Blocks, match.Accuracy
+				out[at].blocks, out[at].accuracy = match.Blocks, match.Accuracy
 				continue
 			}
 			if c, ok := e.registry.Candidate(now, key, match.Upstream); ok && !slices.Contains(avoid, c.Upstream) {
-				out = append(out, candidate{Candidate: c, blocks: match.Blocks, trust: match.Accuracy})
+				out = append(out, candidate{Candidate: c, blocks: match.Blocks, accuracy: match.Accuracy})
 			}
 		}
 	}
@@ -248,13 +253,13 @@
 		QueuedTokens:       int64(c.Load.QueuedTokens),
 		LoadAge:            c.Load.Age,
 		CachedTokens:       c.blocks * blockTokens,
-		CacheAccuracy:      c.trust,
+		CacheAccuracy:      c.accuracy,
 		PendingImportBytes: e.fetching.into[c.Upstream],
 		NetworkDelay:       e.delayTo(c.DataCentre),
 		Share:              c.Weight,
 	}
-	if c.coming.blocks > c.blocks {
-		out.CachedTokens, out.CachedAfter = c.coming.blocks*blockTokens, c.coming.after
+	if c.pending.blocks > c.blocks {
+		out.CachedTokens, out.CachedAfter = c.pending.blocks*blockTokens, c.pending.after
 	}
 	return out
 }
@@ -266,8 +271,9 @@
 	return e.options.RemoteDelay
 }
 
-// copies chooses a store copy of each of the prompt's blocks, where there is
-// one, and joins neighbours on one host to runs. The caller holds the mutex.
+// copies chooses a store copy for each of the prompt's blocks that has one, and
+// merges adjacent blocks in the same store tier into runs. The caller holds the
+// mutex.
 func (e *Entry) copies(now time.Time, j *job, chain chain) ([]prefix.StoredCopy, []route.Copy) {
 	var located []prefix.StoredCopy
 	var runs []route.Copy
@@ -297,8 +303,8 @@
 	return located, runs
 }
 
-// bestCopy prefers memory over disk, then the store of the run so far, then
-// the store from which least is being fetched.
+// bestCopy prefers memory over disk, then the store of the current run, then
+// the store with the fewest bytes being fetched from it.
 func (e *Entry) bestCopy(now time.Time, found []prefix.StoredCopy, runs []route.Copy) (prefix.StoredCopy, bool) {
 	var best prefix.StoredCopy
 	ok := false
@@ -349,8 +355,8 @@
 	return run
 }
 
-// sources turns the decision's parts into the copies that the engine fetches.
-// The caller holds the mutex.
+// sources converts the parts of the decision to the copies that the engine
+// fetches. The caller holds the mutex.
 func (e *Entry) sources(decision route.Decision, located []prefix.StoredCopy, blockTokens int) []port.BlockSource {
 	var out []port.BlockSource
 	for _, part := range decision.Parts {
@@ -359,18 +365,18 @@
 	return out
 }
 
-// held lists the copies of what the engine is thought to hold, when an import
-// is to name them: else what it holds could be evicted while the rest arrives,
-// and the rest alone is of no use. The caller holds the mutex.
-func (e *Entry) held(decision route.Decision, located []prefix.StoredCopy, blockTokens int) []port.BlockSource {
+// cachedSources lists copies of the blocks that the engine is expected to hold,
+// if the import has to name them. Otherwise the engine could evict these blocks
+// while the rest arrives, and the rest alone is useless. The caller holds the
+// mutex.
+func (e *Entry) cachedSources(decision route.Decision, located []prefix.StoredCopy, blockTokens int) []port.BlockSource {
 	if !decision.Verify && len(decision.Parts) == 0 {
 		return nil
 	}
 	return e.appendSources(nil, located, 0, decision.CachedTokens/blockTokens)
 }
 
-// appendSources adds the copies of the blocks from index from up to, and
-// without, index to.
+// appendSources appends the copies of the blocks with indexes in [from, to).
 func (e *Entry) appendSources(out []port.BlockSource, located []prefix.StoredCopy, from, to int) []port.BlockSource {
 	for i := from; i < min(to, len(located)); i++ {
 		c := located[i]
--- a/internal/entry/prefetch.go
+++ b/internal/entry/prefetch.go
@@ -12,24 +12,24 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// pins are the reader's holds on the copies of one import, by block.
+// pins maps blocks to the pins on their copies during one import.
 type pins map[port.BlockID]keep.PinID
 
-// pin takes a hold on each copy that this entry keeps, so that none is freed
-// while the engine reads it, and leaves out those that may no longer be read.
-// Copies kept by other entries are read without one: the store refuses a slot
-// that was freed meanwhile by its generation, which costs a recompute. The
-// caller holds the mutex.
+// pin pins each copy that this entry keeps, so that it isn't freed while the
+// engine reads it, and removes copies that may no longer be read from sources.
+// Copies kept by other entries are not pinned: if such a slot has been freed,
+// the store refuses its generation, which costs a recomputation. The caller
+// holds the mutex.
 func (k *keeper) pin(now time.Time, scope prefix.Scope, sources []port.BlockSource) ([]port.BlockSource, pins) {
-	held := make(pins, len(sources))
-	kept := sources[:0]
+	pinned := make(pins, len(sources))
+	readable := sources[:0]
 	for _, source := range sources {
 		block, err := prefix.ParseBlockID(string(source.Block))
 		if err != nil {
 			continue
 		}
 		if k.manager.Phase(block) == keep.Absent {
-			kept = append(kept, source)
+			readable = append(readable, source)
 			continue
 		}
 		pin, ok := k.manager.Pin(now, scope, block)
@@ -39,33 +39,33 @@
 			}
 			continue
 		}
-		held[source.Block] = pin.ID
-		kept = append(kept, source)
+		pinned[source.Block] = pin.ID
+		readable = append(readable, source)
 	}
-	return kept, held
+	return readable, pinned
 }
 
-// unpin ends the holds. A block that the engine missed was not what the
-// directory said; its copy is dropped.
-func (k *keeper) unpin(held pins, missing []port.BlockID) {
-	if len(held) == 0 {
+// unpin releases the pins. Copies of blocks in missing are dropped, since the
+// directory was wrong about them.
+func (k *keeper) unpin(pinned pins, missing []port.BlockID) {
+	if len(pinned) == 0 {
 		return
 	}
 	k.entry.mu.Lock()
 	defer k.entry.mu.Unlock()
 	now := time.Now()
 	for _, block := range missing {
-		if id, ok := held[block]; ok {
+		if id, ok := pinned[block]; ok {
 			k.manager.Unpin(now, id, keep.FailedVerify)
-			delete(held, block)
+			delete(pinned, block)
 		}
 	}
-	for _, id := range held {
+	for _, id := range pinned {
 		k.manager.Unpin(now, id, 0)
 	}
 }
 
-// prefetch brings a prompt back to the least loaded engine before its
+// prefetch imports a prompt into the least loaded engine before the prompt's
 // expected return.
 func (k *keeper) prefetch(ctx context.Context, plan keep.Prefetch) {
 	e := k.entry
@@ -76,12 +76,12 @@
 	e.mu.Lock()
 	engine, ok := k.pickEngine(plan.Scope)
 	var sources []port.BlockSource
-	var held pins
+	var pinned pins
 	if ok {
-		sources, held = k.pin(time.Now(), plan.Scope, k.sourcesOf(plan.Blocks))
+		sources, pinned = k.pin(time.Now(), plan.Scope, k.sourcesOf(plan.Blocks))
 	}
 	e.mu.Unlock()
-	defer func() { k.unpin(held, nil) }()
+	defer func() { k.unpin(pinned, nil) }()
 	if len(sources) == 0 {
 		return
 	}
@@ -93,13 +93,14 @@
 		Sources: sources,
 	})
 	if err != nil {
-		k.failed(ctx, "prefetch", err)
+		k.logFailure(ctx, "prefetch", err)
 		return
 	}
 	e.counts.prefetchedBlocks.Add(len(result.Present))
 }
 
-// pickEngine returns an idle engine for the scope. The caller holds the mutex.
+// pickEngine returns the least loaded engine with a free slot for the scope.
+// The caller holds the mutex.
 func (k *keeper) pickEngine(scope prefix.Scope) (upstream.Candidate, bool) {
 	e := k.entry
 	var picks []upstream.Candidate
@@ -110,7 +111,7 @@
 	var best upstream.Candidate
 	found := false
 	for _, pick := range picks {
-		// A prefetch is a guess and must not delay a caller.
+		// A prefetch is speculative and must not delay a caller.
 		idle := pick.Load.Requests < float64(pick.Slots)
 		if idle && (!found || pick.Score < best.Score) {
 			best, found = pick, true
@@ -119,7 +120,8 @@
 	return best, found
 }
 
-// sourcesOf lists the copies of blocks. The caller holds the mutex.
+// sourcesOf returns the copies of the blocks, up to the first that has none.
+// The caller holds the mutex.
 func (k *keeper) sourcesOf(blocks []prefix.BlockID) []port.BlockSource {
 	var out []port.BlockSource
 	for _, block := range blocks {
--- a/internal/entry/repair.go
+++ b/internal/entry/repair.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxRepairs bounds the snapshots that wait to be read. One that finds the
-	// queue full is asked for again at the next tick.
+	// maxRepairs bounds the queued snapshot reads. A read that is dropped
+	// because the queue is full is requested again at the next tick.
 	maxRepairs = 256
-	// repairWorkers bounds the snapshots read at once.
+	// repairWorkers bounds the concurrent snapshot reads.
 	repairWorkers = 2
-	// repairTimeout bounds the reading of one snapshot.
+	// repairTimeout bounds one snapshot read.
 	repairTimeout = 5 * time.Second
-	// missedTicks is how often an upstream may not be offered before its
-	// blocks are forgotten.
+	// missedTicks is the number of consecutive ticks without an offer from the
+	// registry after which an upstream is forgotten.
 	missedTicks = 20
 )
 
-// requestRepair queues the reading of an upstream's snapshot. The caller holds
-// the mutex.
+// requestRepair queues a read of an upstream's snapshot. The caller holds the
+// mutex.
 func (e *Entry) requestRepair(id ident.Upstream, f *followed) {
 	if f.repairing {
 		return
@@ -46,8 +46,8 @@
 	}
 }
 
-// repair reads the snapshot of an upstream and replaces what the directories
-// say of it.
+// repair reads the snapshot of an upstream and replaces the upstream's blocks
+// in the directories.
 func (e *Entry) repair(ctx context.Context, id ident.Upstream) {
 	e.mu.Lock()
 	f := e.followed[id]
@@ -67,14 +67,14 @@
 	f.repairing = false
 	if err != nil {
 		e.counts.repairFailures.Inc()
-		e.options.Log.Warn("snapshot not read", "upstream", string(id), "err", err)
+		e.options.Log.Warn("failed to read snapshot", "upstream", string(id), "err", err)
 		return
 	}
 	if e.followed[id] != f || snapshot.Incarnation != f.incarnation {
 		return
 	}
 	repaired := snapshotOf(id, snapshot)
-	e.directories(f, func(directory *prefix.Directory) { directory.ApplySnapshot(repaired) })
+	e.eachDirectory(f, func(directory *prefix.Directory) { directory.ApplySnapshot(repaired) })
 	e.counts.repairs.Inc()
 }
 
@@ -102,8 +102,9 @@
 	return out
 }
 
-// housekeeping lets leases run out while nothing else happens, asks again for
-// snapshots that are due, and forgets the blocks of upstreams that are gone.
+// housekeeping expires leases in the absence of other events, requests
+// snapshots that are due, forgets upstreams that are gone, and sends departures
+// and crashes to the other entries.
 func (e *Entry) housekeeping(ctx context.Context) {
 	ticker := time.NewTicker(e.options.Tick)
 	defer ticker.Stop()
@@ -113,22 +114,23 @@
 			return
 		case <-ticker.C:
 			now := time.Now()
-			e.tellDepartures(e.tick(now))
-			e.tellEnds(e.endsDue(now))
+			e.sendDepartures(e.tick(now))
+			e.sendCrashes(e.crashesDue(now))
 		}
 	}
 }
 
-// endsDue returns the ends that are to be told to the other entries.
-func (e *Entry) endsDue(now time.Time) endsMessage {
+// crashesDue returns the crashes to send to the other entries.
+func (e *Entry) crashesDue(now time.Time) crashMessage {
 	peers := e.options.Control.Entries()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ends.due(now, e.options.Host, peers)
+	return e.crashes.due(now, e.options.Host, peers)
 }
 
-// tick returns the departures that are to be told to the other entries.
-func (e *Entry) tick(now time.Time) []departureWord {
+// tick does one round of housekeeping and returns the departures to send to the
+// other entries.
+func (e *Entry) tick(now time.Time) []departureNotice {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.registry.Advance(now)
@@ -154,9 +156,9 @@
 	return e.departures.due(now)
 }
 
-// forget drops an upstream that is gone.
+// forget removes an upstream that is gone. The caller holds the mutex.
 func (e *Entry) forget(id ident.Upstream, f *followed) {
-	e.directories(f, func(directory *prefix.Directory) { directory.Forget(id, f.incarnation) })
+	e.eachDirectory(f, func(directory *prefix.Directory) { directory.Forget(id, f.incarnation) })
 	e.countSlots(f, -1)
 	e.planner.Forget(id)
 	if f.kind == port.KindStore {
--- a/internal/entry/recorded.go
+++ b/internal/entry/replay.go
@@ -12,9 +12,9 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// recordOf reads the answer to the end, so that what is recorded is whole, and
-// leaves a copy for the caller.
-func recordOf(answer *ServiceAnswer) (once.Answer, error) {
+// recordAnswer reads the answer to its end, so that the record is complete, and
+// replaces its body by an in-memory copy for the caller.
+func recordAnswer(answer *ServiceAnswer) (once.Answer, error) {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxServiceAnswer+1))
 	_ = answer.Body.Close()
 	if err != nil {
@@ -44,8 +44,8 @@
 	return record, nil
 }
 
-// recorded turns a recorded answer into one for the caller.
-func (e *Entry) recorded(j *serviceJob, record once.Answer) (ServiceAnswer, error) {
+// replayAnswer converts a recorded answer to one for the caller.
+func (e *Entry) replayAnswer(j *serviceJob, record once.Answer) (ServiceAnswer, error) {
 	if record.BodyOmitted {
 		return ServiceAnswer{}, &outcome.Failed{
 			Reason: outcome.ReasonBadAnswer,
@@ -72,7 +72,7 @@
 	return answer, nil
 }
 
-// releasingBody ends the request when its answer has been read.
+// releasingBody releases the request when its body is closed.
 type releasingBody struct {
 	io.ReadCloser
 	release func()
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -19,16 +19,18 @@
 )
 
 const (
-	// servicePicks is how many replicas of each data centre are considered.
+	// servicePicks is the number of replicas per data centre that are
+	// considered.
 	servicePicks = 3
-	// maxServiceAnswer bounds the answer to a call that may not be repeated: it
-	// is held in memory to be recorded.
+	// maxServiceAnswer bounds, in bytes, the answer to a call that is not
+	// repeatable: it is held in memory to be recorded.
 	maxServiceAnswer = 4 << 20
-	// defaultServiceDeadline holds for a class that states none.
+	// defaultServiceDeadline is used when neither class nor caller sets a
+	// deadline.
 	defaultServiceDeadline = 30 * time.Second
 )
 
-// serviceJob is one service call on its way.
+// serviceJob is one service call being served, across its attempts.
 type serviceJob struct {
 	call       ServiceCall
 	class      *config.Class
@@ -36,10 +38,11 @@
 	deadline   time.Time
 	attempts   int
 	avoid      []ident.Upstream
-	// ran is the outcome of an attempt that may have run; see answer.verdict.
-	ran error
-	// print tells the call from all others.
-	print quarantine.Fingerprint
+	// possiblyRan is the outcome of an attempt that may have run; see
+	// answer.finalOutcome.
+	possiblyRan error
+	// fingerprint identifies the call for quarantine.
+	fingerprint quarantine.Fingerprint
 }
 
 // Call implements Service.
@@ -60,7 +63,7 @@
 		e.end(call.Request)
 	}
 	answer, err := e.runService(ctx, j)
-	e.counts.ended(outcome.KindOf(err))
+	e.counts.countOutcome(outcome.KindOf(err))
 	if err != nil {
 		release()
 		return ServiceAnswer{}, err
@@ -75,7 +78,7 @@
 		return nil, err
 	}
 	var err error
-	if call.Caller, err = e.renew(call.Caller); err != nil {
+	if call.Caller, err = e.refreshCaller(call.Caller); err != nil {
 		return nil, err
 	}
 	service, ok := call.Caller.snapshot.Service(call.Service)
@@ -91,11 +94,11 @@
 	}
 	path, _, _ := strings.Cut(call.Path, "?")
 	j := &serviceJob{
-		call:       call,
-		class:      class,
-		repeatable: service.RepeatableCall(call.Method, path),
-		deadline:   deadlineOf(now, call.Deadline, class),
-		print:      printOfCall(&call),
+		call:        call,
+		class:       class,
+		repeatable:  service.RepeatableCall(call.Method, path),
+		deadline:    deadlineOf(now, call.Deadline, class),
+		fingerprint: callFingerprint(&call),
 	}
 	if j.deadline.IsZero() {
 		j.deadline = now.Add(defaultServiceDeadline)
@@ -109,11 +112,12 @@
 	return j, nil
 }
 
-// runService takes a place in the service's pool and runs the call.
+// runService waits for admission to the service's pool and runs the call.
 func (e *Entry) runService(ctx context.Context, j *serviceJob) (ServiceAnswer, error) {
 	if j.repeatable {
-		// What may not be repeated asks the ledger first, for its recorded outcome.
-		if err := e.mayRun(j.print); err != nil {
+		// A call that is not repeatable consults the ledger first, which may
+		// have a recorded outcome.
+		if err := e.checkQuarantine(j.fingerprint); err != nil {
 			return ServiceAnswer{}, err
 		}
 	}
@@ -135,7 +139,8 @@
 	return e.runOnce(ctx, j)
 }
 
-// runRepeatable forwards a call until it is answered or the policy gives up.
+// runRepeatable forwards a call until it is answered or the policy permits no
+// further attempt.
 func (e *Entry) runRepeatable(ctx context.Context, j *serviceJob) (ServiceAnswer, error) {
 	for {
 		answer, err := e.forwardHedged(ctx, j)
@@ -148,7 +153,8 @@
 	}
 }
 
-// runOnce lets the ledger decide whether the call is sent.
+// runOnce sends the call if the ledger grants its claim, and otherwise returns
+// the recorded answer.
 func (e *Entry) runOnce(ctx context.Context, j *serviceJob) (ServiceAnswer, error) {
 	key := once.Key{Team: j.call.Caller.Team(), Service: j.call.Service, Text: j.call.Key}
 	if err := key.Validate(); err != nil {
@@ -166,7 +172,7 @@
 		if err != nil {
 			return once.Answer{}, err
 		}
-		return recordOf(&sent)
+		return recordAnswer(&sent)
 	})
 	if err != nil {
 		return ServiceAnswer{}, err
@@ -175,11 +181,11 @@
 		return sent, nil
 	}
 	e.counts.repeatedCalls.Inc()
-	return e.recorded(j, done.Answer)
+	return e.replayAnswer(j, done.Answer)
 }
 
-// sendOnce forwards the call. Another replica is tried only on proof that no
-// byte left, or that the replica did not run it.
+// sendOnce forwards the call. It tries another replica only if the call was
+// provably not sent or not run.
 func (e *Entry) sendOnce(ctx context.Context, j *serviceJob) (ServiceAnswer, error) {
 	for {
 		answer, err := e.forward(ctx, j)
@@ -197,10 +203,10 @@
 
 // forward makes one attempt.
 func (e *Entry) forward(ctx context.Context, j *serviceJob) (ServiceAnswer, error) {
-	if err := e.mayRun(j.print); err != nil {
+	if err := e.checkQuarantine(j.fingerprint); err != nil {
 		return ServiceAnswer{}, err
 	}
-	chosen, attempt, err := e.placeCall(j)
+	chosen, attempt, err := e.dispatchCall(j)
 	if err != nil {
 		return ServiceAnswer{}, err
 	}
@@ -218,11 +224,11 @@
 	e.registry.FirstToken(attempt)
 	e.registry.Finish(time.Now(), attempt, resultOf(ctx, err))
 	e.tracker.End(attempt.Request, attempt.Number)
-	e.noteCall(j, time.Since(sent), err)
+	e.recordCall(j, time.Since(sent), err)
 	e.mu.Unlock()
 	broke := func() {
 		if ctx.Err() == nil {
-			e.noteLost(chosen.Upstream, chosen.Incarnation, chosen.Address, quarantine.Attempt{Request: attempt.Request.String(), Print: j.print})
+			e.recordLost(chosen.Upstream, chosen.Incarnation, chosen.Address, quarantine.Attempt{Request: attempt.Request.String(), Print: j.fingerprint})
 		}
 	}
 	if outcome.KindOf(err) == outcome.KindUnknown {
@@ -236,7 +242,7 @@
 	return ServiceAnswer{
 		Status: answer.Status,
 		Header: answer.Header,
-		Body:   &observedBody{ReadCloser: answer.Body, served: func() { e.noteServed(j.print) }, broke: broke},
+		Body:   &observedBody{ReadCloser: answer.Body, served: func() { e.recordServed(j.fingerprint) }, lost: broke},
 		Length: answer.Length,
 		Provenance: Provenance{
 			Request:  j.call.Request,
@@ -261,10 +267,10 @@
 	}
 }
 
-// placeCall chooses a replica and records that the attempt is being sent.
-func (e *Entry) placeCall(j *serviceJob) (upstream.Candidate, upstream.Attempt, error) {
+// dispatchCall chooses a replica and records the attempt.
+func (e *Entry) dispatchCall(j *serviceJob) (upstream.Candidate, upstream.Attempt, error) {
 	if j.attempts == 0 {
-		// The lease may have run out while the call waited in the queue.
+		// The serving lease may have expired while the call was queued.
 		if err := e.mayServe(time.Now()); err != nil {
 			return upstream.Candidate{}, upstream.Attempt{}, err
 		}
@@ -294,8 +300,8 @@
 	}
 }
 
-// nearer orders replicas: a free one in the own data centre first, then by
-// load.
+// nearer compares replicas: those in the entry's data centre with a free slot
+// first, then by load.
 func (e *Entry) nearer(a, b upstream.Candidate) int {
 	aFree, bFree := e.localAndFree(a), e.localAndFree(b)
 	switch {
@@ -315,13 +321,14 @@
 	return c.DataCentre == e.options.DataCentre && c.Load.Requests < float64(c.Slots)
 }
 
-// mayRetryCall waits before another attempt, or returns the outcome to answer.
+// mayRetryCall waits for the back-off before another attempt and returns nil,
+// or returns the outcome if no further attempt is permitted.
 func (e *Entry) mayRetryCall(ctx context.Context, j *serviceJob, cause error) error {
 	if j.attempts == 0 {
 		return cause
 	}
-	if !e.mayRepeat(j.print, cause, j.ran) {
-		return j.verdict(cause)
+	if !e.mayRepeat(j.fingerprint, cause, j.possiblyRan) {
+		return j.finalOutcome(cause)
 	}
 	e.mu.Lock()
 	decision := e.policy.Next(time.Now(), retry.Call{
@@ -333,7 +340,7 @@
 	}, cause, e.options.Random)
 	e.mu.Unlock()
 	if decision.Action != retry.ActionRetry {
-		return j.verdict(cause)
+		return j.finalOutcome(cause)
 	}
 	e.counts.retries.Inc()
 	pause := time.NewTimer(decision.Delay)
@@ -342,14 +349,15 @@
 	case <-pause.C:
 		return nil
 	case <-ctx.Done():
-		return j.verdict(cause)
+		return j.finalOutcome(cause)
 	}
 }
 
-// verdict never says not-run of a call that an earlier attempt may have run.
-func (j *serviceJob) verdict(err error) error {
-	if j.ran != nil && outcome.KindOf(err) == outcome.KindNotRun {
-		return j.ran
+// finalOutcome returns err, or the outcome of an earlier attempt that may have
+// run if err is not-run.
+func (j *serviceJob) finalOutcome(err error) error {
+	if j.possiblyRan != nil && outcome.KindOf(err) == outcome.KindNotRun {
+		return j.possiblyRan
 	}
 	return err
 }
--- a/internal/entry/services_test.go
+++ b/internal/entry/services_test.go
@@ -215,7 +215,7 @@
 		one.control.serving = false
 		for i := range 30 {
 			answer, err := one.Address(Caller{}, fmt.Sprint(i))
-			if err != nil || one.named(answer) {
+			if err != nil || one.includesSelf(answer) {
 				t.Fatalf("without a lease: %+v, %v", answer, err)
 			}
 		}
--- a/internal/entry/types.go
+++ b/internal/entry/types.go
@@ -12,7 +12,7 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// Caller is an authenticated team within one revision of the configuration.
+// Caller is an authenticated team under one revision of the configuration.
 type Caller struct {
 	team     *config.Team
 	snapshot *config.Snapshot
@@ -33,47 +33,48 @@
 	Caller  Caller
 	Model   ident.Model
 	Adapter ident.Adapter
-	// Class is the class asked for, empty for the team's default.
+	// Class is the requested class, empty for the team's default.
 	Class  ident.Class
 	Tokens []uint32
-	// MaxTokens bounds the answer.
+	// MaxTokens bounds the tokens of the answer.
 	MaxTokens int
 	Seed      uint64
-	// Deadline is how long the caller waits, zero for the class's deadline.
+	// Deadline is how long the caller waits for the first token, zero for the
+	// deadline of the class.
 	Deadline time.Duration
 }
 
 // Token is one piece of an answer.
 type Token struct {
-	// Index is the position in the answer, from zero, without gaps.
+	// Index is the position in the answer, counted from zero without gaps.
 	Index int
 	Text  string
-	// Done marks the end of a whole answer; it carries no text.
+	// Done marks the end of a complete answer; such a token has no text.
 	Done         bool
 	FinishReason string
 }
 
-// Provenance tells what answered a request.
+// Provenance describes what produced the answer to a request.
 type Provenance struct {
 	Request  ident.Request
 	Outcome  outcome.Kind
 	Class    ident.Class
 	Upstream ident.Upstream
 	Version  ident.Version
-	// PromptTokens, ReusedTokens and OutputTokens are known once the answer
-	// is whole.
+	// PromptTokens, ReusedTokens and OutputTokens are set once the answer is
+	// complete.
 	PromptTokens int
 	ReusedTokens int
 	OutputTokens int
-	// KeptPrompt is the last block of the kept prompt that supplied the reused
-	// tokens; the zero identity when none did. KeptFrom tells where it was.
+	// KeptPrompt is the last reused block, zero if no tokens were reused.
+	// KeptFrom is where the reused blocks were kept.
 	KeptPrompt prefix.BlockID
 	KeptFrom   KeptFrom
-	// Resumes counts how often a broken stream was taken up again.
+	// Resumes is the number of times that a broken stream was resumed.
 	Resumes int
 }
 
-// KeptFrom is where reused tokens came from.
+// KeptFrom is the source of reused tokens.
 type KeptFrom string
 
 // The sources of reused tokens.
@@ -83,26 +84,26 @@
 	KeptInStore KeptFrom = "store"
 )
 
-// Answer yields the tokens of one prompt's answer. It is used by one
-// goroutine.
+// Answer yields the tokens of the answer to one prompt. It must be used by a
+// single goroutine.
 type Answer interface {
-	// Next returns the next token. After a token with Done set, or an error,
-	// the answer is over. An error after the first token means that the answer
-	// is not whole, whatever was received.
+	// Next returns the next token. The answer ends with a token that has Done
+	// set, or with an error. An error after the first token means that the
+	// answer is incomplete.
 	Next() (Token, error)
-	// Provenance tells what answered, as far as it is known by now.
+	// Provenance returns the provenance as far as it is known so far.
 	Provenance() Provenance
-	// Close ends the answer; an unfinished one is cancelled at the upstream.
+	// Close ends the answer. An unfinished one is cancelled at the upstream.
 	Close()
 }
 
-// ServiceCall is one caller's call of a plain service.
+// ServiceCall is a caller's call to a plain service.
 type ServiceCall struct {
 	Request ident.Request
 	Caller  Caller
 	Service ident.Service
 	Method  string
-	// Path is what follows the service's name, with its query.
+	// Path is the part after the service's name, including the query.
 	Path   string
 	Header http.Header
 	Body   []byte
@@ -119,30 +120,33 @@
 	Body       io.ReadCloser
 	Length     int64
 	Provenance Provenance
-	// Repeated tells that the answer is the recorded one of an earlier call
-	// with the same idempotency key.
+	// Repeated is set if the answer was recorded for an earlier call with the
+	// same idempotency key.
 	Repeated bool
 }
 
-// AddressAnswer tells a caller which entry to use.
+// AddressAnswer names the entries that a caller should use.
 type AddressAnswer struct {
-	// Address is the IP and port to connect to, Alternates those to try next.
+	// Address is the IP and port to connect to. Alternates are the addresses to
+	// try next.
 	Address    string
 	Alternates []string
-	// Keep is how long the answer may be used without asking again.
+	// Keep is how long the caller may use the answer.
 	Keep time.Duration
 }
 
-// Service is what the callers' listener needs of an entry.
+// Service is the part of an entry that the callers' listener uses.
 type Service interface {
-	// Authorize finds the team of a bearer token's digest.
+	// Authorize returns the caller that a bearer token's digest belongs to.
 	Authorize(digest config.TokenDigest) (Caller, error)
-	// Prompt starts one prompt; it returns once the first upstream accepted it.
+	// Prompt starts one prompt. It returns once an upstream has accepted it.
 	Prompt(ctx context.Context, prompt Prompt) (Answer, error)
 	// Call runs one call of a plain service.
 	Call(ctx context.Context, call ServiceCall) (ServiceAnswer, error)
-	// Address answers which entry a caller should use; from is its IP number.
+	// Address returns the entries that a caller should use. from is the
+	// caller's IP address.
 	Address(caller Caller, from string) (AddressAnswer, error)
-	// Ready reports why the entry takes no new requests, nil if it does.
+	// Ready returns the reason why the entry accepts no new requests, nil if it
+	// does.
 	Ready() error
 }
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -13,35 +13,36 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// followed is what the entry keeps of an upstream beside the registry.
+// followed is the entry's state of an upstream in addition to the registry's.
 type followed struct {
 	incarnation ident.Incarnation
 	kind        port.UpstreamKind
 	address     string
 	pool        upstream.Pool
 	blockBytes  int64
-	// cells are those whose directory has the upstream as a holder; a store
-	// host is a holder of the stores' directory instead.
+	// cells are the cells in whose directories the upstream is a holder. A
+	// store host is a holder in the stores' directory instead.
 	cells []ident.Cell
 	tiers []port.TierStatus
-	// announced and load are the last word of the upstream itself.
+	// announced and load are the latest messages of the upstream.
 	announced port.Announcement
 	load      port.LoadReport
-	// repairing tells that a snapshot is being read.
+	// repairing is set while a snapshot is queued or being read.
 	repairing bool
-	// missed counts the ticks at which the registry did not offer it.
+	// missed is the number of consecutive ticks at which the registry did not
+	// offer the upstream.
 	missed int
 }
 
-// ErrRefused reports an announcement of an earlier life, or one beyond the
-// bound on upstreams.
+// ErrRefused is returned for an announcement of a previous incarnation, or one
+// beyond the bound on upstreams.
 var ErrRefused = eris.New("the announcement is refused")
 
-// Announce takes an upstream's announcement and returns to whom and how often
-// it should report from now on.
+// Announce applies an upstream's announcement and returns to which entries and
+// how often the upstream should report.
 func (e *Entry) Announce(message port.Announcement) (announce.Assignment, error) {
 	now := time.Now()
-	var left departureWord
+	var notice departureNotice
 	e.mu.Lock()
 	result, err := e.registry.Announce(now, announcementOf(message))
 	switch result {
@@ -52,15 +53,15 @@
 	case upstream.Renewed:
 		e.follow(message)
 	case upstream.Departed:
-		left = departureWord{Upstream: message.Upstream, Incarnation: message.Incarnation}
-		e.departed(left)
-		e.departures.add(now, left)
-		e.options.Log.Info("upstream leaves", "upstream", string(message.Upstream), "heard", "upstream")
+		notice = departureNotice{Upstream: message.Upstream, Incarnation: message.Incarnation}
+		e.markLeaving(notice)
+		e.departures.add(now, notice)
+		e.options.Log.Info("upstream is leaving", "upstream", string(message.Upstream), "heard", "upstream")
 	}
 	pace := upstream.ReportIntervalsFor(e.registry.Len())
 	e.mu.Unlock()
 	if result == upstream.Departed {
-		e.tellDepartures([]departureWord{left})
+		e.sendDepartures([]departureNotice{notice})
 	}
 	if err != nil {
 		return announce.Assignment{}, err
@@ -114,13 +115,14 @@
 	}
 }
 
-// follow brings the directories in line with an accepted announcement. The
-// caller holds the mutex.
+// follow updates the entry's state and directories from an accepted
+// announcement. The caller holds the mutex.
 func (e *Entry) follow(message port.Announcement) {
 	f := e.followed[message.Upstream]
 	if f != nil && message.Incarnation < f.incarnation {
-		// The registry has taken it for the present life all the same. The
-		// directories and the keeper would refuse its words as outdated.
+		// The registry has accepted this as the current incarnation despite its
+		// lower number, as after a clock step. The directories and the keeper
+		// would discard its messages as outdated.
 		e.forget(message.Upstream, f)
 		f = nil
 	}
@@ -128,8 +130,8 @@
 		f = &followed{}
 		e.followed[message.Upstream] = f
 	}
-	// A new life starts with an unknown cache, and an entry that starts late
-	// has missed the earlier events: read a snapshot once.
+	// The cache of a new incarnation is unknown, and an entry that starts late
+	// has missed earlier events, so a snapshot is read once.
 	fresh := f.incarnation != message.Incarnation
 	f.incarnation = message.Incarnation
 	e.countSlots(f, -1)
@@ -180,7 +182,8 @@
 	e.centres[key] = append(known, centre)
 }
 
-// directoryOf returns the directory of a cell, nil when there are too many.
+// directoryOf returns the directory of a cell, or nil if the bound on cells is
+// reached.
 func (e *Entry) directoryOf(cell ident.Cell) *prefix.Directory {
 	if directory := e.cells[cell]; directory != nil {
 		return directory
@@ -196,8 +199,8 @@
 	return directory
 }
 
-// directories calls use for each directory that has the upstream as a holder.
-func (e *Entry) directories(f *followed, use func(*prefix.Directory)) {
+// eachDirectory calls use for each directory in which the upstream is a holder.
+func (e *Entry) eachDirectory(f *followed, use func(*prefix.Directory)) {
 	if f.kind == port.KindStore {
 		use(e.stores)
 		return
@@ -209,11 +212,11 @@
 	}
 }
 
-// Load takes a load report.
+// Load applies a load report.
 func (e *Entry) Load(message port.LoadReport) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	news := e.registry.Report(time.Now(), upstream.Report{
+	applied := e.registry.Report(time.Now(), upstream.Report{
 		Upstream:     message.Upstream,
 		Incarnation:  message.Incarnation,
 		MeasuredAt:   message.MeasuredTime(),
@@ -224,8 +227,8 @@
 		FreeBlocks:   message.FreeBlocks,
 		LinkBusy:     message.LinkBusy,
 	})
-	if !news {
-		e.counts.oldReports.Inc()
+	if !applied {
+		e.counts.staleReports.Inc()
 		return nil
 	}
 	if f := e.followed[message.Upstream]; f != nil {
@@ -234,8 +237,8 @@
 	return nil
 }
 
-// Events takes a batch of cache events and reports whether it left a gap that
-// a snapshot will repair.
+// Events applies a batch of cache events. It reports whether the batch left a
+// gap that needs to be repaired by a snapshot.
 func (e *Entry) Events(message port.CacheEvents) (bool, error) {
 	batch := prefix.Batch{
 		Upstream:    message.Upstream,
@@ -254,12 +257,13 @@
 	defer e.mu.Unlock()
 	f := e.followed[message.Upstream]
 	if f == nil || f.incarnation != message.Incarnation {
-		// Those of a life that is not announced yet come with its snapshot.
+		// Events of an incarnation that is not announced yet will be part of
+		// its snapshot.
 		return false, nil
 	}
-	e.noteRemovals(f, batch)
+	e.recordRemovals(f, batch)
 	stale := false
-	e.directories(f, func(directory *prefix.Directory) {
+	e.eachDirectory(f, func(directory *prefix.Directory) {
 		stale = directory.Apply(batch) == prefix.NeedsSnapshot || stale
 	})
 	if stale {
@@ -268,9 +272,9 @@
 	return stale, nil
 }
 
-// noteRemovals tells the manager of kept prompts which blocks are gone. The
+// recordRemovals reports removed blocks to the manager of kept prompts. The
 // caller holds the mutex.
-func (e *Entry) noteRemovals(f *followed, batch prefix.Batch) {
+func (e *Entry) recordRemovals(f *followed, batch prefix.Batch) {
 	now := time.Now()
 	for _, event := range batch.Events {
 		if event.Kind != prefix.Removed {
@@ -312,8 +316,8 @@
 	return out, true
 }
 
-// copyOf returns a committed slot as a copy, nil for any other phase: a slot
-// that is still being written must never be read.
+// copyOf converts a committed slot to a copy. It returns nil for any other
+// phase, since a slot that is being written must not be read.
 func copyOf(state port.SlotState) *prefix.Copy {
 	if state.Phase != port.SlotCommitted {
 		return nil
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -11,8 +11,8 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// controlView is what the pipeline knows through the control hosts. It
-// implements entry.Control.
+// controlView gives the pipeline access to the control client. It implements
+// entry.Control.
 type controlView struct {
 	client *client.Client
 	near   ident.DataCentre
@@ -21,15 +21,15 @@
 // Snapshot implements entry.Control.
 func (c controlView) Snapshot() *config.Snapshot { return c.client.Snapshot() }
 
-// Serving implements entry.Control. The client reads the clock itself, since
-// its lease is counted on it.
+// Serving implements entry.Control. It ignores the given time, since the client
+// measures its lease with its own clock.
 func (c controlView) Serving(time.Time) bool { return c.client.Serving() }
 
 // Entries implements entry.Control.
 func (c controlView) Entries() []entry.Peer {
-	alive := c.client.AvailableEntries(c.near)
-	peers := make([]entry.Peer, 0, len(alive))
-	for _, m := range alive {
+	entries := c.client.AvailableEntries(c.near)
+	peers := make([]entry.Peer, 0, len(entries))
+	for _, m := range entries {
 		peers = append(peers, entry.Peer{
 			Host:       m.Host,
 			DataCentre: m.DataCentre,
@@ -43,7 +43,8 @@
 // Leave implements entry.Control.
 func (c controlView) Leave() { c.client.Drain() }
 
-// reportOf summarises the followed engines for the control hosts.
+// reportOf converts the followed engines to the form that is reported to the
+// control hosts.
 func reportOf(engines []entry.EngineSummary) []protocol.Upstream {
 	out := make([]protocol.Upstream, 0, len(engines))
 	for _, engine := range engines {
--- a/internal/entryhost/departures.go
+++ b/internal/entryhost/departures.go
@@ -6,16 +6,17 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// MethodDepartures tells another entry which upstreams are leaving; it is
-// one-way.
+// MethodDepartures is the one-way method that reports leaving upstreams to
+// another entry.
 const MethodDepartures port.Method = "entry/departures"
 
-// MethodEnds tells another entry of requests that end upstreams; it is one-way.
-const MethodEnds port.Method = "entry/ends"
+// MethodCrashes is the one-way method that reports requests that crash
+// upstreams to another entry.
+const MethodCrashes port.Method = "entry/ends"
 
 func (h *Host) sendDepartures(body []byte) { h.sendAll(MethodDepartures, body) }
 
-func (h *Host) sendEnds(body []byte) { h.sendAll(MethodEnds, body) }
+func (h *Host) sendCrashes(body []byte) { h.sendAll(MethodCrashes, body) }
 
 // sendAll sends a message to every other entry.
 func (h *Host) sendAll(method port.Method, body []byte) {
@@ -26,10 +27,10 @@
 	}
 }
 
-func (h *Host) takeDepartures(_ context.Context, _ port.Peer, _ port.Method, body []byte) ([]byte, error) {
-	return nil, h.entry.TakeDepartures(body)
+func (h *Host) handleDepartures(_ context.Context, _ port.Peer, _ port.Method, body []byte) ([]byte, error) {
+	return nil, h.entry.ApplyDepartures(body)
 }
 
-func (h *Host) takeEnds(_ context.Context, _ port.Peer, _ port.Method, body []byte) ([]byte, error) {
-	return nil, h.entry.TakeEnds(body)
+func (h *Host) handleCrashes(_ context.Context, _ port.Peer, _ port.Method, body []byte) ([]byte, error) {
+	return nil, h.entry.ApplyCrashes(body)
 }
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -29,21 +29,20 @@
 
 // Host is one entry process.
 type Host struct {
-	options   Options
-	metrics   *metrics.Set
-	transport *peer.Transport
-	control   *client.Client
-	ledger    *ledger.Client
-	entry     *entry.Entry
-	audit     *audited.Stack
-	callers   *http.Server
-	announce  *http.Server
-	operators *http.Server
-	// operatorListener is the listener of operators.
+	options          Options
+	metrics          *metrics.Set
+	transport        *peer.Transport
+	control          *client.Client
+	ledger           *ledger.Client
+	entry            *entry.Entry
+	audit            *audited.Stack
+	callers          *http.Server
+	announce         *http.Server
+	operators        *http.Server
 	operatorListener net.Listener
 }
 
-// New puts an entry together; Run serves.
+// New builds an entry process; Run serves.
 func New(options Options) (*Host, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -92,7 +91,7 @@
 	var err error
 	h.control, err = client.New(client.Options{
 		Peers:     h.transport,
-		Self:      h.claim(),
+		Self:      h.selfMember(),
 		Addresses: addresses,
 		Log:       o.Log,
 		Clock:     boottime.Now,
@@ -101,8 +100,9 @@
 	return eris.Wrap(err, "entry: control client")
 }
 
-// claim is what this entry says of itself to the control hosts.
-func (h *Host) claim() member.Member {
+// selfMember returns the membership record with which this entry registers at
+// the control hosts.
+func (h *Host) selfMember() member.Member {
 	o := h.options
 	return member.Member{
 		Host:       o.Host,
@@ -136,12 +136,12 @@
 		KeepAddress:    o.KeepAddress,
 		SendUse:        h.sendUse,
 		SendDepartures: h.sendDepartures,
-		SendEnds:       h.sendEnds,
+		SendCrashes:    h.sendCrashes,
 		Keep:           o.Keep,
 	})
-	h.transport.Handle(MethodUse, port.PeerHandlerFunc(h.takeUse))
-	h.transport.Handle(MethodDepartures, port.PeerHandlerFunc(h.takeDepartures))
-	h.transport.Handle(MethodEnds, port.PeerHandlerFunc(h.takeEnds))
+	h.transport.Handle(MethodUse, port.PeerHandlerFunc(h.handleUse))
+	h.transport.Handle(MethodDepartures, port.PeerHandlerFunc(h.handleDepartures))
+	h.transport.Handle(MethodCrashes, port.PeerHandlerFunc(h.handleCrashes))
 	return eris.Wrap(err, "entry: pipeline")
 }
 
@@ -160,14 +160,14 @@
 // Callers returns the address of the callers' listener.
 func (h *Host) Callers() string { return h.options.Listeners.Callers.Addr().String() }
 
-// Audit returns how many requests were accepted and got an outcome.
+// Audit returns the numbers of accepted requests and of recorded outcomes.
 func (h *Host) Audit() audit.Counts { return h.audit.Counts() }
 
-// Entry returns the pipeline.
+// Entry returns the request pipeline.
 func (h *Host) Entry() *entry.Entry { return h.entry }
 
-// Run serves until ctx ends, or until a graceful shutdown that begins when
-// drain is closed has ended.
+// Run serves until ctx ends, or until the graceful shutdown that closing drain
+// starts has completed.
 func (h *Host) Run(ctx context.Context, drain <-chan struct{}) error {
 	metrics.RegisterSet(h.metrics)
 	defer metrics.UnregisterSet(h.metrics, true)
@@ -195,16 +195,17 @@
 	return group.Wait()
 }
 
-// drain shuts down gracefully; ctx ends it by force.
+// drain shuts down gracefully within DrainTimeout. It stops early when ctx
+// ends.
 func (h *Host) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.options.DrainTimeout)
 	defer cancel()
 	if err := h.entry.Drain(ctx); err != nil {
-		h.options.Log.Warn("drain cut short", "err", err)
+		h.options.Log.Warn("drain did not complete", "err", err)
 	}
-	// The last answers may still be on their way out of the server.
+	// The server may still be sending the last answers.
 	if err := h.callers.Shutdown(ctx); err != nil {
-		h.options.Log.Warn("callers cut off", "err", err)
+		h.options.Log.Warn("callers' connections closed before the end of their requests", "err", err)
 	}
 	h.report(ctx)
 	if err := h.control.Release(ctx); err != nil {
@@ -213,20 +214,20 @@
 }
 
 // reportTimeout bounds how long a graceful shutdown waits for the trace and the
-// ledger to take the last outcomes, for a control group without a quorum.
+// ledger to accept the last outcomes, in case the control group has no quorum.
 const reportTimeout = 15 * time.Second
 
 // report waits until the outcomes of the last requests are in the trace and in
-// the ledger. Without it a stop right after an answer would leave the request
-// listed as open, and its key as one whose owner was lost. No request is left
-// that could add to them, since the callers' server has shut down.
+// the ledger. Without it, a stop right after an answer would leave the request
+// listed as open and its key as one whose owner was lost. No further outcomes
+// can be added, since the callers' server has shut down.
 func (h *Host) report(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	h.audit.Drain(ctx)
 	h.ledger.Drain(ctx)
 	if ctx.Err() != nil {
-		h.options.Log.Warn("outcomes not reported", "settlements", h.ledger.Pending())
+		h.options.Log.Warn("some outcomes were not recorded", "settlements", h.ledger.Pending())
 	}
 }
 
@@ -240,7 +241,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := h.transport.Close(ctx); err != nil {
-		h.options.Log.Debug("peers closed", "err", err)
+		h.options.Log.Debug("closing peer connections failed", "err", err)
 	}
 }
 
@@ -253,10 +254,10 @@
 	return eris.Wrapf(err, "entry: listener %s", listener.Addr())
 }
 
-// Announce returns the address of the listener for upstreams.
+// Announce returns the address of the upstreams' listener.
 func (h *Host) Announce() string { return h.options.Listeners.Announce.Addr().String() }
 
-// Metric returns the value of a counter of the entry, for tests and
+// Metric returns the value of a counter of the entry. It is meant for tests and
 // demonstrations.
 func (h *Host) Metric(name string) float64 {
 	return float64(h.metrics.GetOrCreateCounter(name).Get())
--- a/internal/entryhost/ledger.go
+++ b/internal/entryhost/ledger.go
@@ -23,13 +23,13 @@
 	return eris.Wrap(err, "entry: ledger client")
 }
 
-// shards is the number of ledger shards in force. It is fixed by the first
-// revision of the configuration, so its history has one entry.
+// shards returns the numbers of ledger shards in force. The number is fixed by
+// the first revision of the configuration, so the list has one element.
 func (h *Host) shards() once.Shards {
 	return once.Shards{uint32(max(1, h.control.Snapshot().LedgerShards()))}
 }
 
-// ledgerPort adapts the ledger's client. It implements entry.Ledger.
+// ledgerPort adapts the ledger client. It implements entry.Ledger.
 type ledgerPort struct {
 	client *ledger.Client
 }
--- a/internal/entryhost/operators.go
+++ b/internal/entryhost/operators.go
@@ -20,8 +20,8 @@
 	operatorMaxHeader     = 16 << 10
 )
 
-// buildOperators opens the operators' listener: metrics, health, profiles, the
-// dump, and audit queries on this entry's own requests.
+// buildOperators opens the operators' listener, which serves metrics, health,
+// profiles, the dump, and audit queries on this entry's own requests.
 func (h *Host) buildOperators() error {
 	dump := telemetry.NewRegistry()
 	dump.Register("entry", func() any { return h.entry.Dump() })
--- a/internal/entryhost/options.go
+++ b/internal/entryhost/options.go
@@ -1,7 +1,7 @@
-// Package entryhost puts an entry process together: the listeners for callers,
-// upstreams, peers and operators, the clients of control hosts and ledger, and
-// the pipeline of package entry between them. Both lovage-entry and lovage-dev
-// run it.
+// Package entryhost assembles an entry process: the listeners for callers,
+// upstreams, peers and operators, the clients of the control hosts and the
+// ledger, and the pipeline of package entry. It is used by lovage-entry and
+// lovage-dev.
 package entryhost
 
 import (
@@ -19,14 +19,14 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// Listeners are the open listeners of one entry process.
+// Listeners are the open listeners of an entry process.
 type Listeners struct {
 	Callers  net.Listener
 	Announce net.Listener
 	Peer     net.Listener
 }
 
-// Close closes those that are open.
+// Close closes the listeners that are set.
 func (l Listeners) Close() {
 	for _, listener := range []net.Listener{l.Callers, l.Announce, l.Peer} {
 		if listener != nil {
@@ -35,43 +35,44 @@
 	}
 }
 
-// Options configure a Host. Zero times take the defaults of the packages that
-// use them.
+// Options configure a Host. Zero durations take the defaults of the packages
+// that use them.
 type Options struct {
 	Host       ident.Host
 	DataCentre ident.DataCentre
-	// Incarnation tells this run's connections from those of others; it has no
-	// order. Zero takes a new one.
+	// Incarnation distinguishes this run's connections from those of other
+	// runs. It has no order. Zero generates a new one.
 	Incarnation ident.Incarnation
-	// Cluster names the deployment; processes of another one are refused.
+	// Cluster is the name of the deployment. Processes of other deployments are
+	// refused.
 	Cluster   string
 	Listeners Listeners
-	// Operators is the address of the operators' listener.
+	// Operators is the listen address of the operators' listener.
 	Operators string
-	// Control gives the peer addresses of the control hosts.
+	// Control maps control hosts to their peer addresses.
 	Control map[ident.Host]string
-	// PeerKey authenticates the processes of the deployment to one another
-	// when TLS is not set.
+	// PeerKey authenticates the processes of the deployment to each other if
+	// TLS is not set.
 	PeerKey []byte
 	TLS     *peer.TLSFiles
-	// BlockKey is the secret under which blocks are named.
+	// BlockKey is the secret key of block identifiers.
 	BlockKey prefix.Key
 	Callers  callers.Options
-	// Keep bounds and times what is kept of prompts.
+	// Keep holds the bounds and intervals of kept prompts.
 	Keep keep.Options
-	// KeepAddress is how long callers may keep an address answer.
+	// KeepAddress is how long callers may use an address answer.
 	KeepAddress time.Duration
-	// TokenGap is how long an engine's stream may stay silent.
+	// TokenGap is the maximum time between tokens of an engine's stream.
 	TokenGap time.Duration
 	// DrainTimeout bounds a graceful shutdown.
 	DrainTimeout time.Duration
 	Log          *log.Logger
 }
 
-// DefaultDrainTimeout bounds a graceful shutdown.
+// DefaultDrainTimeout is the default of Options.DrainTimeout.
 const DefaultDrainTimeout = 10 * time.Minute
 
-// Validate reports the first option that cannot work.
+// Validate returns an error for the first option that is missing or invalid.
 func (o Options) Validate() error {
 	switch {
 	case o.Host == "" || o.DataCentre == "" || o.Cluster == "":
--- a/internal/entryhost/upstreams.go
+++ b/internal/entryhost/upstreams.go
@@ -12,12 +12,13 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// maxClients bounds the clients kept for each kind of upstream. Addresses come
-// from announcements, so that a misbehaving upstream could else fill the maps;
-// beyond the bound all are dropped, which costs only their re-creation.
+// maxClients bounds the clients per kind of upstream. Addresses come from
+// announcements, so a misbehaving upstream could otherwise fill the maps. When
+// the bound is reached, all clients of the kind are dropped, which only costs
+// their re-creation.
 const maxClients = 4096
 
-// upstreamClients makes and keeps the clients of upstreams by address. It
+// upstreamClients creates and caches the clients of upstreams by address. It
 // implements entry.Upstreams.
 type upstreamClients struct {
 	transport *httpsend.Transport
@@ -42,25 +43,25 @@
 
 // Engine implements entry.Upstreams.
 func (u *upstreamClients) Engine(address string) port.Engine {
-	return kept(u, u.engines, address, func() port.Engine { return engine.New(address, u.options) })
+	return cachedClient(u, u.engines, address, func() port.Engine { return engine.New(address, u.options) })
 }
 
 // Store implements entry.Upstreams.
 func (u *upstreamClients) Store(address string) port.Store {
-	return kept(u, u.stores, address, func() port.Store { return store.New(address, u.transport) })
+	return cachedClient(u, u.stores, address, func() port.Store { return store.New(address, u.transport) })
 }
 
 // Service implements entry.Upstreams.
 func (u *upstreamClients) Service(address string) port.Service {
-	return kept(u, u.services, address, func() port.Service { return service.New(address, u.transport) })
+	return cachedClient(u, u.services, address, func() port.Service { return service.New(address, u.transport) })
 }
 
-// Ended implements entry.Upstreams.
-func (u *upstreamClients) Ended(ctx context.Context, address string) bool {
+// Crashed implements entry.Upstreams.
+func (u *upstreamClients) Crashed(ctx context.Context, address string) bool {
 	return httpsend.Ended(ctx, address)
 }
 
-func kept[C any](u *upstreamClients, clients map[string]C, address string, make func() C) C {
+func cachedClient[C any](u *upstreamClients, clients map[string]C, address string, make func() C) C {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if client, ok := clients[address]; ok {
--- a/internal/entryhost/uses.go
+++ b/internal/entryhost/uses.go
@@ -7,7 +7,8 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// MethodUse tells a prompt's home that the prompt was used; it is one-way.
+// MethodUse is the one-way method that reports a use of a prompt to the
+// prompt's home.
 const MethodUse port.Method = "entry/used"
 
 func (h *Host) sendUse(home ident.Host, body []byte) bool {
@@ -15,6 +16,6 @@
 	return known && h.transport.Send(member.Peers, MethodUse, body)
 }
 
-func (h *Host) takeUse(_ context.Context, _ port.Peer, _ port.Method, body []byte) ([]byte, error) {
-	return nil, h.entry.TakeUse(body)
+func (h *Host) handleUse(_ context.Context, _ port.Peer, _ port.Method, body []byte) ([]byte, error) {
+	return nil, h.entry.ApplyUse(body)
 }
