--- a/internal/entry/authorize_test.go
+++ b/internal/entry/authorize_test.go
@@ -9,11 +9,11 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// An entry restarts and a caller with a valid token reaches it before any
-// control host does. Told "unauthorized" the caller would give up for good; it
-// must hear that nothing was run, and where to go. Only an entry that serves
-// can know that a token is nobody's.
-func TestUnknownTokenIsRefusedOnlyUnderALease(t *testing.T) {
+// An entry that has restarted may receive a valid token before it has reached
+// any control host. If it answered "unauthorized", the caller would give up
+// permanently. It must report not-run and name another entry; only a serving
+// entry can know that a token is invalid.
+func TestUnknownTokenIsUnauthorizedOnlyWithLease(t *testing.T) {
 	none, err := config.NewSnapshot(0, config.Document{})
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newTestEntry(t)
 			b.control.serving = c.serving
 			b.control.peers = []Peer{{Host: "entry-2", Callers: "127.0.0.1:8002"}}
 			if c.empty {
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -8,13 +8,13 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// BenchmarkIdleAnswer reports the memory of the pipeline's own state for one
-// open answer that is silent, without any HTTP.
+// BenchmarkIdleAnswer reports the memory of the pipeline's state for one open
+// answer without traffic, excluding HTTP.
 func BenchmarkIdleAnswer(b *testing.B) {
 	for _, count := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("answers=%d", count), func(b *testing.B) {
 			for b.Loop() {
-				bench := newBench(b)
+				bench := newTestEntry(b)
 				bench.engine(b, "runner-1", step{tokens: 1, hang: true}).slots(b, bench, count)
 				prompts := make([]Prompt, count)
 				for i := range prompts {
@@ -22,7 +22,7 @@
 					prompts[i].Request = ident.Request{byte(i), byte(i >> 8)}
 				}
 				answers := make([]Answer, count)
-				before := inUse()
+				before := memoryInUse()
 				for i := range answers {
 					var err error
 					if answers[i], err = bench.Prompt(b.Context(), prompts[i]); err != nil {
@@ -32,7 +32,7 @@
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric(float64(inUse()-before)/float64(count), "bytes/answer")
+				b.ReportMetric(float64(memoryInUse()-before)/float64(count), "bytes/answer")
 				for _, answer := range answers {
 					answer.Close()
 				}
@@ -41,7 +41,7 @@
 	}
 }
 
-func inUse() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -49,9 +49,10 @@
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// BenchmarkPrompt measures one whole request of the pipeline, without HTTP.
+// BenchmarkPrompt measures one complete request through the pipeline, excluding
+// HTTP.
 func BenchmarkPrompt(b *testing.B) {
-	bench := newBench(b)
+	bench := newTestEntry(b)
 	for i := range 18 {
 		bench.engine(b, fmt.Sprintf("runner-%d", i))
 	}
@@ -68,17 +69,18 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := read(answer); err != nil {
+		if _, err := readAnswer(answer); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// The work of one request must not grow with the number of upstreams: at the
-// target size an entry that walked them would spend its time on that alone.
+// Guards against work per request that grows with the number of upstreams: at
+// the target size, an entry that iterated over all of them would spend its time
+// on that alone.
 func TestRequestCostIsIndependentOfUpstreams(t *testing.T) {
 	cost := func(engines int) float64 {
-		bench := newBench(t)
+		bench := newTestEntry(t)
 		for i := range engines {
 			bench.engine(t, fmt.Sprintf("runner-%d", i))
 		}
@@ -91,15 +93,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := read(answer); err != nil {
+			if _, err := readAnswer(answer); err != nil {
 				t.Fatal(err)
 			}
 		})
 	}
 	few, many := cost(10), cost(100)
-	// Holders of the prompt are weighed beside the sample, so a few more
-	// candidates are; ten times the upstreams must not be twice the work.
+	// Holders of the prompt are considered in addition to the sample, so there
+	// are a few more candidates; but ten times the upstreams must not double
+	// the work.
 	if many > 1.5*few {
-		t.Errorf("%.0f allocations before 10 engines, %.0f before 100", few, many)
+		t.Errorf("%.0f allocations with 10 engines, %.0f with 100", few, many)
 	}
 }
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -16,39 +16,40 @@
 	"github.com/lovagereach/lovagereach/quarantine"
 )
 
-// endsMost are the engines that may end under a prompt, and a call, before it is known,
-// and sentMost the times that it may be sent on afterwards.
-const endsMost, sentMost = 3, 3
+// maxCrashes is the maximum number of engines or replicas that a request may
+// crash before it is identified, and maxSends how often it may be sent
+// afterwards.
+const maxCrashes, maxSends = 3, 3
 
-// A prompt ends each engine that begins to run it, and its caller sends it to one entry
-// after the other. Each attempt was new to the entry that got it: the engine was held
-// to have failed, never the prompt, so it was sent, and sent again to the next engine,
-// with every attempt. 16 attempts at two entries ended 36 engines.
-func TestAPromptThatEndsItsEnginesIsStopped(t *testing.T) {
+// A prompt crashes each engine that starts to run it, and its caller sends it
+// to alternating entries. Without quarantine, each entry blames the engine and
+// sends the prompt to the next one with every attempt: 16 attempts at two
+// entries crashed 36 engines.
+func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two := newBench(t), newBench(t)
-		ended := func(b *bench) (n int) {
+		one, two := newTestEntry(t), newTestEntry(t)
+		crashed := func(b *testEntry) (n int) {
 			for _, f := range b.upstreams.engines {
 				n += len(f.requests)
 			}
 			return n
 		}
-		for _, b := range []*bench{one, two} {
+		for _, b := range []*testEntry{one, two} {
 			for _, name := range []string{"runner-1", "runner-2", "runner-3", "runner-4"} {
 				b.engine(t, name, step{refuse: errLost})
 			}
 		}
-		joined(t, one, two)
+		connect(t, one, two)
 		for n := range byte(16) {
-			b := []*bench{one, two}[n%2]
+			b := []*testEntry{one, two}[n%2]
 			if answer, err := b.Prompt(t.Context(), b.prompt(t, n)); err == nil {
-				_, _ = read(answer)
+				_, _ = readAnswer(answer)
 			}
 			time.Sleep(500 * time.Millisecond)
-			reborn(t, one, two)
+			restartUpstreams(t, one, two)
 		}
-		if n := ended(one) + ended(two); n > endsMost+sentMost {
-			t.Errorf("%d engines ended under one prompt, want at most %d", n, endsMost+sentMost)
+		if n := crashed(one) + crashed(two); n > maxCrashes+maxSends {
+			t.Errorf("%d engines crashed by one prompt, want at most %d", n, maxCrashes+maxSends)
 		}
 		another := two.prompt(t, 100)
 		another.Tokens = []uint32{1, 2, 3}
@@ -57,19 +58,20 @@
 		}
 		answer, err := two.Prompt(t.Context(), another)
 		if err == nil {
-			_, err = read(answer)
+			_, err = readAnswer(answer)
 		}
 		if err != nil {
-			t.Errorf("another prompt is not served: %v", err)
+			t.Errorf("another prompt failed: %v", err)
 		}
 	})
 }
 
-// The same for a call of a plain service: 16 attempts ended 36 replicas.
-func TestACallThatEndsItsReplicasIsStopped(t *testing.T) {
+// The same failure for calls to a plain service: 16 attempts crashed 36
+// replicas.
+func TestCallThatCrashesReplicasIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two := newBench(t), newBench(t)
-		for _, b := range []*bench{one, two} {
+		one, two := newTestEntry(t), newTestEntry(t)
+		for _, b := range []*testEntry{one, two} {
 			for _, name := range []string{"app-1", "app-2", "app-3"} {
 				f := b.service(t, name)
 				for range 50 {
@@ -77,9 +79,9 @@
 				}
 			}
 		}
-		joined(t, one, two)
+		connect(t, one, two)
 		for n := range byte(16) {
-			b := []*bench{one, two}[n%2]
+			b := []*testEntry{one, two}[n%2]
 			caller, err := b.Authorize(digest(testToken))
 			if err != nil {
 				t.Fatal(err)
@@ -89,30 +91,32 @@
 				_ = answer.Body.Close()
 			}
 			time.Sleep(500 * time.Millisecond)
-			reborn(t, one, two)
+			restartUpstreams(t, one, two)
 		}
-		ended := 0
-		for _, b := range []*bench{one, two} {
+		crashed := 0
+		for _, b := range []*testEntry{one, two} {
 			for _, f := range b.upstreams.services {
-				ended += len(f.calls)
+				crashed += len(f.calls)
 			}
 		}
-		if ended > endsMost+sentMost {
-			t.Errorf("%d replicas ended under one call, want at most %d", ended, endsMost+sentMost)
+		if crashed > maxCrashes+maxSends {
+			t.Errorf("%d replicas crashed by one call, want at most %d", crashed, maxCrashes+maxSends)
 		}
 	})
 }
 
-// joined lets entries hear of each other. Upstreams that break off have ended.
-func joined(t *testing.T, one, two *bench) {
-	one.upstreams.ended, two.upstreams.ended = true, true
+// connect lets two entries exchange crash messages and run. Upstreams whose
+// connections break have crashed.
+func connect(t *testing.T, one, two *testEntry) {
+	one.upstreams.crashed, two.upstreams.crashed = true, true
 	one.options.SendCrashes = func(body []byte) { _ = two.ApplyCrashes(body) }
 	two.options.SendCrashes = func(body []byte) { _ = one.ApplyCrashes(body) }
-	run(t, one, two)
+	runEntries(t, one, two)
 }
 
-// run lets entries work until the test ends. Their upstreams are announced before.
-func run(t *testing.T, entries ...*bench) {
+// runEntries runs entries until the test ends. Their upstreams must be
+// announced before.
+func runEntries(t *testing.T, entries ...*testEntry) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var work sync.WaitGroup
 	for _, b := range entries {
@@ -121,8 +125,9 @@
 	t.Cleanup(func() { cancel(); work.Wait() })
 }
 
-// reborn announces all upstreams in a new life, as after their end.
-func reborn(t *testing.T, entries ...*bench) {
+// restartUpstreams announces all upstreams with their next incarnation, as
+// after a crash.
+func restartUpstreams(t *testing.T, entries ...*testEntry) {
 	t.Helper()
 	for _, b := range entries {
 		for i := range b.announced {
@@ -132,33 +137,34 @@
 	}
 }
 
-// ask sends one prompt of the test team, with a seed that tells it from others.
-func (b *bench) ask(t *testing.T, id byte, seed uint64) error {
+// sendPrompt sends one prompt of the test team. Prompts with different seeds
+// have different fingerprints.
+func (b *testEntry) sendPrompt(t *testing.T, id byte, seed uint64) error {
 	t.Helper()
 	prompt := b.prompt(t, id)
 	prompt.Seed = seed
 	answer, err := b.Prompt(t.Context(), prompt)
 	if err == nil {
-		_, err = read(answer)
+		_, err = readAnswer(answer)
 	}
 	return err
 }
 
-func isHeld(err error) bool {
+func isQuarantined(err error) bool {
 	var unknown *outcome.Unknown
 	return errors.As(err, &unknown) && unknown.Reason == outcome.ReasonCrashesUpstreams
 }
 
-// The first messages about ends are lost, and a third entry starts long after they were
-// seen. Both must hold the prompt, tell its caller that it is not sent, and go on
-// sending all others; once it was served somewhere, all send it again.
-func TestEndsReachEveryEntry(t *testing.T) {
+// The first crash messages are lost, and a third entry starts long after the
+// crashes. Both must quarantine the prompt and continue to serve all others.
+// Once the prompt was served by any entry, all must serve it again.
+func TestCrashesReachEveryEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two, three := newBench(t), newBench(t), newBench(t)
-		one.upstreams.ended = true
-		var told atomic.Int32
+		one, two, three := newTestEntry(t), newTestEntry(t), newTestEntry(t)
+		one.upstreams.crashed = true
+		var messages atomic.Int32
 		one.options.SendCrashes = func(body []byte) {
-			if told.Add(1) > 3 {
+			if messages.Add(1) > 3 {
 				_, _ = two.ApplyCrashes(body), three.ApplyCrashes(body)
 			}
 		}
@@ -167,118 +173,118 @@
 			two.engine(t, fmt.Sprint("runner-", i))
 			three.engine(t, fmt.Sprint("runner-", i))
 		}
-		run(t, one)
+		runEntries(t, one)
 		for n := range byte(2) {
-			_ = one.ask(t, n, 7)
+			_ = one.sendPrompt(t, n, 7)
 			time.Sleep(time.Second)
-			reborn(t, one)
+			restartUpstreams(t, one)
 		}
 		time.Sleep(2 * crashInterval)
-		if err := two.ask(t, 10, 7); !isHeld(err) {
-			t.Errorf("the second entry answers %v", err)
+		if err := two.sendPrompt(t, 10, 7); !isQuarantined(err) {
+			t.Errorf("the second entry returned %v, want quarantined", err)
 		}
 		time.Sleep(2 * crashRepeat)
 		three.mu.Lock()
 		three.crashes = newCrashState()
 		three.mu.Unlock()
-		one.control.enter(Peer{Host: "entry-3"})
+		one.control.addPeer(Peer{Host: "entry-3"})
 		time.Sleep(2 * crashInterval)
 		three.announceAgain(t)
-		if err := three.ask(t, 11, 7); !isHeld(err) {
-			t.Errorf("an entry that started later answers %v", err)
+		if err := three.sendPrompt(t, 11, 7); !isQuarantined(err) {
+			t.Errorf("an entry that started later returned %v, want quarantined", err)
 		}
-		if err := three.ask(t, 12, 8); err != nil {
-			t.Errorf("another prompt ends with %v", err)
+		if err := three.sendPrompt(t, 12, 8); err != nil {
+			t.Errorf("another prompt failed: %v", err)
 		}
 		_ = three.ApplyCrashes(wire.MustMarshal(crashMessage{Served: three.crashes.tracker.Quarantined()}))
 		three.announceAgain(t)
-		if err := three.ask(t, 13, 7); err != nil {
-			t.Errorf("a prompt that was served elsewhere ends with %v", err)
+		if err := three.sendPrompt(t, 13, 7); err != nil {
+			t.Errorf("a prompt that was served by another entry failed: %v", err)
 		}
 	})
 }
 
-// Connections break, but the engines go on: their prompts are not held, and an entry
-// that has served one clears it with all others. Old ends no longer count.
-func TestOnlyEndsCountAndNotForEver(t *testing.T) {
+// Connections break while the engines keep running: their prompts must not be
+// quarantined. Crashes must expire.
+func TestOnlyCrashesCountUntilTheyExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.engine(t, "runner-1", step{refuse: errLost})
-		run(t, b)
+		runEntries(t, b)
 		for n := range byte(6) {
-			_ = b.ask(t, n, 7)
+			_ = b.sendPrompt(t, n, 7)
 			time.Sleep(time.Second)
-			reborn(t, b)
+			restartUpstreams(t, b)
 		}
-		if held := b.crashes.tracker.Quarantined(); len(held) != 0 || b.crashes.lost.Len() != 0 {
-			t.Fatalf("held %v without an end", held)
+		if quarantined := b.crashes.tracker.Quarantined(); len(quarantined) != 0 || b.crashes.lost.Len() != 0 {
+			t.Fatalf("%v are quarantined without a crash", quarantined)
 		}
-		b.upstreams.ended = true
+		b.upstreams.crashed = true
 		for n := range byte(6) {
-			_ = b.ask(t, 10+n, 7)
+			_ = b.sendPrompt(t, 10+n, 7)
 			time.Sleep(time.Second)
-			reborn(t, b)
+			restartUpstreams(t, b)
 		}
-		if !isHeld(b.ask(t, 20, 7)) {
-			t.Fatal("not held")
+		if !isQuarantined(b.sendPrompt(t, 20, 7)) {
+			t.Fatal("the prompt is not quarantined")
 		}
 		time.Sleep(quarantine.CrashRetention)
 		b.crashesDue(time.Now())
 		if len(b.crashes.tracker.Incarnations())+len(b.crashes.own)+b.crashes.seen.Len() != 0 {
-			t.Fatal("old ends are kept")
+			t.Fatal("expired crashes are kept")
 		}
 	})
 }
 
-// What another process says is bounded.
-func TestTakeEndsIsBounded(t *testing.T) {
-	b := newBench(t)
+// Crash messages of other processes are bounded.
+func TestApplyCrashesIsBounded(t *testing.T) {
+	b := newTestEntry(t)
 	if b.ApplyCrashes(wire.MustMarshal(crashMessage{Crashes: make([]crashReport, maxOwnCrashes+1)})) == nil {
-		t.Error("too many ends are taken")
+		t.Error("a message with too many crashes was accepted")
 	}
 	if b.ApplyCrashes([]byte("no message")) == nil {
-		t.Error("bytes that can't be read are taken")
+		t.Error("an undecodable message was accepted")
 	}
 }
 
-// The only entry that saw the ends is lost, and then another starts. Those that were told
-// hold the prompt: the first of them by name must tell it on, or each entry that starts
-// ends three engines more.
-func TestEndsAreToldOnAfterTheirEntryIsLost(t *testing.T) {
+// The only entry that observed the crashes is lost, then another entry starts.
+// The first by host name of those that received the crashes must forward them;
+// otherwise each starting entry would crash three more engines.
+func TestCrashesAreForwardedAfterObserverIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		two, three := newBench(t), newBench(t)
+		two, three := newTestEntry(t), newTestEntry(t)
 		two.options.SendCrashes = func(body []byte) { _ = three.ApplyCrashes(body) }
 		two.engine(t, "runner-1")
 		three.engine(t, "runner-1")
-		run(t, two)
+		runEntries(t, two)
 		bad := promptFingerprint(&Prompt{Caller: two.prompt(t, 1).Caller, Model: testModel, Tokens: two.prompt(t, 1).Tokens, MaxTokens: 5, Seed: 7})
-		var seen []quarantine.Crash
+		var crashes []quarantine.Crash
 		for i := range quarantine.CrashThreshold {
-			seen = append(seen, quarantine.Crash{
+			crashes = append(crashes, quarantine.Crash{
 				Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{bad, {byte(i)}},
 			})
 		}
-		if err := two.ApplyCrashes(wire.MustMarshal(toldNow(seen))); err != nil {
+		if err := two.ApplyCrashes(wire.MustMarshal(newCrashMessage(crashes))); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * crashRepeat)
-		two.control.enter(Peer{Host: "entry-1"})
-		two.control.enter(Peer{Host: "entry-3"})
+		two.control.addPeer(Peer{Host: "entry-1"})
+		two.control.addPeer(Peer{Host: "entry-3"})
 		time.Sleep(2 * crashInterval)
 		three.announceAgain(t)
-		if err := three.ask(t, 1, 7); !isHeld(err) {
-			t.Errorf("an entry that starts later answers %v", err)
+		if err := three.sendPrompt(t, 1, 7); !isQuarantined(err) {
+			t.Errorf("an entry that starts later returned %v, want quarantined", err)
 		}
 	})
 }
 
-// An entry hears of old ends because it starts late, and becomes the first that tells of
-// them. Told on as new, the ends would come back to entries that have forgotten them,
-// and the prompt would be held for ever.
-func TestEndsThatAreToldOnGrowOld(t *testing.T) {
+// An entry that starts late receives old crashes and becomes the one that
+// forwards them. Forwarded as new, they would return to entries that have
+// dropped them, and the prompt would stay quarantined permanently.
+func TestForwardedCrashesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, late := newBench(t), newBench(t)
-		tell := func(from, to *bench) {
+		first, late := newTestEntry(t), newTestEntry(t)
+		forward := func(from, to *testEntry) {
 			from.mu.Lock()
 			m := from.crashes.due(time.Now(), "entry-0", []Peer{{Host: "entry-0"}, {Host: ident.Host("entry-" + time.Now().String())}})
 			from.mu.Unlock()
@@ -286,31 +292,31 @@
 				t.Fatal(err)
 			}
 		}
-		var seen []quarantine.Crash
+		var crashes []quarantine.Crash
 		for i := range quarantine.CrashThreshold {
-			seen = append(seen, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
+			crashes = append(crashes, quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
 		}
-		first.applyCrashes(toldNow(seen))
+		first.applyCrashes(newCrashMessage(crashes))
 		time.Sleep(quarantine.CrashRetention - time.Minute)
-		tell(first, late)
+		forward(first, late)
 		if len(late.crashes.tracker.Quarantined()) != 1 {
-			t.Fatal("the late entry was not told")
+			t.Fatal("the late entry did not quarantine the prompt")
 		}
 		time.Sleep(2 * time.Minute)
 		first.crashesDue(time.Now())
-		tell(late, first)
+		forward(late, first)
 		first.mu.Lock()
 		defer first.mu.Unlock()
-		if held := first.crashes.tracker.Quarantined(); len(held) != 0 {
-			t.Errorf("%d requests are held for ends that no longer count", len(held))
+		if quarantined := first.crashes.tracker.Quarantined(); len(quarantined) != 0 {
+			t.Errorf("%d requests are quarantined for expired crashes", len(quarantined))
 		}
 	})
 }
 
-// toldNow is a message on ends that have just been seen.
-func toldNow(seen []quarantine.Crash) (m crashMessage) {
-	for _, end := range seen {
-		m.Crashes = append(m.Crashes, crashReport{Crash: end})
+// newCrashMessage returns a message about crashes that have just been observed.
+func newCrashMessage(crashes []quarantine.Crash) (m crashMessage) {
+	for _, crash := range crashes {
+		m.Crashes = append(m.Crashes, crashReport{Crash: crash})
 	}
 	return m
 }
--- a/internal/entry/departures_test.go
+++ b/internal/entry/departures_test.go
@@ -18,12 +18,12 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// offers tells whether the entry sends prompts anywhere.
-func (b *bench) offers(t *testing.T, id byte) bool {
+// serves reports whether the entry sends a prompt to an upstream.
+func (b *testEntry) serves(t *testing.T, id byte) bool {
 	t.Helper()
 	answer, err := b.Prompt(t.Context(), b.prompt(t, id))
 	if err == nil {
-		_, err = read(answer)
+		_, err = readAnswer(answer)
 	}
 	if err != nil && outcome.KindOf(err) != outcome.KindNotRun {
 		t.Fatal(err)
@@ -31,26 +31,26 @@
 	return err == nil
 }
 
-// An engine says to one entry only that it is leaving. The first message to the
-// second entry is lost, and the third entry is reached only by the second. Two
-// seconds after the word no entry may send it anything, and an announcement that
-// was under way meanwhile must not bring it back: a caller would else wait for
-// an engine that shuts down. Its next life serves again.
+// An engine announces its departure to one entry only. The first message to the
+// second entry is lost, and the third entry is reached only through the second.
+// After two seconds no entry may use the engine, and a delayed announcement
+// must not reinstate it: callers would wait for an engine that shuts down. Its
+// next incarnation must be accepted.
 func TestDepartureReachesEveryEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two, three := newBench(t), newBench(t), newBench(t)
-		entries := []*bench{one, two, three}
-		var told atomic.Int32
+		one, two, three := newTestEntry(t), newTestEntry(t), newTestEntry(t)
+		entries := []*testEntry{one, two, three}
+		var messages atomic.Int32
 		one.options.SendDepartures = func(body []byte) {
-			if told.Add(1) > 1 {
-				two.takeWords(t, body)
+			if messages.Add(1) > 1 {
+				two.mustApplyDepartures(t, body)
 			}
 		}
-		two.options.SendDepartures = func(body []byte) { three.takeWords(t, body) }
+		two.options.SendDepartures = func(body []byte) { three.mustApplyDepartures(t, body) }
 		ctx, cancel := context.WithCancel(t.Context())
 		for i, b := range entries {
 			b.engine(t, "runner-1")
-			if !b.offers(t, 1) {
+			if !b.serves(t, 1) {
 				t.Fatalf("entry %d does not offer the engine", i+1)
 			}
 			go b.Run(ctx)
@@ -62,16 +62,16 @@
 		}
 		time.Sleep(2 * time.Second)
 		for i, b := range entries {
-			if b.offers(t, 2) {
-				t.Errorf("entry %d sends to the engine 2 s after its word", i+1)
+			if b.serves(t, 2) {
+				t.Errorf("entry %d uses the engine 2 s after its departure", i+1)
 			}
 			late := b.announced[0]
-			if _, err := b.Announce(late); !errors.Is(err, ErrRefused) || b.offers(t, 3) {
-				t.Errorf("entry %d takes the late announcement: %v", i+1, err)
+			if _, err := b.Announce(late); !errors.Is(err, ErrRefused) || b.serves(t, 3) {
+				t.Errorf("entry %d accepted the delayed announcement: %v", i+1, err)
 			}
 			late.Incarnation++
-			if _, err := b.Announce(late); err != nil || !b.offers(t, 4) {
-				t.Errorf("entry %d refuses the next life: %v", i+1, err)
+			if _, err := b.Announce(late); err != nil || !b.serves(t, 4) {
+				t.Errorf("entry %d refused the next incarnation: %v", i+1, err)
 			}
 		}
 		cancel()
@@ -79,29 +79,29 @@
 	})
 }
 
-func (b *bench) takeWords(t *testing.T, body []byte) {
+func (b *testEntry) mustApplyDepartures(t *testing.T, body []byte) {
 	if err := b.ApplyDepartures(body); err != nil {
 		t.Error(err)
 	}
 }
 
-// Two entries tell each other of a departure, and the one that heard it first
-// forgets it first. If each then took the other's word for news, the departure
-// would go round for ever. The telling must end, and an upstream that uses its
-// incarnation again long after must be taken.
-func TestDepartureIsForgotten(t *testing.T) {
+// Two entries send each other a departure, and the one that received it first
+// drops it first. If each then treated the other's message as new, the
+// departure would circulate forever. The repetition must end, and an upstream
+// that reuses its incarnation long after must be accepted.
+func TestDepartureExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two := newBench(t), newBench(t)
+		one, two := newTestEntry(t), newTestEntry(t)
 		var mu sync.Mutex
-		told, lastTold := 0, time.Time{}
-		join := func(from, to *bench) {
+		messages, lastSent := 0, time.Time{}
+		join := func(from, to *testEntry) {
 			from.options.SendDepartures = func(body []byte) {
 				mu.Lock()
-				told, lastTold = told+1, time.Now()
+				messages, lastSent = messages+1, time.Now()
 				mu.Unlock()
 				go func() {
 					time.Sleep(time.Millisecond)
-					to.takeWords(t, body)
+					to.mustApplyDepartures(t, body)
 				}()
 			}
 		}
@@ -116,22 +116,22 @@
 		time.Sleep(10 * time.Minute)
 		cancel()
 		synctest.Wait()
-		if quiet := lastTold.Sub(started); told < 2 || quiet > departureRepeat+departureInterval {
-			t.Errorf("told %d times, the last time after %v", told, quiet)
+		if lasted := lastSent.Sub(started); messages < 2 || lasted > departureRepeat+departureInterval {
+			t.Errorf("sent %d times, the last time after %v", messages, lasted)
 		}
-		for _, b := range []*bench{one, two} {
+		for _, b := range []*testEntry{one, two} {
 			b.engine(t, "runner-1")
-			if !b.offers(t, 1) {
-				t.Error("the engine is refused ten minutes later")
+			if !b.serves(t, 1) {
+				t.Error("the engine is not used ten minutes later")
 			}
 		}
 	})
 }
 
-// A message that is damaged, too long or of another kind must be refused whole:
-// taken in part, it would take out engines that nobody said are leaving.
-func TestBadDeparturesAreRefused(t *testing.T) {
-	word := departureNotice{Upstream: "runner-1", Incarnation: 1}
+// A message that is damaged, too long or of another kind must be rejected
+// completely: applied in part, it would remove engines that are not leaving.
+func TestInvalidDepartureMessagesAreRejected(t *testing.T) {
+	notice := departureNotice{Upstream: "runner-1", Incarnation: 1}
 	many := departureMessage{}
 	for i := range maxDeparturesPerMessage + 1 {
 		many.Departures = append(many.Departures, departureNotice{Upstream: ident.Upstream(fmt.Sprint("runner-", i)), Incarnation: 1})
@@ -140,20 +140,20 @@
 	cases := map[string]any{
 		"another kind":        "runner-1",
 		"too many":            many,
-		"no name":             departureMessage{Departures: []departureNotice{word, {Incarnation: 1}}},
-		"long name":           departureMessage{Departures: []departureNotice{word, long}},
-		"unknown field":       map[int]any{1: []departureNotice{word}, 2: true},
+		"no name":             departureMessage{Departures: []departureNotice{notice, {Incarnation: 1}}},
+		"long name":           departureMessage{Departures: []departureNotice{notice, long}},
+		"unknown field":       map[int]any{1: []departureNotice{notice}, 2: true},
 		"unknown inner field": map[int]any{1: []any{map[int]any{1: "runner-1", 2: 1, 3: "more"}}},
 	}
 	for name, message := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newTestEntry(t)
 			b.engine(t, "runner-1")
 			if err := b.ApplyDepartures(wire.MustMarshal(message)); err == nil {
-				t.Error("the message is taken")
+				t.Error("the message was accepted")
 			}
 			if left := b.registry.Departures(nil); len(left) > 0 {
-				t.Errorf("left: %v", left)
+				t.Errorf("recorded departures: %v", left)
 			}
 		})
 	}
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -24,13 +24,13 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// fakeControl is a configuration in force with a serving lease.
+// fakeControl has a configuration in force and a serving lease.
 type fakeControl struct {
 	mu       sync.Mutex
 	snapshot *config.Snapshot
 	serving  bool
 	peers    []Peer
-	left     atomic.Bool
+	leaving  atomic.Bool
 }
 
 func (c *fakeControl) Snapshot() *config.Snapshot {
@@ -49,15 +49,15 @@
 	return c.peers
 }
 
-// enter adds an entry to those that serve.
-func (c *fakeControl) enter(p Peer) {
+// addPeer adds an entry to the serving entries.
+func (c *fakeControl) addPeer(p Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers = append(slices.Clone(c.peers), p)
 }
-func (c *fakeControl) Leave() { c.left.Store(true) }
+func (c *fakeControl) Leave() { c.leaving.Store(true) }
 
-// fakeLedger runs each key once and remembers the answer.
+// fakeLedger runs each key once and records its answer.
 type fakeLedger struct {
 	answers map[once.KeyID]once.Answer
 	claims  int
@@ -77,12 +77,13 @@
 	return OnceDone{Answer: answer}, nil
 }
 
-// step is what a fake engine does with one attempt.
+// step is the behaviour of a fake engine in one attempt.
 type step struct {
 	// refuse is returned by Generate instead of a stream.
 	refuse error
-	// tokens are delivered from ResumeAt on; fail ends the stream after them,
-	// else the last event does. hang waits for the context instead.
+	// tokens is the number of tokens delivered, starting at ResumeAt. fail ends
+	// the stream after them instead of the last event; hang blocks until the
+	// context ends.
 	tokens int
 	fail   error
 	hang   bool
@@ -90,8 +91,8 @@
 	skip, repeat bool
 }
 
-// script is the steps of one test in order, over all engines that share it;
-// the last one is repeated.
+// script is the sequence of steps over all engines that share it. The last step
+// is repeated.
 type script struct {
 	mu    sync.Mutex
 	steps []step
@@ -106,10 +107,10 @@
 	return s.steps[at]
 }
 
-// fakeEngine plays its script, one step for each attempt.
+// fakeEngine runs its script, one step per attempt.
 type fakeEngine struct {
 	delay time.Duration
-	// importTakes is how long each import takes.
+	// importTakes is the duration of each import.
 	importTakes time.Duration
 	mu          sync.Mutex
 	script      *script
@@ -119,9 +120,9 @@
 	// exportErr and exportNothing make exports fail.
 	exportErr     error
 	exportNothing bool
-	life          life
+	incarnation   fakeIncarnation
 	closed        int
-	total         int // tokens of a whole answer
+	total         int // tokens of a complete answer
 }
 
 func (f *fakeEngine) Generate(_ context.Context, req port.GenerateRequest) (port.TokenStream, error) {
@@ -166,21 +167,21 @@
 	return port.EngineState{}, nil
 }
 func (f *fakeEngine) Blocks(context.Context) (port.BlockSnapshot, error) {
-	return port.BlockSnapshot{Incarnation: f.life.get()}, nil
+	return port.BlockSnapshot{Incarnation: f.incarnation.get()}, nil
 }
 
-// life is the incarnation of a fake upstream, 1 unless set.
-type life struct{ number atomic.Uint64 }
+// fakeIncarnation is the incarnation of a fake upstream, 1 unless set.
+type fakeIncarnation struct{ number atomic.Uint64 }
 
-func (l *life) get() ident.Incarnation { return max(ident.Incarnation(l.number.Load()), 1) }
+func (l *fakeIncarnation) get() ident.Incarnation { return max(ident.Incarnation(l.number.Load()), 1) }
 
 type fakeStream struct {
-	engine  *fakeEngine
-	step    step
-	request port.GenerateRequest
-	next    int
-	sent    int
-	doubled bool
+	engine   *fakeEngine
+	step     step
+	request  port.GenerateRequest
+	next     int
+	sent     int
+	repeated bool
 }
 
 func (s *fakeStream) Next(ctx context.Context) (port.TokenEvent, error) {
@@ -203,8 +204,8 @@
 		}}, nil
 	}
 	index := s.next
-	if s.step.repeat && index == 1 && !s.doubled {
-		s.doubled = true
+	if s.step.repeat && index == 1 && !s.repeated {
+		s.repeated = true
 		return port.TokenEvent{Index: 0, Text: "again"}, nil
 	}
 	if s.step.skip && index == 1 {
@@ -222,13 +223,13 @@
 	return nil
 }
 
-// fakeService answers each call with its path, or fails as told.
+// fakeService answers each call with its path, or with the next of errs.
 type fakeService struct {
-	// delay is how long each call takes.
+	// delay is the duration of each call.
 	delay time.Duration
 	errs  []error
 	calls []port.ServiceCall
-	// shared counts the calls of several replicas together.
+	// shared collects the calls of several replicas.
 	shared *[]port.ServiceCall
 }
 
@@ -256,18 +257,18 @@
 	}, nil
 }
 
-// fakeUpstreams gives fakes by address.
+// fakeUpstreams returns fakes by address.
 type fakeUpstreams struct {
 	engines  map[string]*fakeEngine
 	services map[string]*fakeService
 	store    *fakeStore
-	// ended tells that upstreams that break off have ended.
-	ended bool
+	// crashed is the result of Crashed for all upstreams.
+	crashed bool
 }
 
 func (u *fakeUpstreams) Engine(address string) port.Engine    { return u.engines[address] }
 func (u *fakeUpstreams) Store(string) port.Store              { return u.store }
-func (u *fakeUpstreams) Crashed(context.Context, string) bool { return u.ended }
+func (u *fakeUpstreams) Crashed(context.Context, string) bool { return u.crashed }
 func (u *fakeUpstreams) Service(address string) port.Service  { return u.services[address] }
 
 const (
@@ -305,8 +306,8 @@
 	return snapshot
 }
 
-// bench is an entry over fakes.
-type bench struct {
+// testEntry is an entry with fake control, ledger and upstreams.
+type testEntry struct {
 	*Entry
 	control   *fakeControl
 	ledger    *fakeLedger
@@ -314,9 +315,9 @@
 	announced []port.Announcement
 }
 
-func newBench(t testing.TB) *bench {
+func newTestEntry(t testing.TB) *testEntry {
 	t.Helper()
-	b := &bench{
+	b := &testEntry{
 		control:   &fakeControl{snapshot: testConfig(t), serving: true},
 		ledger:    &fakeLedger{answers: make(map[once.KeyID]once.Answer)},
 		upstreams: &fakeUpstreams{engines: map[string]*fakeEngine{}, services: map[string]*fakeService{}},
@@ -334,8 +335,8 @@
 	return b
 }
 
-// engine announces a fake engine that plays the steps.
-func (b *bench) engine(t testing.TB, name string, steps ...step) *fakeEngine {
+// engine announces a fake engine that runs the steps.
+func (b *testEntry) engine(t testing.TB, name string, steps ...step) *fakeEngine {
 	t.Helper()
 	if len(steps) == 0 {
 		steps = []step{{}}
@@ -350,8 +351,8 @@
 	return f
 }
 
-// slots announces the engine again with room for count requests.
-func (f *fakeEngine) slots(t testing.TB, b *bench, count int) {
+// slots announces the engine again with count slots.
+func (f *fakeEngine) slots(t testing.TB, b *testEntry, count int) {
 	t.Helper()
 	message := b.announced[len(b.announced)-1]
 	message.Slots = count
@@ -361,7 +362,7 @@
 }
 
 // announceAgain renews the leases of all fakes.
-func (b *bench) announceAgain(t testing.TB) {
+func (b *testEntry) announceAgain(t testing.TB) {
 	t.Helper()
 	for _, message := range b.announced {
 		if _, err := b.Announce(message); err != nil {
@@ -371,7 +372,7 @@
 }
 
 // service announces a fake replica of the service.
-func (b *bench) service(t testing.TB, name string, errs ...error) *fakeService {
+func (b *testEntry) service(t testing.TB, name string, errs ...error) *fakeService {
 	t.Helper()
 	address := fmt.Sprintf("127.0.0.1:%d", 9500+len(b.upstreams.services))
 	f := &fakeService{errs: errs}
@@ -382,7 +383,7 @@
 	return f
 }
 
-func (b *bench) announce(t testing.TB, message port.Announcement) {
+func (b *testEntry) announce(t testing.TB, message port.Announcement) {
 	t.Helper()
 	message.Incarnation = max(message.Incarnation, 1)
 	message.DataCentre = testCentre
@@ -397,8 +398,8 @@
 	}
 }
 
-// prompt is a request of the test team.
-func (b *bench) prompt(t testing.TB, id byte) Prompt {
+// prompt returns a prompt of the test team.
+func (b *testEntry) prompt(t testing.TB, id byte) Prompt {
 	t.Helper()
 	caller, err := b.Authorize(digest(testToken))
 	if err != nil {
@@ -414,8 +415,8 @@
 	}
 }
 
-// read collects an answer.
-func read(answer Answer) (string, error) {
+// readAnswer reads an answer to its end and returns its text.
+func readAnswer(answer Answer) (string, error) {
 	defer answer.Close()
 	var text bytes.Buffer
 	for {
--- a/internal/entry/keeper_test.go
+++ b/internal/entry/keeper_test.go
@@ -18,23 +18,23 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// fakeStore is a store host whose steps can be made to fail.
+// fakeStore is a store host whose operations can be made to fail.
 type fakeStore struct {
-	full      bool
-	raced     bool
-	reserveEr error
-	commitErr error
-	// other makes a commit describe another slot than was written.
-	other    bool
-	life     life
-	reserved []port.ReserveRequest
-	commits  []port.CommitRequest
+	full       bool
+	raced      bool
+	reserveErr error
+	commitErr  error
+	// wrongSlot makes a commit describe another slot than was written.
+	wrongSlot   bool
+	incarnation fakeIncarnation
+	reserved    []port.ReserveRequest
+	commits     []port.CommitRequest
 }
 
 func (f *fakeStore) Reserve(_ context.Context, req port.ReserveRequest) (port.Reservation, error) {
 	f.reserved = append(f.reserved, req)
-	if f.reserveEr != nil {
-		return port.Reservation{}, f.reserveEr
+	if f.reserveErr != nil {
+		return port.Reservation{}, f.reserveErr
 	}
 	state := port.SlotState{Block: req.Block, Phase: port.SlotReserved, Slot: "s" + string(req.Block[:4]), Generation: 7, Tier: req.Tier}
 	return port.Reservation{Granted: !f.full && !f.raced, Full: f.full, State: state}, nil
@@ -47,7 +47,7 @@
 	}
 	state := port.SlotState{Block: req.Block, Phase: port.SlotCommitted, Slot: req.Slot, Generation: req.Generation,
 		Bytes: req.Bytes, Checksum: req.Checksum, Tier: port.TierMemory}
-	if f.other {
+	if f.wrongSlot {
 		state.Checksum++
 	}
 	return state, nil
@@ -56,14 +56,14 @@
 func (f *fakeStore) Stat(context.Context, []port.BlockID) ([]port.SlotState, error) { return nil, nil }
 func (f *fakeStore) Free(context.Context, port.BlockID, uint64) error               { return nil }
 func (f *fakeStore) Status(context.Context) (port.StoreStatus, error) {
-	return port.StoreStatus{Incarnation: f.life.get(), LinkBytesPerSecond: 1 << 30, Tiers: []port.TierStatus{{Tier: port.TierMemory, Capacity: 1 << 30}}}, nil
+	return port.StoreStatus{Incarnation: f.incarnation.get(), LinkBytesPerSecond: 1 << 30, Tiers: []port.TierStatus{{Tier: port.TierMemory, Capacity: 1 << 30}}}, nil
 }
 func (f *fakeStore) Blocks(context.Context) (port.BlockSnapshot, error) {
-	return port.BlockSnapshot{Incarnation: f.life.get()}, nil
+	return port.BlockSnapshot{Incarnation: f.incarnation.get()}, nil
 }
 
 // store announces a fake store host.
-func (b *bench) store(t *testing.T, name string) *fakeStore {
+func (b *testEntry) store(t *testing.T, name string) *fakeStore {
 	t.Helper()
 	f := &fakeStore{}
 	b.upstreams.store = f
@@ -71,60 +71,60 @@
 	return f
 }
 
-// whole sends one prompt and reads its answer.
-func (b *bench) whole(t *testing.T, id byte) {
+// mustServe sends one prompt and reads its answer.
+func (b *testEntry) mustServe(t *testing.T, id byte) {
 	t.Helper()
 	answer, err := b.Prompt(t.Context(), b.prompt(t, id))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := read(answer); err != nil {
+	if _, err := readAnswer(answer); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (b *bench) blocks(t *testing.T, version ident.Version) []prefix.BlockID {
+func (b *testEntry) blocks(t *testing.T, version ident.Version) []prefix.BlockID {
 	t.Helper()
 	prompt := b.prompt(t, 0)
 	scope := prefix.Scope{Team: "florists", Model: testModel, Version: version}
 	return prefix.Chain(b.options.BlockKey, scope, prompt.Tokens, 10)
 }
 
-// A finished prompt is exported. Whichever step fails, and however, its blocks
+// A finished prompt is exported, and one step of the export fails. Its blocks
 // may become readable only after the store has confirmed exactly what the
-// engine wrote; else a later reader would get a block that was never finished.
-func TestExportCommitsOnlyWhatIsConfirmed(t *testing.T) {
+// engine wrote; otherwise a reader would get an incomplete block.
+func TestExportCommitsOnlyConfirmedBlocks(t *testing.T) {
 	cases := map[string]struct {
 		change func(*fakeStore, *fakeEngine)
 		phase  keep.Phase
 	}{
-		"whole":                   {func(*fakeStore, *fakeEngine) {}, keep.Committed},
+		"complete":                {func(*fakeStore, *fakeEngine) {}, keep.Committed},
 		"store full":              {func(s *fakeStore, _ *fakeEngine) { s.full = true }, keep.Absent},
 		"another writer":          {func(s *fakeStore, _ *fakeEngine) { s.raced = true }, keep.Absent},
-		"store gone":              {func(s *fakeStore, _ *fakeEngine) { s.reserveEr = errLost }, keep.Absent},
+		"store gone":              {func(s *fakeStore, _ *fakeEngine) { s.reserveErr = errLost }, keep.Absent},
 		"engine gone":             {func(_ *fakeStore, e *fakeEngine) { e.exportErr = errLost }, keep.Absent},
 		"engine wrote nothing":    {func(_ *fakeStore, e *fakeEngine) { e.exportNothing = true }, keep.Absent},
 		"commit refused":          {func(s *fakeStore, _ *fakeEngine) { s.commitErr = errLost }, keep.Absent},
-		"other slot than written": {func(s *fakeStore, _ *fakeEngine) { s.other = true }, keep.Absent},
+		"other slot than written": {func(s *fakeStore, _ *fakeEngine) { s.wrongSlot = true }, keep.Absent},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newTestEntry(t)
 				store, engine := b.store(t, "cellar"), b.engine(t, "runner-1")
 				test.change(store, engine)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go b.Run(ctx)
-				time.Sleep(2 * time.Second) // the store's status is read
+				time.Sleep(2 * time.Second) // until the store's status has been read
 				b.announceAgain(t)
-				b.whole(t, 1)
-				time.Sleep(4 * time.Second) // the prompt rests, then is exported
+				b.mustServe(t, 1)
+				time.Sleep(4 * time.Second) // until the idle prompt has been exported
 				cancel()
 				synctest.Wait()
 				for _, block := range b.blocks(t, testVersion) {
 					if phase := b.keeper.manager.Phase(block); phase != test.phase {
-						t.Errorf("block %v is %v after %d reserves and %d commits", block, phase, len(store.reserved), len(store.commits))
+						t.Errorf("phase of block %v is %v after %d reserves and %d commits", block, phase, len(store.reserved), len(store.commits))
 					}
 				}
 			})
@@ -132,12 +132,12 @@
 	}
 }
 
-// Blocks of a prompt are on a store host. The engine is told to import them;
-// one that the store no longer has is reported missing. The answer must come
-// all the same, and the next request must not ask for that block again.
-func TestImportAndMissingBlocks(t *testing.T) {
+// The blocks of a prompt are on a store host and the engine imports them. The
+// store no longer has one of them and reports it missing. The prompt must be
+// answered, and the next request must not request that block.
+func TestMissingBlocksOfImportAreRetracted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.store(t, "cellar")
 		engine := b.engine(t, "runner-1")
 		blocks := b.blocks(t, testVersion)
@@ -151,9 +151,9 @@
 			t.Fatal(err)
 		}
 		engine.missing = []port.BlockID{port.BlockID(blocks[0].String())}
-		b.whole(t, 1)
+		b.mustServe(t, 1)
 		if len(engine.imports) != 1 || len(engine.imports[0].Sources) != len(blocks) {
-			t.Fatalf("imports %+v", engine.imports)
+			t.Fatalf("imports %+v, want one of all blocks", engine.imports)
 		}
 		if got := engine.imports[0].Sources[1]; got.Generation != 3 || got.Slot != "1" || got.Address != "127.0.0.1:9800" {
 			t.Errorf("source %+v", got)
@@ -171,17 +171,17 @@
 func TestUnfinishedSlotsAreNotCopies(t *testing.T) {
 	for _, phase := range []port.SlotPhase{port.SlotReserved, port.SlotAbsent, ""} {
 		if kept := copyOf(port.SlotState{Phase: phase, Slot: "s", Generation: 1}); kept != nil {
-			t.Errorf("phase %q became the copy %+v", phase, kept)
+			t.Errorf("a slot in phase %q was converted to the copy %+v", phase, kept)
 		}
 	}
 }
 
-// New weights are loaded on one of two runners. New requests must name a
-// version that the chosen runner has, with blocks of that version only, and an
-// answer that breaks must go on under the version that began it.
+// New weights are loaded on one of two runners. Each request must name a
+// version that the chosen runner has loaded, with blocks of that version only,
+// and a broken answer must be resumed under the version with which it began.
 func TestVersionsDoNotMix(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		doc := b.control.snapshot.Document()
 		doc.Models[0].Versions = []config.TargetVersion{{Version: "v2"}, {Version: "v1"}}
 		snapshot, err := config.NewSnapshot(2, doc)
@@ -190,9 +190,9 @@
 		}
 		b.control.snapshot = snapshot
 		old := b.engine(t, "runner-old")
-		b.whole(t, 1)
+		b.mustServe(t, 1)
 		if len(old.requests) != 1 || old.requests[0].Version != "v1" {
-			t.Fatalf("before the swap: %+v", old.requests)
+			t.Fatalf("requests before the version change: %+v", old.requests)
 		}
 		swapped := b.engine(t, "runner-new", step{tokens: 2, fail: errBroken}, step{})
 		message := b.announced[len(b.announced)-1]
@@ -202,7 +202,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if text, err := read(answer); err != nil || text != whole {
+		if text, err := readAnswer(answer); err != nil || text != fullAnswer {
 			t.Fatalf("got %q, %v", text, err)
 		}
 		if len(swapped.requests) != 2 || len(old.requests) != 1 {
@@ -221,14 +221,14 @@
 
 // Two entries serve the same prompts. Each use must be counted at one home,
 // whichever entry served it.
-func TestUsesGoToTheHome(t *testing.T) {
+func TestUsesAreReportedToHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.engine(t, "runner-1")
 		var sent [][]byte
 		b.options.SendUse = func(home ident.Host, body []byte) bool {
 			if home != "entry-2" {
-				t.Errorf("sent to %s", home)
+				t.Errorf("use sent to %s", home)
 			}
 			sent = append(sent, body)
 			return true
@@ -241,42 +241,42 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := read(answer); err != nil {
+			if _, err := readAnswer(answer); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if here := b.keeper.manager.Prompts(); here+len(sent) != 32 || here == 0 || len(sent) == 0 {
-			t.Fatalf("%d prompts are at home here, %d were sent", here, len(sent))
+			t.Fatalf("%d prompts recorded locally, %d sent", here, len(sent))
 		}
-		home := newBench(t)
+		home := newTestEntry(t)
 		for _, body := range sent {
 			if err := home.ApplyUse(body); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if home.keeper.manager.Prompts() != len(sent) {
-			t.Errorf("the home has %d of %d", home.keeper.manager.Prompts(), len(sent))
+			t.Errorf("the home recorded %d of %d uses", home.keeper.manager.Prompts(), len(sent))
 		}
 	})
 }
 
-// An entry misses a few lease renewals on a busy host: it is out of the members
-// for a moment, as others and as it sees itself, and back again. No prompt may
-// change its home for that, since what was not exported yet would be forgotten.
-// An entry that stays away gives its prompts up.
-func TestHomesOutlastAMissedRenewal(t *testing.T) {
+// An entry on a busy host misses a few lease renewals and is absent from the
+// members for a moment, in its own view and that of others. No prompt may
+// change its home for that, since prompts not yet exported would be lost. A
+// lasting change of the members must move prompts.
+func TestHomesSurviveMissedRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.engine(t, "runner-1")
 		b.options.SendUse = func(ident.Host, []byte) bool { return true }
 		both := []Peer{{Host: "entry-1"}, {Host: "entry-2"}}
-		see := func(peers []Peer, lasting time.Duration) {
+		planWith := func(peers []Peer, duration time.Duration) {
 			b.control.peers = peers
-			for end := time.Now().Add(lasting); !time.Now().After(end); time.Sleep(planInterval) {
+			for end := time.Now().Add(duration); !time.Now().After(end); time.Sleep(planInterval) {
 				b.keeper.planOnce(time.Now())
 			}
 		}
-		see(both, 0)
+		planWith(both, 0)
 		for id := range byte(16) {
 			prompt := b.prompt(t, id+1)
 			prompt.Tokens[0] = uint32(id)
@@ -284,28 +284,28 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := read(answer); err != nil {
+			if _, err := readAnswer(answer); err != nil {
 				t.Fatal(err)
 			}
 		}
 		here := b.keeper.manager.Prompts()
-		see(nil, homeDelay/2)
-		see(both[1:], homeDelay/2)
-		see(both, homeDelay/2)
+		planWith(nil, homeDelay/2)
+		planWith(both[1:], homeDelay/2)
+		planWith(both, homeDelay/2)
 		if left := b.keeper.manager.Prompts(); left != here || here == 0 || here == 16 {
 			t.Fatalf("%d of %d prompts are left", left, here)
 		}
-		see([]Peer{{Host: "entry-1"}, {Host: "entry-2"}, {Host: "entry-3"}}, 2*homeDelay)
+		planWith([]Peer{{Host: "entry-1"}, {Host: "entry-2"}, {Host: "entry-3"}}, 2*homeDelay)
 		if left := b.keeper.manager.Prompts(); left >= here {
-			t.Fatalf("%d of %d prompts are left after an entry came", left, here)
+			t.Fatalf("%d of %d prompts are left after an entry was added", left, here)
 		}
 	})
 }
 
 // A short and a long prompt run at the same rate. A block of either saves the
-// same time, so both must be valued alike; else the store is filled with the
-// prompts that are long, not with those that return.
-func TestSavingIsThatOfOneBlock(t *testing.T) {
+// same time, so both must be valued alike; otherwise the store fills with long
+// prompts instead of those that return.
+func TestSavedTimeIsPerBlock(t *testing.T) {
 	cases := map[string]struct {
 		usage port.Usage
 		want  time.Duration
@@ -327,36 +327,36 @@
 	}
 }
 
-// The home of a prompt can't be reached. The entry that served it keeps it
-// itself, as nobody else would export it.
-func TestUnreachableHome(t *testing.T) {
+// The home of a prompt can't be reached. The entry that served the prompt must
+// keep it, since no other entry would export it.
+func TestUseIsRecordedLocallyIfHomeIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.engine(t, "runner-1")
 		b.options.SendUse = func(ident.Host, []byte) bool { return false }
 		b.keeper.setMembers(time.Now(), []cell.Member{{Host: "entry-2"}})
-		b.whole(t, 1)
+		b.mustServe(t, 1)
 		if kept := b.keeper.manager.Prompts(); kept != 1 {
-			t.Errorf("%d prompts are kept here", kept)
+			t.Errorf("%d prompts recorded locally, want 1", kept)
 		}
 	})
 }
 
-func TestTakeUseRefuses(t *testing.T) {
+func TestApplyUseRejectsInvalidMessages(t *testing.T) {
 	long := use{Blocks: make([][]byte, keep.MaxPromptBlocks+1)}
 	short := use{Blocks: [][]byte{{1, 2, 3}}}
 	for name, body := range map[string][]byte{
 		"empty": nil, "not CBOR": {0xff}, "many blocks": wire.MustMarshal(long), "short block": wire.MustMarshal(short),
 	} {
-		if err := newBench(t).ApplyUse(body); err == nil {
-			t.Errorf("%s was taken", name)
+		if err := newTestEntry(t).ApplyUse(body); err == nil {
+			t.Errorf("%s: the message was accepted", name)
 		}
 	}
 }
 
-func FuzzTakeUse(f *testing.F) {
+func FuzzApplyUse(f *testing.F) {
 	f.Add(wire.MustMarshal(use{Team: "t", Blocks: [][]byte{bytes.Repeat([]byte{1}, prefix.BlockIDSize)}, BlockBytes: 1}))
-	b := newBench(f)
+	b := newTestEntry(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if b.ApplyUse(body) == nil && b.keeper.manager.Prompts() > keep.DefaultMaxPrompts {
 			t.Fatal("more prompts than the bound")
@@ -364,9 +364,9 @@
 	})
 }
 
-// A caller that waits in the queue leaves, or its deadline passes. It must be
-// told the truth, that nothing ran, and its place must be free again.
-func TestWaitingCallers(t *testing.T) {
+// A caller leaves while its request is queued, or its deadline passes. The
+// outcome must be not-run, and the place in the queue must be free again.
+func TestQueuedCallerLeavesOrTimesOut(t *testing.T) {
 	cases := map[string]struct {
 		end    func(cancel context.CancelFunc)
 		reason outcome.Reason
@@ -377,7 +377,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newTestEntry(t)
 				engine := b.engine(t, "runner-1", step{tokens: 1, hang: true})
 				// Fill the pool: two requests for each of four slots.
 				for id := range byte(8) {
@@ -402,7 +402,7 @@
 					t.Errorf("got %v", err)
 				}
 				if queued := b.pools[poolKey{model: testModel}].controller.Status().Queued; queued != 0 || len(engine.requests) != 8 {
-					t.Errorf("%d still wait, %d were sent", queued, len(engine.requests))
+					t.Errorf("%d requests are still queued, %d were sent", queued, len(engine.requests))
 				}
 			})
 		})
--- a/internal/entry/learning_test.go
+++ b/internal/entry/learning_test.go
@@ -18,14 +18,14 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// stored reports copies of a prompt's blocks on a store host, from the event
-// after the given sequence on.
-func (b *bench) stored(t *testing.T, after uint64, prompt Prompt) []prefix.BlockID {
+// reportStored reports copies of a prompt's blocks in the memory of a store
+// host, in events numbered from after+1.
+func (b *testEntry) reportStored(t *testing.T, after uint64, prompt Prompt) []prefix.BlockID {
 	t.Helper()
-	return b.storedOn(t, port.TierMemory, after, prompt)
+	return b.reportStoredOn(t, port.TierMemory, after, prompt)
 }
 
-func (b *bench) storedOn(t *testing.T, tier port.Tier, after uint64, prompt Prompt) []prefix.BlockID {
+func (b *testEntry) reportStoredOn(t *testing.T, tier port.Tier, after uint64, prompt Prompt) []prefix.BlockID {
 	t.Helper()
 	blocks := prefix.Chain(b.options.BlockKey, prefix.Scope{Team: "florists", Model: testModel, Version: testVersion}, prompt.Tokens, 10)
 	events := port.CacheEvents{Upstream: "cellar", Incarnation: 1}
@@ -40,17 +40,18 @@
 	return blocks
 }
 
-// answered sends a prompt and reads its answer.
-func (b *bench) answered(t *testing.T, prompt Prompt) {
+// serve sends a prompt and reads its answer.
+func (b *testEntry) serve(t *testing.T, prompt Prompt) {
 	t.Helper()
 	if answer, err := b.Prompt(t.Context(), prompt); err != nil {
 		t.Error(err)
-	} else if _, err = read(answer); err != nil {
+	} else if _, err = readAnswer(answer); err != nil {
 		t.Error(err)
 	}
 }
 
-// longPrompt is long enough for an import to be cheaper than computing it.
+// longPrompt returns a prompt long enough for an import to be cheaper than its
+// computation.
 func longPrompt(first uint32) []uint32 {
 	tokens := make([]uint32, 4000)
 	tokens[0] = first
@@ -58,12 +59,12 @@
 }
 
 // The links are slow, so every prompt waits long for its blocks, while the
-// engine that then runs it is idle and answers at once. The limit on requests
-// at the engines must stay: lowered, it would refuse callers for want of
-// engines that have nothing to do.
-func TestSlowLinkLeavesTheLimit(t *testing.T) {
+// engine that runs it is idle and answers immediately. The limit on requests at
+// the engines must not change: a lower one would refuse callers although the
+// engines are idle.
+func TestSlowImportsDoNotLowerLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.store(t, "cellar")
 		engine := b.engine(t, "runner-1")
 		engine.importTakes = 200 * time.Millisecond
@@ -72,52 +73,52 @@
 		for i := range prompts {
 			prompt := b.prompt(t, byte(i+1))
 			prompt.Tokens = longPrompt(uint32(i))
-			b.stored(t, uint64(400*i), prompt)
+			b.reportStored(t, uint64(400*i), prompt)
 			open.Go(func() {
-				b.answered(t, prompt)
+				b.serve(t, prompt)
 			})
 		}
 		open.Wait()
 		if len(engine.imports) != prompts {
-			t.Fatalf("%d imports", len(engine.imports))
+			t.Fatalf("%d imports, want one per prompt", len(engine.imports))
 		}
 		if limit := b.pools[poolKey{model: testModel}].controller.Status().Limit; limit != 8 {
-			t.Errorf("the limit went from 8 to %d", limit)
+			t.Errorf("limit %d, want 8", limit)
 		}
 	})
 }
 
-// Events of evicted blocks were lost, so the entry thinks that an engine holds
-// a prompt, and its answers say that it doesn't. Once that has shown, an import
-// must name the blocks believed held too, so that a wrong belief costs a fetch
-// and not a recompute. As long as the engine is trusted, there is none.
-func TestDoubtedBlocksAreImported(t *testing.T) {
+// Events about evicted blocks were lost, so the directory lists a prompt as
+// held by an engine whose answers show otherwise. After that is detected, an
+// import must also name the blocks expected to be held, so that an error costs
+// a fetch instead of a recomputation. Before, no import is needed.
+func TestImportNamesBlocksOfInaccurateCache(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.store(t, "cellar")
 		engine := b.engine(t, "runner-1")
 		for i, imports := range []int{1, 1, 2} {
 			prompt := b.prompt(t, byte(i+1))
 			prompt.Tokens = longPrompt(0)
-			blocks := b.stored(t, 0, prompt)
-			b.answered(t, prompt)
+			blocks := b.reportStored(t, 0, prompt)
+			b.serve(t, prompt)
 			if len(engine.imports) != imports {
 				t.Fatalf("%d imports after request %d", len(engine.imports), i+1)
 			}
 			if named := len(engine.imports[imports-1].Sources); named != len(blocks) {
-				t.Errorf("%d of %d blocks are named", named, len(blocks))
+				t.Errorf("the import names %d of %d blocks", named, len(blocks))
 			}
 		}
 	})
 }
 
-// Two prompts are read at the same time, one from the disk of a store host and
-// one from its memory. What is learned of the disk must not make the memory
-// look slow, the second reader of a tier must count what is read ahead of it,
-// and the time to the first token must be learned for the urgency of the class.
-func TestTiersAndUrgencyAreLearnedApart(t *testing.T) {
+// Two tiers of a store host are read at the same time. The speed learned for
+// the disk must not affect the estimate for memory, the second reader of a tier
+// must count the bytes pending before it, and the time to the first token must
+// be learned for the band of the class target.
+func TestTiersAndTargetsAreLearnedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		doc := b.control.snapshot.Document()
 		for i := range doc.Classes {
 			doc.Classes[i].FirstToken.Within = config.Duration(5 * time.Second)
@@ -131,9 +132,9 @@
 		engine.importTakes = 200 * time.Millisecond
 		prompt := b.prompt(t, 1)
 		prompt.Tokens = longPrompt(1)
-		b.storedOn(t, port.TierDisk, 0, prompt)
+		b.reportStoredOn(t, port.TierDisk, 0, prompt)
 		var open sync.WaitGroup
-		open.Go(func() { b.answered(t, prompt) })
+		open.Go(func() { b.serve(t, prompt) })
 		time.Sleep(100 * time.Millisecond)
 		b.mu.Lock()
 		disk, memory := b.fetching.from[storeTier{"cellar", true}], b.fetching.from[storeTier{"cellar", false}]
@@ -141,12 +142,12 @@
 		pending := b.newRun(time.Now(), prefix.StoredCopy{Store: "cellar", Copy: prefix.Copy{Tier: prefix.Disk}}, 0, 10).PendingBytes
 		b.mu.Unlock()
 		if disk != 4000 || memory != 0 || into != 4000 || pending != 4000 {
-			t.Errorf("under way: disk %d, memory %d, engine %d, ahead of the next %d", disk, memory, into, pending)
+			t.Errorf("bytes in progress: disk %d, memory %d, engine %d, pending before the next read %d", disk, memory, into, pending)
 		}
 		open.Wait()
 		upstreams, links := b.planner.Learned()
 		if len(links) != 1 || !links[0].Slow {
-			t.Errorf("links %+v", links)
+			t.Errorf("links %+v, want one slow link", links)
 		}
 		for _, learned := range upstreams {
 			if (learned.Miss != 0) != (learned.Band == 1) {
@@ -154,15 +155,15 @@
 			}
 		}
 		if len(b.fetching.from)+len(b.fetching.into) != 0 {
-			t.Errorf("still under way: %+v", b.fetching)
+			t.Errorf("still in progress: %+v", b.fetching)
 		}
 	})
 }
 
-// An import read from both tiers of a store host while others were reading. A
-// block that was missing took no time on the link, and what was ahead on one
+// An import read from both tiers of a store host while other reads were
+// pending. A missing block took no time on the link, and pending reads of one
 // tier did not delay the other.
-func TestTransfersTellWhatWasAhead(t *testing.T) {
+func TestTransfersReportPendingBytes(t *testing.T) {
 	source := func(block port.BlockID) port.BlockSource {
 		return port.BlockSource{Block: block, Store: "cellar", Bytes: 10}
 	}
@@ -185,23 +186,23 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if more := p.transfers(port.ImportResult{Bytes: 30}, missing, before, time.Second); more != nil {
-		t.Errorf("an import that also fetched a held block teaches %+v", more)
+		t.Errorf("an import that also fetched a cached block was attributed to a link: %+v", more)
 	}
 }
 
-// An engine holds the first half of a prompt, and the second half is fetched to
-// it. The import must name the first half too, in front, so that the engine
-// keeps it: evicted to make room for the second, it would take both from use.
-// What it holds is not moved, so it doesn't count as under way.
-func TestImportNamesWhatIsHeld(t *testing.T) {
+// An engine holds the first half of a prompt, and the second half is fetched.
+// The import must name the first half too, in front, so that the engine keeps
+// it: if it were evicted to make space for the second, both would be useless.
+// The blocks held are not transferred, so they must not count as in progress.
+func TestImportNamesCachedBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.store(t, "cellar")
 		engine := b.engine(t, "runner-1")
 		engine.importTakes = 200 * time.Millisecond
 		prompt := b.prompt(t, 1)
 		prompt.Tokens = longPrompt(1)
-		blocks := b.stored(t, 0, prompt)
+		blocks := b.reportStored(t, 0, prompt)
 		cache := port.CacheEvents{Upstream: "runner-1", Incarnation: 1}
 		for i, block := range blocks[:200] {
 			cache.Events = append(cache.Events, port.CacheEvent{
@@ -211,14 +212,14 @@
 			t.Fatal(err)
 		}
 		var open sync.WaitGroup
-		open.Go(func() { b.answered(t, prompt) })
+		open.Go(func() { b.serve(t, prompt) })
 		time.Sleep(100 * time.Millisecond)
 		b.mu.Lock()
 		reading := b.fetching.fromStore("cellar")
 		b.mu.Unlock()
 		open.Wait()
 		if reading != 2000 {
-			t.Errorf("%d bytes under way, want those of the second half, 2000", reading)
+			t.Errorf("%d bytes in progress, want those of the second half, 2000", reading)
 		}
 		if len(engine.imports) != 1 || len(engine.imports[0].Sources) != len(blocks) {
 			t.Fatalf("%d imports, want one of %d blocks", len(engine.imports), len(blocks))
@@ -231,20 +232,20 @@
 	})
 }
 
-// A question about a kept prompt is being fetched for when the next one about
-// the same prompt comes. The second must go where the first goes, without an
-// import of its own, and not before the first's import has ended: else it would
-// compute what is about to arrive. It must also go on when the first's caller
-// leaves meanwhile. Nothing may be remembered in the end.
-func TestNextQuestionJoinsTheImport(t *testing.T) {
+// A prompt's blocks are being imported when a second request for the same
+// prompt arrives. The second must use the same engine without an import of its
+// own, and not before the first import has ended; otherwise it would compute
+// blocks that are about to arrive. It must also proceed when the first caller
+// leaves meanwhile. No pending state may remain.
+func TestPromptJoinsPendingImport(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
-		t.Run(fmt.Sprintf("first leaves %t", leaves), func(t *testing.T) { testJoin(t, leaves) })
+		t.Run(fmt.Sprintf("first leaves %t", leaves), func(t *testing.T) { testJoinImport(t, leaves) })
 	}
 }
 
-func testJoin(t *testing.T, leaves bool) {
+func testJoinImport(t *testing.T, leaves bool) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.store(t, "cellar")
 		engines := []*fakeEngine{b.engine(t, "runner-1"), b.engine(t, "runner-2")}
 		count := func() (imports, requests int) {
@@ -265,15 +266,15 @@
 		for i := range byte(2) {
 			prompt := b.prompt(t, i+1)
 			prompt.Tokens = longPrompt(1)
-			b.stored(t, 0, prompt)
+			b.reportStored(t, 0, prompt)
 			open.Go(func() {
 				if i == 0 && leaves {
 					if _, err := b.Prompt(ctx, prompt); outcome.KindOf(err) != outcome.KindNotRun {
-						t.Errorf("the caller that left got %v", err)
+						t.Errorf("the caller that left got %v, want not-run", err)
 					}
 					return
 				}
-				b.answered(t, prompt)
+				b.serve(t, prompt)
 			})
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -285,7 +286,7 @@
 			leave()
 			want = 1
 		}
-		time.Sleep(150 * time.Millisecond) // the import has ended, no token has come
+		time.Sleep(150 * time.Millisecond) // the import has ended, no token has been sent
 		if imports, requests := count(); imports != 1 || requests != want {
 			t.Errorf("%d imports and %d requests, want 1 and %d", imports, requests, want)
 		}
@@ -293,15 +294,15 @@
 		first := route.Prompt(b.blocksOf(&job{prompt: Prompt{Caller: b.prompt(t, 9).Caller, Model: testModel, Tokens: longPrompt(1)},
 			model: &config.Model{BlockTokens: 10}}, testVersion).blocks[0])
 		if len(b.pendingPrompts) != 0 || len(b.inFlight.Lookup(first)) != 0 {
-			t.Errorf("still in flight: %v, %v", b.pendingPrompts, b.inFlight.Lookup(first))
+			t.Errorf("still pending: %v, %v", b.pendingPrompts, b.inFlight.Lookup(first))
 		}
 	})
 }
 
-// Two prompts share their first block only; one must not be thought to bring
-// the other.
-func TestArrivalsGoByCommonBlocks(t *testing.T) {
-	b := newBench(t)
+// Two prompts share their first block only. A pending import of one must not
+// count as pending for the other's later blocks.
+func TestPendingPrefixesCountCommonBlocks(t *testing.T) {
+	b := newTestEntry(t)
 	now := time.Now()
 	first := plan{candidate: upstream.Candidate{Upstream: "runner-1"}, chain: chain{blocks: []prefix.BlockID{{1}, {2}, {3}}}}
 	b.addPending(now, ident.Request{1}, first, 10)
--- a/internal/entry/pipeline_test.go
+++ b/internal/entry/pipeline_test.go
@@ -14,7 +14,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-const whole = "t0 t1 t2 t3 t4 "
+const fullAnswer = "t0 t1 t2 t3 t4 "
 
 var (
 	errDial   = &outcome.NotRun{Reason: outcome.ReasonDial, Detail: "no connection"}
@@ -23,33 +23,33 @@
 	errBroken = &outcome.Unknown{Reason: outcome.ReasonStreamBroken, Detail: "broken"}
 )
 
-// A caller sends one prompt; the engine it goes to misbehaves in one way after
-// some tokens. The caller must get the five tokens in order, each once, or an
-// error: a short answer that looks whole, or a not-run of something that may
-// have run, would be an untruth. Both engines share one script, so that the
-// verdict does not depend on which is chosen.
-func TestPromptSurvivesAttempts(t *testing.T) {
+// The engine fails in one way after some tokens. The caller must get the five
+// tokens in order, each once, or an error: a truncated answer that appears
+// complete, or not-run for a request that may have run, would be wrong. Both
+// engines share one script, so the result does not depend on the choice of
+// engine.
+func TestPromptOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		class ident.Class
 		steps []step
 		text  string
 		kind  outcome.Kind
 	}{
-		"whole":                        {steps: []step{{}}, text: whole, kind: outcome.KindDone},
-		"refused then whole":           {steps: []step{{refuse: errBusy}}, kind: outcome.KindNotRun},
+		"complete":                     {steps: []step{{}}, text: fullAnswer, kind: outcome.KindDone},
+		"refused then complete":        {steps: []step{{refuse: errBusy}}, kind: outcome.KindNotRun},
 		"dial failed":                  {steps: []step{{refuse: errDial}}, kind: outcome.KindNotRun},
 		"lost before the first token":  {steps: []step{{refuse: errLost}}, kind: outcome.KindUnknown},
-		"broken after two, resumed":    {steps: []step{{tokens: 2, fail: errBroken}, {}}, text: whole, kind: outcome.KindDone},
+		"broken after two, resumed":    {steps: []step{{tokens: 2, fail: errBroken}, {}}, text: fullAnswer, kind: outcome.KindDone},
 		"broken everywhere":            {steps: []step{{tokens: 2, fail: errBroken}, {refuse: errDial}}, text: "t0 t1 ", kind: outcome.KindUnknown},
 		"not repeatable, lost":         {class: "plan", steps: []step{{refuse: errLost}}, kind: outcome.KindUnknown},
 		"not repeatable, refused":      {class: "plan", steps: []step{{refuse: errBusy}}, kind: outcome.KindNotRun},
-		"token twice":                  {steps: []step{{repeat: true}}, text: whole, kind: outcome.KindDone},
-		"token left out, then resumed": {steps: []step{{skip: true}, {}}, text: whole, kind: outcome.KindDone},
+		"token twice":                  {steps: []step{{repeat: true}}, text: fullAnswer, kind: outcome.KindDone},
+		"token left out, then resumed": {steps: []step{{skip: true}, {}}, text: fullAnswer, kind: outcome.KindDone},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newTestEntry(t)
 				first := b.engine(t, "runner-1", test.steps...)
 				b.engine(t, "runner-2").script = first.script
 				prompt := b.prompt(t, 1)
@@ -57,31 +57,31 @@
 				text, err := "", error(nil)
 				answer, err := b.Prompt(t.Context(), prompt)
 				if err == nil {
-					text, err = read(answer)
+					text, err = readAnswer(answer)
 				}
 				if outcome.KindOf(err) != test.kind || text != test.text {
 					t.Fatalf("got %q, %v; want %q, %v", text, err, test.text, test.kind)
 				}
 				if counted := b.counts.outcomes[test.kind].Get(); counted != 1 {
-					t.Fatalf("the outcome is counted %d times", counted)
+					t.Fatalf("the outcome was counted %d times", counted)
 				}
 				if open := b.tracker.InFlight(); open != 0 {
 					t.Fatalf("%d requests are still in flight", open)
 				}
 				if status := b.pools[poolKey{model: testModel}].controller.Status(); status.Running != 0 {
-					t.Fatalf("%d places are still taken", status.Running)
+					t.Fatalf("%d requests are still admitted", status.Running)
 				}
 			})
 		})
 	}
 }
 
-// The first engine may have run the request and the connection was lost; then
-// no further attempt reaches an engine. The last attempt certainly did not
-// run, but the request may have: the caller must not be told not-run.
-func TestNotRunIsNeverSaidAfterAnAttemptThatMayHaveRun(t *testing.T) {
+// The connection is lost while the first engine may have run the request, and
+// the next attempt certainly does not run. The outcome must not be not-run,
+// since the request may have run.
+func TestNotRunIsNotReportedAfterPossibleRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.engine(t, "runner-1", step{refuse: errLost}, step{refuse: errDial})
 		prompt := b.prompt(t, 1)
 		_, err := b.Prompt(t.Context(), prompt)
@@ -91,12 +91,12 @@
 	})
 }
 
-// An engine accepts the request and says nothing. The class's deadline passes:
-// the caller gets an explicit unknown outcome, and the engine's stream is
-// closed so that it does not go on for nobody.
-func TestDeadlineEndsTheWaitForTheFirstToken(t *testing.T) {
+// An engine accepts the request and sends nothing until the deadline of the
+// class passes. The caller must get an unknown outcome, and the engine's stream
+// must be closed so that the engine stops generating.
+func TestDeadlineEndsWaitForFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		engine := b.engine(t, "runner-1", step{hang: true})
 		prompt := b.prompt(t, 1)
 		prompt.Deadline = 2 * time.Second
@@ -105,12 +105,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = read(answer)
+		_, err = readAnswer(answer)
 		if kind := outcome.KindOf(err); kind != outcome.KindUnknown {
 			t.Fatalf("got %v, %v", kind, err)
 		}
 		if waited := time.Since(started); waited != 2*time.Second {
-			t.Fatalf("waited %v", waited)
+			t.Fatalf("waited %v, want 2s", waited)
 		}
 		if engine.closed == 0 {
 			t.Fatal("the engine's stream was left open")
@@ -118,12 +118,12 @@
 	})
 }
 
-// The caller goes away in the middle of a stream. Nothing may be left behind:
-// the engine's stream is closed, the place in the queue and the request's
-// identity are free again.
+// The caller disconnects in the middle of a stream. No state may remain: the
+// engine's stream must be closed, and the admission and the request's id must
+// be free again.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		engine := b.engine(t, "runner-1", step{tokens: 2, hang: true})
 		ctx, cancel := context.WithCancel(t.Context())
 		answer, err := b.Prompt(ctx, b.prompt(t, 1))
@@ -141,17 +141,17 @@
 		}
 		answer.Close()
 		if engine.closed == 0 || b.tracker.InFlight() != 0 {
-			t.Fatalf("closed %d, in flight %d", engine.closed, b.tracker.InFlight())
+			t.Fatalf("%d streams closed, %d requests in flight", engine.closed, b.tracker.InFlight())
 		}
 	})
 }
 
-// A second request comes under the identity of one in flight, as after a
-// caller's own resend. Two answers under one identity could be crossed, so the
-// second is refused, and truly: nothing of it was sent.
-func TestSameRequestTwiceInFlight(t *testing.T) {
+// A second request has the id of one in flight, as when a caller resends.
+// Answers under one id could be confused, so the second must be refused without
+// being sent.
+func TestDuplicateRequestInFlightIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		engine := b.engine(t, "runner-1")
 		answer, err := b.Prompt(t.Context(), b.prompt(t, 1))
 		if err != nil {
@@ -160,7 +160,7 @@
 		if _, err := b.Prompt(t.Context(), b.prompt(t, 1)); outcome.KindOf(err) != outcome.KindNotRun {
 			t.Fatalf("got %v", err)
 		}
-		if _, err := read(answer); err != nil {
+		if _, err := readAnswer(answer); err != nil {
 			t.Fatal(err)
 		}
 		if len(engine.requests) != 1 {
@@ -169,21 +169,21 @@
 	})
 }
 
-func TestRefusalsBeforeAnySend(t *testing.T) {
+func TestRefusalsBeforeSend(t *testing.T) {
 	cases := map[string]struct {
-		change func(*bench, *Prompt)
+		change func(*testEntry, *Prompt)
 		reason outcome.Reason
 	}{
-		"no serving lease": {func(b *bench, _ *Prompt) { b.control.serving = false }, outcome.ReasonNoServingLease},
-		"unknown model":    {func(_ *bench, p *Prompt) { p.Model = "other" }, outcome.ReasonBadRequest},
-		"class of others":  {func(_ *bench, p *Prompt) { p.Class = "other" }, outcome.ReasonBadRequest},
-		"class of service": {func(_ *bench, p *Prompt) { p.Class = "bids" }, outcome.ReasonBadRequest},
-		"unknown adapter":  {func(_ *bench, p *Prompt) { p.Adapter = "other" }, outcome.ReasonNoUpstream},
+		"no serving lease": {func(b *testEntry, _ *Prompt) { b.control.serving = false }, outcome.ReasonNoServingLease},
+		"unknown model":    {func(_ *testEntry, p *Prompt) { p.Model = "other" }, outcome.ReasonBadRequest},
+		"class of others":  {func(_ *testEntry, p *Prompt) { p.Class = "other" }, outcome.ReasonBadRequest},
+		"class of service": {func(_ *testEntry, p *Prompt) { p.Class = "bids" }, outcome.ReasonBadRequest},
+		"unknown adapter":  {func(_ *testEntry, p *Prompt) { p.Adapter = "other" }, outcome.ReasonNoUpstream},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newTestEntry(t)
 				engine := b.engine(t, "runner-1")
 				prompt := b.prompt(t, 1)
 				test.change(b, &prompt)
@@ -193,19 +193,19 @@
 					t.Fatalf("got %v, want %s", err, test.reason)
 				}
 				if len(engine.requests) != 0 || b.tracker.InFlight() != 0 {
-					t.Fatalf("sent %d, in flight %d", len(engine.requests), b.tracker.InFlight())
+					t.Fatalf("%d attempts were sent, %d requests are in flight", len(engine.requests), b.tracker.InFlight())
 				}
 			})
 		})
 	}
 }
 
-// A request waits in the queue and the entry loses its serving lease meanwhile.
-// A configuration may have come into force elsewhere, so the request must not
-// be sent when its turn comes; and as nothing was sent, it is truly not run.
+// The entry loses its serving lease while a request is queued. A newer
+// configuration may be in force elsewhere, so the request must not be sent when
+// it is admitted, and its outcome is not-run.
 func TestLeaseLostWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		engine := b.engine(t, "runner-1", step{tokens: 1, hang: true})
 		var open []Answer
 		for id := range byte(8) {
@@ -233,11 +233,11 @@
 	})
 }
 
-// A caller takes long to send its body, and its token is taken back meanwhile.
-// The request must be judged by the configuration in force when it is sent.
-func TestTokenTakenBackBeforeTheSend(t *testing.T) {
+// A caller takes long to send its body, and its token is revoked meanwhile. The
+// request must be checked against the configuration in force when it is sent.
+func TestTokenRevokedBeforeSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		engine := b.engine(t, "runner-1")
 		prompt := b.prompt(t, 1)
 		doc := b.control.snapshot.Document()
@@ -252,11 +252,11 @@
 	})
 }
 
-// An upstream announces that it is leaving. From that announcement on it gets
-// no new request, and what it is running ends as usual.
-func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
+// An upstream announces that it is leaving. It must get no new request from
+// then on, and its running requests must complete.
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		leaving := b.engine(t, "runner-1")
 		running, err := b.Prompt(t.Context(), b.prompt(t, 1))
 		if err != nil {
@@ -272,25 +272,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := read(answer); err != nil {
+			if _, err := readAnswer(answer); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if text, err := read(running); err != nil || text != whole {
+		if text, err := readAnswer(running); err != nil || text != fullAnswer {
 			t.Fatalf("the running request got %q, %v", text, err)
 		}
 		if len(leaving.requests) != 1 || len(staying.requests) != 18 {
-			t.Fatalf("leaving got %d, staying %d", len(leaving.requests), len(staying.requests))
+			t.Fatalf("the leaving engine got %d requests, the other %d", len(leaving.requests), len(staying.requests))
 		}
 	})
 }
 
-// An entry starts: the first request comes when one runner of many has
-// announced itself. The pool must not stay as small as it was then, and what
-// was admitted to the small one must end as usual.
-func TestPoolGrowsWithItsUpstreams(t *testing.T) {
+// An entry starts, and the first request arrives when one runner of many has
+// announced itself. The pool must grow with the runners, and requests admitted
+// to the small pool must complete.
+func TestPoolGrowsWithUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		hanging := step{tokens: 1, hang: true}
 		b.engine(t, "runner-0", hanging)
 		var open []Answer
@@ -315,7 +315,7 @@
 			answer.Close()
 		}
 		if status := b.pools[poolKey{model: testModel}].controller.Status(); status.Running != 0 || status.Limit != 80 {
-			t.Errorf("status %+v", status)
+			t.Errorf("pool status %+v, want none running and a limit of 80", status)
 		}
 		if b.tracker.InFlight() != 0 {
 			t.Errorf("%d requests are in flight", b.tracker.InFlight())
--- a/internal/entry/services_test.go
+++ b/internal/entry/services_test.go
@@ -13,7 +13,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-func (b *bench) call(t *testing.T, id byte, method, path, key string) (string, ServiceAnswer, error) {
+func (b *testEntry) call(t *testing.T, id byte, method, path, key string) (string, ServiceAnswer, error) {
 	t.Helper()
 	caller, err := b.Authorize(digest(testToken))
 	if err != nil {
@@ -36,10 +36,11 @@
 	return string(body), answer, nil
 }
 
-// A call of a plain service fails in one way at the first replica. A call that
-// may be repeated goes to the other one; one that may not is sent again only on
-// proof that the first did not run it, and else ends as unknown: a bid that ran
-// twice is worse for its caller than one whose fate is in doubt.
+// A call to a plain service fails in one way at the first replica. A repeatable
+// call must be sent to the other replica. A call that is not repeatable may be
+// sent again only if the first replica provably did not run it, and otherwise
+// must end as unknown: for a caller, a bid that runs twice is worse than one
+// with an unknown outcome.
 func TestServiceCallAttempts(t *testing.T) {
 	cases := map[string]struct {
 		method, path, key string
@@ -47,18 +48,18 @@
 		kind              outcome.Kind
 		sent              int
 	}{
-		"repeatable":               {method: http.MethodGet, path: "/lots/7", kind: outcome.KindDone, sent: 1},
-		"repeatable, lost":         {method: http.MethodGet, path: "/lots/7", first: errLost, kind: outcome.KindDone, sent: 2},
-		"not repeatable":           {method: http.MethodPost, path: "/bids", key: "k", kind: outcome.KindDone, sent: 1},
-		"not repeatable, lost":     {method: http.MethodPost, path: "/bids", key: "k", first: errLost, kind: outcome.KindUnknown, sent: 1},
-		"not repeatable, not sent": {method: http.MethodPost, path: "/bids", key: "k", first: errDial, kind: outcome.KindDone, sent: 2},
-		"no key":                   {method: http.MethodPost, path: "/bids", kind: outcome.KindNotRun},
-		"path that only starts so": {method: http.MethodGet, path: "/lotsale", kind: outcome.KindNotRun},
+		"repeatable":                 {method: http.MethodGet, path: "/lots/7", kind: outcome.KindDone, sent: 1},
+		"repeatable, lost":           {method: http.MethodGet, path: "/lots/7", first: errLost, kind: outcome.KindDone, sent: 2},
+		"not repeatable":             {method: http.MethodPost, path: "/bids", key: "k", kind: outcome.KindDone, sent: 1},
+		"not repeatable, lost":       {method: http.MethodPost, path: "/bids", key: "k", first: errLost, kind: outcome.KindUnknown, sent: 1},
+		"not repeatable, not sent":   {method: http.MethodPost, path: "/bids", key: "k", first: errDial, kind: outcome.KindDone, sent: 2},
+		"no key":                     {method: http.MethodPost, path: "/bids", kind: outcome.KindNotRun},
+		"path with a similar prefix": {method: http.MethodGet, path: "/lotsale", kind: outcome.KindNotRun},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newTestEntry(t)
 				one := b.service(t, "app-1", test.first)
 				two := b.service(t, "app-2")
 				two.shared, one.shared = &one.calls, &one.calls
@@ -78,11 +79,11 @@
 	}
 }
 
-// A caller resends a bid under the same key after a lost answer. The service
-// must see it once, and both answers must be the same.
-func TestResentCallGetsTheFirstAnswer(t *testing.T) {
+// A caller resends a bid with the same key after a lost answer. The service
+// must run it once, and both answers must be the same.
+func TestResentCallGetsFirstAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		service := b.service(t, "app-1")
 		first, _, err := b.call(t, 1, http.MethodPost, "/bids", "bid-1")
 		if err != nil {
@@ -98,13 +99,13 @@
 	})
 }
 
-// An operator shuts an entry down while a caller holds an address answer and
-// another one's stream is open. The entry must leave the address answers at
-// once, serve the caller that still comes until the answer has run out, and end
-// only after the open stream has.
-func TestDrainServesUntilAddressAnswersRunOut(t *testing.T) {
+// An entry is shut down while one caller holds an address answer and another
+// has an open stream. The entry must immediately be removed from address
+// answers, serve the caller until its answer has expired, and end only after
+// the open stream has.
+func TestDrainServesUntilAddressAnswersExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.control.peers = []Peer{{Host: "entry-1", Callers: "127.0.0.1:7001"}, {Host: "entry-2", Callers: "127.0.0.1:8001"}}
 		engine := b.engine(t, "runner-1")
 		engine.delay = 10 * time.Second
@@ -124,7 +125,7 @@
 			}
 		}()
 		time.Sleep(before.Keep / 2)
-		if after, err := b.Address(Caller{}, "10.0.0.1"); err != nil || after.Address != "127.0.0.1:8001" || b.Ready() == nil || !b.control.left.Load() {
+		if after, err := b.Address(Caller{}, "10.0.0.1"); err != nil || after.Address != "127.0.0.1:8001" || b.Ready() == nil || !b.control.leaving.Load() {
 			t.Fatalf("got %+v, %v while leaving", after, err)
 		}
 		b.announce(t, port.Announcement{
@@ -133,10 +134,10 @@
 		})
 		late, err := b.Prompt(t.Context(), b.prompt(t, 2))
 		if err != nil {
-			t.Fatalf("a caller with a live address answer was refused: %v", err)
+			t.Fatalf("a caller with a valid address answer was refused: %v", err)
 		}
 		late.Close()
-		if text, err := read(running); err != nil || text != whole {
+		if text, err := readAnswer(running); err != nil || text != fullAnswer {
 			t.Fatalf("the open stream got %q, %v", text, err)
 		}
 		if took := <-drained; took != 65*time.Second {
@@ -148,11 +149,11 @@
 	})
 }
 
-// Cache events arrive with a hole. The entry must read a snapshot, so that it
-// does not send prompts after blocks that are long gone.
-func TestGapInCacheEventsIsRepaired(t *testing.T) {
+// Cache events arrive with a gap. The entry must request a snapshot; otherwise
+// it would route prompts by blocks that were evicted long ago.
+func TestGapInCacheEventsRequestsSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		b.engine(t, "runner-1")
 		missing, err := b.Events(port.CacheEvents{Upstream: "runner-1", Incarnation: 1, Events: []port.CacheEvent{
 			{Sequence: 5, Kind: port.CacheStored, Block: "00112233445566778899aabbccddeeff"},
@@ -161,17 +162,17 @@
 			t.Fatalf("got %t, %v", missing, err)
 		}
 		if len(b.repairs) != 1 {
-			t.Fatalf("%d snapshots are asked for", len(b.repairs))
+			t.Fatalf("%d snapshots were requested, want 1", len(b.repairs))
 		}
 	})
 }
 
-// An entry that was never asked for an address shuts down. The others may have
-// named it a moment ago, and do so until they have heard; their callers must
-// find it serving until those answers have run out.
-func TestDrainOutlastsTheOthersAnswers(t *testing.T) {
+// An entry that has given no address answer shuts down. Other entries may have
+// named it just before, and continue until they receive its announcement. It
+// must serve until those answers have expired.
+func TestDrainOutlastsAddressAnswersOfPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestEntry(t)
 		started := time.Now()
 		if err := b.Drain(t.Context()); err != nil {
 			t.Fatal(err)
@@ -182,16 +183,16 @@
 	})
 }
 
-// Callers that all know the same one entry ask it for an address. They must be
-// spread over the entries, each must get the same answer again, at whichever
-// entry it asks, and no answer may name an entry that can't serve.
+// All callers are configured with the same entry and request an address from
+// it. They must be spread over the entries, each must get the same answer from
+// every entry, and no answer may name an entry that can't serve.
 func TestAddressesSpreadCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers := []Peer{{Host: "entry-1", Callers: "127.0.0.1:7001"}, {Host: "entry-2", Callers: "127.0.0.1:8001"}, {Host: "entry-3", Callers: "127.0.0.1:9001"}}
-		one, two := newBench(t), newBench(t)
+		one, two := newTestEntry(t), newTestEntry(t)
 		two.options.Host, two.options.Callers = "entry-2", "127.0.0.1:8001"
 		counts := make(map[string]int)
-		for _, b := range []*bench{one, two} {
+		for _, b := range []*testEntry{one, two} {
 			b.control.peers = peers
 			b.keeper.planOnce(time.Now())
 		}
@@ -222,10 +223,10 @@
 	})
 }
 
-// One of two replicas stalls. A call that may be repeated and takes longer than
-// such calls do is sent to the other one too, and the first answer counts; a
-// bid, which may not, must wait, as it could else run twice.
-func TestSlowCallsAreHedgedOnlyWhereRepeatable(t *testing.T) {
+// One of two replicas stalls. A slow repeatable call must also be sent to the
+// other replica, and the first answer counts. A bid is not repeatable and must
+// wait, since it could otherwise run twice.
+func TestSlowCallsAreHedgedOnlyIfRepeatable(t *testing.T) {
 	cases := map[string]struct {
 		method, path string
 		hedged       bool
@@ -236,7 +237,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newTestEntry(t)
 				stalls := b.service(t, "app-1")
 				stalls.delay = 5 * time.Millisecond
 				for id := range byte(minObserved) {
@@ -255,7 +256,7 @@
 				}
 				stalled := len(stalls.calls) - before
 				if stalled == 0 {
-					t.Fatal("no call met the stalled replica")
+					t.Fatal("no call was sent to the stalled replica")
 				}
 				if fast := time.Since(started) < 6*time.Second; fast != test.hedged {
 					t.Errorf("six calls took %v, %d of them at the stalled replica", time.Since(started), stalled)
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -9,10 +9,11 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// An entry that follows many upstreams must ask them to report less often, or
-// their reports pass its budget; one that follows as few as today's must not.
-func TestAnnouncementIsAnsweredWithThePace(t *testing.T) {
-	b := newBench(t)
+// An entry that follows many upstreams must request less frequent reports, or
+// the reports exceed its budget. With few upstreams the interval must not
+// change.
+func TestAnnouncementReturnsReportIntervals(t *testing.T) {
+	b := newTestEntry(t)
 	for i := range upstream.UnpacedUpstreams + 1 {
 		assignment, err := b.Announce(port.Announcement{
 			Upstream: ident.Upstream(fmt.Sprint("runner-", i)), Incarnation: 1, Kind: port.KindEngine,
@@ -23,10 +24,10 @@
 			t.Fatal(err)
 		}
 		if want := upstream.ReportIntervalsFor(i + 1); assignment.Pace != want {
-			t.Fatalf("upstream %d is told %+v, not %+v", i+1, assignment.Pace, want)
+			t.Fatalf("upstream %d got the intervals %+v, want %+v", i+1, assignment.Pace, want)
 		}
 		if len(assignment.Entries) == 0 {
-			t.Fatal("no entry is named")
+			t.Fatal("no entry was returned")
 		}
 	}
 }
--- a/internal/entryhost/bench_test.go
+++ b/internal/entryhost/bench_test.go
@@ -29,7 +29,7 @@
 
 const benchToken = "bench-token"
 
-// benchControl is a configuration with a lease that never ends.
+// benchControl has a configuration and a lease that doesn't expire.
 type benchControl struct{ snapshot *config.Snapshot }
 
 func (c benchControl) Snapshot() *config.Snapshot { return c.snapshot }
@@ -37,7 +37,7 @@
 func (c benchControl) Entries() []entry.Peer      { return nil }
 func (c benchControl) Leave()                     {}
 
-// benchLedger is never asked.
+// benchLedger is not used by the benchmarks; its calls fail.
 type benchLedger struct{}
 
 func (benchLedger) Do(context.Context, entry.OnceCall, entry.SendOnce) (entry.OnceDone, error) {
@@ -58,7 +58,8 @@
 	return snapshot
 }
 
-// benchEntry serves callers on listener before the engine at address.
+// benchEntry serves callers on listener with the engine at address as its
+// upstream.
 func benchEntry(b testing.TB, listener net.Listener, address string) {
 	b.Helper()
 	set := metrics.NewSet()
@@ -105,7 +106,7 @@
 	})
 }
 
-// benchEngine serves a stand-in and returns its address.
+// benchEngine serves a stand-in engine and returns its address.
 func benchEngine(b testing.TB) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -138,9 +139,9 @@
 	return prompt
 }
 
-// throughEntry streams one answer through the entry and returns its length in
-// bytes.
-func throughEntry(b testing.TB, client *http.Client, address string, body []byte) int64 {
+// streamThroughEntry streams one answer through the entry and returns its
+// length in bytes.
+func streamThroughEntry(b testing.TB, client *http.Client, address string, body []byte) int64 {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+callers.PathCompletions, bytes.NewReader(body))
 	if err != nil {
 		b.Fatal(err)
@@ -158,8 +159,8 @@
 	return size
 }
 
-// direct streams one answer straight from the engine, read as raw bytes.
-func direct(b testing.TB, client *http.Client, address string, body []byte) {
+// streamDirect streams one answer directly from the engine as raw bytes.
+func streamDirect(b testing.TB, client *http.Client, address string, body []byte) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+upstreamapi.PathCompletions, bytes.NewReader(body))
 	if err != nil {
 		b.Fatal(err)
@@ -174,8 +175,9 @@
 	}
 }
 
-// bodies returns the same prompt for the entry and for the engine.
-func bodies(b testing.TB, prompt []uint32, tokens int) (viaEntry, viaEngine []byte) {
+// requestBodies returns the request bodies of the same prompt for the entry and
+// for the engine.
+func requestBodies(b testing.TB, prompt []uint32, tokens int) (viaEntry, viaEngine []byte) {
 	b.Helper()
 	viaEntry, err := json.Marshal(map[string]any{"model": "m", "prompt": prompt, "max_tokens": tokens, "stream": true})
 	if err != nil {
@@ -195,22 +197,23 @@
 	return times[len(times)/2]
 }
 
-// BenchmarkAddedTime reports the time that an entry adds to a short answer:
-// requests go to the engine and through the entry in turn, in one run.
+// BenchmarkAddedTime reports the time that an entry adds to a short answer.
+// Requests directly to the engine and through the entry alternate within one
+// run.
 func BenchmarkAddedTime(b *testing.B) {
 	for _, tokens := range []int{100, 4000} {
 		b.Run(fmt.Sprintf("prompt=%d", tokens), func(b *testing.B) {
 			address := benchEngine(b)
 			listener := benchListener(b)
 			benchEntry(b, listener, address)
-			viaEntry, viaEngine := bodies(b, benchPrompt(tokens), 1)
+			viaEntry, viaEngine := requestBodies(b, benchPrompt(tokens), 1)
 			client := &http.Client{Transport: &http.Transport{}}
 			var straight, through []time.Duration
 			for b.Loop() {
 				started := time.Now()
-				direct(b, client, address, viaEngine)
+				streamDirect(b, client, address, viaEngine)
 				between := time.Now()
-				throughEntry(b, client, listener.Addr().String(), viaEntry)
+				streamThroughEntry(b, client, listener.Addr().String(), viaEntry)
 				straight = append(straight, between.Sub(started))
 				through = append(through, time.Since(between))
 			}
@@ -221,7 +224,7 @@
 	}
 }
 
-// processorTime is what the whole process has used.
+// processorTime returns the CPU time used by the whole process.
 func processorTime(b testing.TB) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -230,22 +233,22 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkRelayedToken reports the processor time and the allocations that
-// the entry adds for each token: what a long answer costs the process through
-// the entry, less what it costs straight from the engine.
+// BenchmarkRelayedToken reports the CPU time and the allocations that the entry
+// adds per token: the cost of a long answer through the entry minus that of one
+// directly from the engine.
 func BenchmarkRelayedToken(b *testing.B) {
 	const tokens = 20_000
 	address := benchEngine(b)
 	listener := benchListener(b)
 	benchEntry(b, listener, address)
-	viaEntry, viaEngine := bodies(b, benchPrompt(10), tokens)
+	viaEntry, viaEngine := requestBodies(b, benchPrompt(10), tokens)
 	client := &http.Client{Transport: &http.Transport{}}
 	var straight, through time.Duration
 	var straightAllocs, throughAllocs uint64
 	for b.Loop() {
-		cost, allocs := costOf(b, func() { direct(b, client, address, viaEngine) })
+		cost, allocs := measureCost(b, func() { streamDirect(b, client, address, viaEngine) })
 		straight, straightAllocs = straight+cost, straightAllocs+allocs
-		cost, allocs = costOf(b, func() { throughEntry(b, client, listener.Addr().String(), viaEntry) })
+		cost, allocs = measureCost(b, func() { streamThroughEntry(b, client, listener.Addr().String(), viaEntry) })
 		through, throughAllocs = through+cost, throughAllocs+allocs
 	}
 	relayed := float64(tokens) * float64(b.N)
@@ -254,7 +257,7 @@
 	b.ReportMetric((float64(throughAllocs)-float64(straightAllocs))/relayed, "added-allocs/token")
 }
 
-func costOf(b testing.TB, run func()) (time.Duration, uint64) {
+func measureCost(b testing.TB, run func()) (time.Duration, uint64) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	started := processorTime(b)
--- a/internal/entryhost/host_test.go
+++ b/internal/entryhost/host_test.go
@@ -58,9 +58,9 @@
 	return response.StatusCode, string(body)
 }
 
-// The dump is for operators, who must find the whole state and no secret in
-// it, and it must never be on the callers' address.
-func TestDumpIsCompleteAndHoldsNoSecret(t *testing.T) {
+// The operators' dump must contain the whole state and no secret, and must not
+// be served at the callers' address.
+func TestDumpIsCompleteWithoutSecrets(t *testing.T) {
 	peerKey := []byte("the-peer-key-that-nobody-may-see")
 	blockKey := prefix.Key([]byte("the-block-key-nobody-may-see-now"))
 	host, _, _ := testHost(t, peerKey, blockKey)
@@ -82,7 +82,7 @@
 		}
 		for _, secret := range [][]byte{peerKey, blockKey[:]} {
 			if strings.Contains(body, string(secret)) || strings.Contains(body, hex.EncodeToString(secret)) {
-				t.Errorf("%s: the dump holds a secret", format)
+				t.Errorf("%s: the dump contains a secret", format)
 			}
 		}
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-// No control host answers: the entry has no serving lease. It must say that it
-// is alive but not ready, and that a request was not run.
-func TestEntryWithoutControlServesNobody(t *testing.T) {
+// No control host answers, so the entry has no serving lease. It must report
+// that it is alive but not ready, and that a request was not run.
+func TestEntryWithoutControlIsNotReady(t *testing.T) {
 	host, _, _ := testHost(t, []byte("a-peer-key-of-thirty-two-bytes-x"), prefix.Key{})
 	if status, _ := get(t, "http://"+host.Callers()+"/healthz"); status != http.StatusOK {
 		t.Errorf("healthz: %d", status)
--- a/internal/entryhost/idle_test.go
+++ b/internal/entryhost/idle_test.go
@@ -19,7 +19,7 @@
 )
 
 // pipeListener accepts in-memory connections, so that the callers' side of
-// thousands of streams costs no file descriptors.
+// thousands of streams needs no file descriptors.
 type pipeListener struct {
 	accept chan net.Conn
 	done   chan struct{}
@@ -55,7 +55,8 @@
 	return near
 }
 
-// idleEngine answers each request with one token and then stays silent.
+// idleEngine serves an engine that answers each request with one token and then
+// sends nothing.
 func idleEngine(b testing.TB) string {
 	b.Helper()
 	listener := benchListener(b)
@@ -81,8 +82,8 @@
 	return listener.Addr().String()
 }
 
-// openRaw opens a stream on conn and returns once its first event is read.
-func openRaw(b testing.TB, conn net.Conn, path string, header string, body []byte) {
+// openStream opens a stream on conn and returns after its first event.
+func openStream(b testing.TB, conn net.Conn, path string, header string, body []byte) {
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n", path, header, len(body))
 	if _, err := conn.Write(append([]byte(head), body...)); err != nil {
 		b.Fatal(err)
@@ -98,8 +99,8 @@
 			b.Fatal(err)
 		}
 		seen = seen || strings.HasPrefix(line, "data: ")
-		// The end of the event's chunk; an in-memory connection holds its
-		// writer until all is read.
+		// This is the end of the event's chunk. An in-memory connection blocks
+		// its writer until everything is read.
 		if seen && line == "\r\n" {
 			return
 		}
@@ -109,8 +110,8 @@
 // openTimeout bounds the opening of one stream.
 const openTimeout = 10 * time.Second
 
-// inUse is the memory of heap and stacks after a collection, in bytes.
-func inUse() uint64 {
+// memoryInUse returns the bytes of heap and stacks in use after a collection.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -118,15 +119,15 @@
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// BenchmarkIdleStream reports the memory of one open stream that is silent:
-// what the process holds with the streams going through the entry, less what
-// it holds with as many straight to the engine.
+// BenchmarkIdleStream reports the memory of one open stream without traffic:
+// the memory of the process with the streams going through the entry, minus
+// that with as many streams directly to the engine.
 func BenchmarkIdleStream(b *testing.B) {
 	for _, count := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("streams=%d", count), func(b *testing.B) {
 			for b.Loop() {
-				straight := holdDirect(b, count)
-				through := holdEntry(b, count)
+				straight := memoryOfDirectStreams(b, count)
+				through := memoryOfEntryStreams(b, count)
 				b.ReportMetric(float64(straight)/float64(count), "engine-bytes/stream")
 				b.ReportMetric((float64(through)-float64(straight))/float64(count), "entry-bytes/stream")
 			}
@@ -134,9 +135,9 @@
 	}
 }
 
-func holdDirect(b *testing.B, count int) uint64 {
+func memoryOfDirectStreams(b *testing.B, count int) uint64 {
 	address := idleEngine(b)
-	before := inUse()
+	before := memoryInUse()
 	conns := make([]net.Conn, count)
 	for i := range conns {
 		conn, err := net.Dial("tcp", address)
@@ -145,34 +146,35 @@
 		}
 		conns[i] = conn
 		header := attemptHeader()
-		openRaw(b, conn, upstreamapi.PathCompletions, header, []byte("{}"))
+		openStream(b, conn, upstreamapi.PathCompletions, header, []byte("{}"))
 	}
 	return closeAll(conns, before)
 }
 
-func holdEntry(b *testing.B, count int) uint64 {
+func memoryOfEntryStreams(b *testing.B, count int) uint64 {
 	listener := newPipeListener()
 	benchEntry(b, listener, idleEngine(b))
-	body, _ := bodies(b, benchPrompt(10), 10)
-	before := inUse()
+	body, _ := requestBodies(b, benchPrompt(10), 10)
+	before := memoryInUse()
 	conns := make([]net.Conn, count)
 	for i := range conns {
 		conns[i] = listener.dial()
-		openRaw(b, conns[i], callers.PathCompletions, "Authorization: Bearer "+benchToken+"\r\n", body)
+		openStream(b, conns[i], callers.PathCompletions, "Authorization: Bearer "+benchToken+"\r\n", body)
 	}
 	return closeAll(conns, before)
 }
 
-// closeAll returns what is in use beyond before, and then closes the streams.
+// closeAll returns the memory in use beyond before, and then closes the
+// streams.
 func closeAll(conns []net.Conn, before uint64) uint64 {
-	used := inUse() - before
+	used := memoryInUse() - before
 	for _, conn := range conns {
 		_ = conn.Close()
 	}
 	return used
 }
 
-// attemptHeader is the header of an attempt as it stands on the wire.
+// attemptHeader returns the header of an attempt in wire format.
 func attemptHeader() string {
 	header := make(http.Header)
 	upstreamapi.SetAttempt(header, ident.Request{1}, 1)
--- a/internal/entryhost/lives_test.go
+++ b/internal/entryhost/restart_test.go
@@ -20,10 +20,10 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-var livesKey = []byte("a-peer-key-of-thirty-two-bytes-x")
+var testPeerKey = []byte("a-peer-key-of-thirty-two-bytes-x")
 
-// livesWait ends a test that hangs; nothing depends on its length.
-const livesWait = 30 * time.Second
+// testTimeout ends a hanging test; no check depends on its length.
+const testTimeout = 30 * time.Second
 
 // runControl runs a control host until the returned function is called.
 func runControl(t *testing.T, address, folder string) (stop func()) {
@@ -34,15 +34,15 @@
 	}
 	host, err := controlhost.New(controlhost.Options{
 		Host: "control-1", DataCentre: "hall-north", Cluster: "test", Data: folder, PeerListener: listener,
-		ControlAddresses: map[ident.Host]string{"control-1": address}, LedgerGroups: 1, PeerKey: livesKey, Log: log.New(io.Discard),
+		ControlAddresses: map[ident.Host]string{"control-1": address}, LedgerGroups: 1, PeerKey: testPeerKey, Log: log.New(io.Discard),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return runUntil(t, func(ctx context.Context) error { return host.Run(ctx, nil) })
+	return runInBackground(t, func(ctx context.Context) error { return host.Run(ctx, nil) })
 }
 
-func runUntil(t *testing.T, run func(context.Context) error) (stop func()) {
+func runInBackground(t *testing.T, run func(context.Context) error) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- run(ctx) }()
@@ -54,21 +54,22 @@
 	}
 }
 
-// runLife runs one life of entry-1 whose clock shows identity at its start.
-func runLife(t *testing.T, control string, identity ident.Incarnation) (host *Host, stop func()) {
+// runEntry runs one incarnation of entry-1 whose clock reads incarnation at its
+// start.
+func runEntry(t *testing.T, control string, incarnation ident.Incarnation) (host *Host, stop func()) {
 	t.Helper()
 	host, err := New(Options{
-		Host: "entry-1", DataCentre: "hall-north", Cluster: "test", Incarnation: identity,
+		Host: "entry-1", DataCentre: "hall-north", Cluster: "test", Incarnation: incarnation,
 		Listeners: Listeners{Callers: benchListener(t), Announce: benchListener(t), Peer: benchListener(t)},
-		Operators: "127.0.0.1:0", Control: map[ident.Host]string{"control-1": control}, PeerKey: livesKey, Log: log.New(io.Discard),
+		Operators: "127.0.0.1:0", Control: map[ident.Host]string{"control-1": control}, PeerKey: testPeerKey, Log: log.New(io.Discard),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return host, runUntil(t, func(ctx context.Context) error { return host.Run(ctx, nil) })
+	return host, runInBackground(t, func(ctx context.Context) error { return host.Run(ctx, nil) })
 }
 
-func bidCall(text string) ledger.Call {
+func testCall(text string) ledger.Call {
 	call := ledger.Call{
 		Key:    once.Key{Team: "florists", Service: "clock-app", Text: text},
 		Digest: once.DigestCall("POST", "/bid", nil),
@@ -77,14 +78,14 @@
 	return call
 }
 
-// hold claims a key whose call has no answer yet when the host ends.
-func hold(t *testing.T, host *Host, text string) {
+// holdClaim claims a key whose call has no answer yet when the host stops.
+func holdClaim(t *testing.T, host *Host, text string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), livesWait)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	sending, release, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _ = host.ledger.Do(ctx, bidCall(text), func(context.Context) (once.Answer, error) {
+		_, _ = host.ledger.Do(ctx, testCall(text), func(context.Context) (once.Answer, error) {
 			close(sending)
 			<-release
 			return once.Answer{}, context.Canceled
@@ -98,33 +99,33 @@
 	select {
 	case <-sending:
 	case <-ended:
-		t.Fatalf("%s is not claimed", text)
+		t.Fatalf("%s was not claimed", text)
 	}
 }
 
-// bid runs one call that may not be repeated, and traces one request.
-func bid(t *testing.T, host *Host, text string) {
+// runCall runs one call that is not repeatable, and traces one request.
+func runCall(t *testing.T, host *Host, text string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), livesWait)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	call := bidCall(text)
+	call := testCall(text)
 	_, err := host.ledger.Do(ctx, call, func(context.Context) (once.Answer, error) {
 		return once.Answer{Status: 201}, nil
 	})
 	if err != nil {
-		t.Errorf("%s is not run: %v", text, err)
+		t.Errorf("%s was not run: %v", text, err)
 	}
 	tracer := ledger.NewTracer(host.ledger)
-	stop := runUntil(t, func(ctx context.Context) error { tracer.Run(ctx); return nil })
+	stop := runInBackground(t, func(ctx context.Context) error { tracer.Run(ctx); return nil })
 	defer stop()
 	if err := tracer.Open(ctx, audit.Opening{Request: call.Request, Team: "florists", Accepted: time.Now(), Deadline: time.Now().Add(time.Minute)}); err != nil {
-		t.Errorf("%s is refused by the trace: %v", text, err)
+		t.Errorf("%s was refused by the trace: %v", text, err)
 	}
 }
 
-// An entry starts again with an earlier time than before, while everything else
-// goes on. It must be admitted and its calls must run.
-func TestEntryStartsAgainWithEarlierClock(t *testing.T) {
+// An entry restarts with an earlier clock time than before while all other
+// processes keep running. It must be admitted, and its calls must run.
+func TestEntryRestartsWithEarlierClock(t *testing.T) {
 	listener := benchListener(t)
 	address := listener.Addr().String()
 	if err := listener.Close(); err != nil {
@@ -132,17 +133,18 @@
 	}
 	stopControl := runControl(t, address, t.TempDir())
 	defer stopControl()
-	for _, identity := range []ident.Incarnation{9_000_000, 4_000_000, 0} {
-		host, stop := runLife(t, address, identity)
-		bid(t, host, fmt.Sprint("life-", identity))
+	for _, incarnation := range []ident.Incarnation{9_000_000, 4_000_000, 0} {
+		host, stop := runEntry(t, address, incarnation)
+		runCall(t, host, fmt.Sprint("run-", incarnation))
 		stop()
 	}
 }
 
-// All processes start again, and the entry's clock has stepped back. The ledger
-// and the trace, which are on disk, must take the claims and reports of its new
-// life, end the claims of the former, and grant none that comes from it late.
-func TestLedgerTakesClaimsAfterClockStepsBack(t *testing.T) {
+// All processes restart, and the entry's clock has stepped back. The ledger and
+// the trace, which are on disk, must accept the claims and reports of its new
+// incarnation, end the claims of the previous one, and grant none that arrives
+// late from it.
+func TestLedgerAcceptsClaimsAfterClockStepsBack(t *testing.T) {
 	address, folder := "", t.TempDir()
 	listener := benchListener(t)
 	address = listener.Addr().String()
@@ -150,22 +152,22 @@
 		t.Fatal(err)
 	}
 	stopControl := runControl(t, address, folder)
-	host, stop := runLife(t, address, 9_000_000)
-	bid(t, host, "first")
-	hold(t, host, "held")
-	former := host.control.Incarnation()
+	host, stop := runEntry(t, address, 9_000_000)
+	runCall(t, host, "first")
+	holdClaim(t, host, "held")
+	previous := host.control.Incarnation()
 	stop()
 	stopControl()
 	stopControl = runControl(t, address, folder)
 	defer stopControl()
-	host, stop = runLife(t, address, 4_000_000)
+	host, stop = runEntry(t, address, 4_000_000)
 	defer stop()
-	bid(t, host, "second")
+	runCall(t, host, "second")
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	delayed := bidCall("delayed")
+	delayed := testCall("delayed")
 	request := ledger.Request{Group: ledger.GroupOf(0), Claim: &once.Claim{
-		Key: delayed.Key, Digest: delayed.Digest, Owner: once.Owner{Host: "entry-1", Incarnation: former}, ID: once.ClaimID{1}, HoldMillis: 1000,
+		Key: delayed.Key, Digest: delayed.Digest, Owner: once.Owner{Host: "entry-1", Incarnation: previous}, ID: once.ClaimID{1}, HoldMillis: 1000,
 	}}
 	data, err := host.transport.Call(ctx, address, ledger.MethodClaim, wire.MustMarshal(request))
 	if err != nil {
@@ -173,14 +175,14 @@
 	}
 	var reply ledger.Reply
 	if err := wire.Unmarshal(data, &reply); err != nil || reply.Result == nil || reply.Result.Status != once.StatusStaleOwner {
-		t.Errorf("a claim delayed from the former life gets %+v, %v; want it refused as stale", reply.Result, err)
+		t.Errorf("a delayed claim of the previous incarnation got %+v, %v; want it refused as stale", reply.Result, err)
 	}
-	_, err = host.ledger.Do(ctx, bidCall("held"), func(context.Context) (once.Answer, error) {
-		t.Error("a call of the former life is sent again")
+	_, err = host.ledger.Do(ctx, testCall("held"), func(context.Context) (once.Answer, error) {
+		t.Error("a call of the previous incarnation was sent again")
 		return once.Answer{}, nil
 	})
 	var unknown *outcome.Unknown
 	if !errors.As(err, &unknown) || unknown.Reason != outcome.ReasonOwnerLost {
-		t.Errorf("a call of the former life ends as %v, want unknown with its owner lost", err)
+		t.Errorf("a call of the previous incarnation got %v, want unknown with reason owner-lost", err)
 	}
 }
