--- a/internal/entry/address.go
+++ b/internal/entry/address.go
@@ -19,7 +19,7 @@
 // lease are never named.
 func (e *Entry) Address(caller Caller, from string) (AddressAnswer, error) {
 	now := time.Now()
-	peers := e.usable(now)
+	peers := e.usableEntries(now)
 	if len(peers) == 0 {
 		return AddressAnswer{}, &outcome.NotRun{
 			Reason:     outcome.ReasonDraining,
@@ -27,7 +27,7 @@
 			RetryAfter: time.Second,
 		}
 	}
-	first := e.preferred(caller, from, peers)
+	first := e.preferredEntry(caller, from, peers)
 	answer := AddressAnswer{Address: peers[first].Callers, Keep: e.options.KeepAddress}
 	for i, peer := range peers {
 		if i != first && len(answer.Alternates) < maxAlternates {
@@ -40,8 +40,8 @@
 	return answer, nil
 }
 
-// usable lists the entries that callers may be directed to.
-func (e *Entry) usable(now time.Time) []Peer {
+// usableEntries lists the entries that callers may be directed to.
+func (e *Entry) usableEntries(now time.Time) []Peer {
 	self := Peer{Host: e.options.Host, DataCentre: e.options.DataCentre, Callers: e.options.Callers}
 	var peers []Peer
 	if !e.drain.isLeaving() && e.options.Control.Serving(now) {
@@ -55,8 +55,9 @@
 	return peers
 }
 
-// preferred returns the index in peers of the entry that a caller should use.
-func (e *Entry) preferred(caller Caller, from string, peers []Peer) int {
+// preferredEntry returns the index in peers of the entry that a caller should
+// use.
+func (e *Entry) preferredEntry(caller Caller, from string, peers []Peer) int {
 	key := xxhash.Sum64String(string(caller.Team()) + "\x00" + from)
 	e.mu.Lock()
 	home, ok := e.keeper.homes.Home(homeCell, key)
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -77,7 +77,7 @@
 	if err := a.awaitAdmission(); err != nil {
 		return err
 	}
-	a.entry.firstAttempt(a.job)
+	a.entry.creditRetryBudgets(a.job)
 	return a.finalOutcome(a.send(nil))
 }
 
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// maxDispatches bounds the retries when a chosen upstream leaves before the
-// attempt is recorded.
+// maxDispatches bounds the upstreams chosen for one attempt, in case they leave
+// before the attempt is recorded.
 const maxDispatches = 3
 
 // dispatch chooses an upstream and records the attempt.
@@ -163,7 +163,7 @@
 		}
 	}
 	for range maxDispatches {
-		chosen, err := a.choice()
+		chosen, err := a.nextPlan()
 		if err != nil {
 			return err
 		}
@@ -189,7 +189,7 @@
 	return &outcome.NotRun{Reason: outcome.ReasonLeavingUpstream, Detail: "the chosen upstreams left meanwhile", RetryAfter: time.Second}
 }
 
-func (a *answer) choice() (plan, error) {
+func (a *answer) nextPlan() (plan, error) {
 	if a.initialPlan != nil {
 		chosen := *a.initialPlan
 		a.initialPlan = nil
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -156,8 +156,9 @@
 }
 
 // The first crash messages are lost, and a third entry starts long after the
-// crashes. Both must quarantine the prompt and continue to serve all others.
-// Once the prompt was served by any entry, all must serve it again.
+// crashes. Both must quarantine the prompt, refuse it with the matching reason,
+// and continue to serve all others. Once the prompt was served by any entry,
+// all must serve it again.
 func TestCrashesReachEveryEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, two, three := newTestEntry(t), newTestEntry(t), newTestEntry(t)
@@ -205,7 +206,8 @@
 }
 
 // Connections break while the engines keep running: their prompts must not be
-// quarantined. Crashes must expire.
+// quarantined, and an entry that has served one clears it at all others.
+// Crashes must expire.
 func TestOnlyCrashesCountUntilTheyExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestEntry(t)
--- a/internal/entry/departures.go
+++ b/internal/entry/departures.go
@@ -17,7 +17,7 @@
 	departureInterval = time.Second
 	// departureRepeat is how long a departure is sent again after the
 	// upstream's last announcement of it. It is shorter than
-	// upstream.DefaultDepartureLife: otherwise entries would resend departures
+	// upstream.DefaultDepartureTTL: otherwise entries would resend departures
 	// that the receivers have already forgotten, and the departures would
 	// circulate forever.
 	departureRepeat = 30 * time.Second
--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -47,7 +47,7 @@
 	if result.Bytes > 0 {
 		a.importedBlocks = len(result.Present)
 	}
-	e.imported(a.plan, result, before, time.Since(start))
+	e.recordImport(a.plan, result, before, time.Since(start))
 }
 
 // pin pins the copies that the import names, and removes those from the plan
@@ -85,9 +85,9 @@
 	return min(wait, a.entry.options.ImportTimeout)
 }
 
-// imported updates link speeds and the store directory from a finished import.
-// before is the volume of imports in progress when it began.
-func (e *Entry) imported(p plan, result port.ImportResult, before map[storeTier]int64, took time.Duration) {
+// recordImport updates metrics, link speeds and the store directory from a
+// finished import. before is the volume of imports in progress when it began.
+func (e *Entry) recordImport(p plan, result port.ImportResult, before map[storeTier]int64, took time.Duration) {
 	e.counts.importedBlocks.Add(len(result.Present))
 	e.counts.missingBlocks.Add(len(result.Missing))
 	e.counts.importedBytes.Add(int(result.Bytes))
--- a/internal/entry/finish.go
+++ b/internal/entry/finish.go
@@ -194,8 +194,9 @@
 	a.entry.end(a.job.prompt.Request)
 }
 
-// firstAttempt credits the retry budgets for a request's first attempt.
-func (e *Entry) firstAttempt(j *job) {
+// creditRetryBudgets credits the retry budgets of team and class for a
+// request's first attempt.
+func (e *Entry) creditRetryBudgets(j *job) {
 	e.mu.Lock()
 	e.budgets.First(j.prompt.Caller.Team(), j.class.Name)
 	e.mu.Unlock()
--- a/internal/entry/keepwork.go
+++ b/internal/entry/keepwork.go
@@ -75,10 +75,10 @@
 // change their homes.
 const homeDelay = 5 * time.Second
 
-// updateMembers adopts a changed set of entries after homeDelay. An entry that
-// misses a few lease renewals returns soon; if its prompts moved to other homes
-// and back meanwhile, those not yet exported would be lost twice. The caller
-// holds the mutex.
+// updateMembers adopts a changed set of entries, after homeDelay if this entry
+// has prompts. An entry that misses a few lease renewals returns soon; if its
+// prompts moved to other homes and back meanwhile, those not yet exported would
+// be lost twice. The caller holds the mutex.
 func (k *keeper) updateMembers(now time.Time, members []cell.Member) {
 	switch {
 	case slices.Equal(members, k.members):
--- a/internal/entry/plan.go
+++ b/internal/entry/plan.go
@@ -312,14 +312,14 @@
 		if !e.offered(now, c.Store) {
 			continue
 		}
-		if !ok || e.better(c, best, runs) {
+		if !ok || e.betterCopy(c, best, runs) {
 			best, ok = c, true
 		}
 	}
 	return best, ok
 }
 
-func (e *Entry) better(a, b prefix.StoredCopy, runs []route.Copy) bool {
+func (e *Entry) betterCopy(a, b prefix.StoredCopy, runs []route.Copy) bool {
 	if a.Copy.Tier != b.Copy.Tier {
 		return a.Copy.Tier < b.Copy.Tier
 	}
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -283,7 +283,7 @@
 		picks = e.registry.Pick(now, e.options.Random, upstream.ServicePool(j.call.Service, centre, 0), servicePicks, picks)
 	}
 	picks = slices.DeleteFunc(picks, func(c upstream.Candidate) bool { return slices.Contains(j.avoid, c.Upstream) })
-	slices.SortStableFunc(picks, e.nearer)
+	slices.SortStableFunc(picks, e.compareReplicas)
 	for _, c := range picks {
 		number := e.tracker.Send(j.call.Request, c.Upstream)
 		attempt := upstream.Attempt{Request: j.call.Request, Number: number}
@@ -300,9 +300,9 @@
 	}
 }
 
-// nearer compares replicas: those in the entry's data centre with a free slot
-// first, then by load.
-func (e *Entry) nearer(a, b upstream.Candidate) int {
+// compareReplicas orders replicas: those in the entry's data centre with a free
+// slot first, then by load.
+func (e *Entry) compareReplicas(a, b upstream.Candidate) int {
 	aFree, bFree := e.localAndFree(a), e.localAndFree(b)
 	switch {
 	case aFree != bFree && aFree:
