--- a/internal/adapter/peer/bench_test.go
+++ b/internal/adapter/peer/bench_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// BenchmarkIdleConnections is the memory of a connection, both ends together,
-// that has carried a call and a one-way message and waits.
+// BenchmarkIdleConnections measures the memory of an idle connection, both ends
+// together, after a call and a one-way message.
 func BenchmarkIdleConnections(b *testing.B) {
 	_, address := benchPair(b, echo)
 	var before, after runtime.MemStats
--- a/internal/adapter/peer/close.go
+++ b/internal/adapter/peer/close.go
@@ -7,12 +7,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// drainPoll is how often Close looks whether the queues are written out.
+// drainPoll is the interval at which Close checks that all queues are written out.
 const drainPoll = 5 * time.Millisecond
 
-// Close stops accepting work, tells the peers, waits until the calls and
-// handlers under way have ended and their answers are written, and closes all
-// connections. When ctx ends first it cuts them off and returns ctx's error.
+// Close stops accepting work, sends a goodbye frame to each peer, waits until
+// the calls and handlers in progress have returned and their answers are
+// written, and closes all connections. If ctx is done first, Close cancels the
+// remaining work and returns ctx's error.
 func (t *Transport) Close(ctx context.Context) error {
 	t.mu.Lock()
 	if t.closing {
@@ -25,7 +26,7 @@
 	for c := range t.conns {
 		conns = append(conns, c)
 	}
-	t.settleIdle()
+	t.closeIfIdle()
 	t.mu.Unlock()
 
 	for _, c := range conns {
@@ -44,21 +45,22 @@
 	select {
 	case <-t.idle:
 	case <-ctx.Done():
-		return eris.Wrap(ctx.Err(), "peer: close: work still under way")
+		return eris.Wrap(ctx.Err(), "peer: close: calls or handlers are still running")
 	}
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
-	for !written(conns) {
+	for !allWritten(conns) {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return eris.Wrap(ctx.Err(), "peer: close: answers still unwritten")
+			return eris.Wrap(ctx.Err(), "peer: close: answers are not written yet")
 		}
 	}
 	return nil
 }
 
-func written(conns []*conn) bool {
+// allWritten reports whether no live connection has unwritten frames.
+func allWritten(conns []*conn) bool {
 	for _, c := range conns {
 		if c.ctx.Err() == nil && c.unwritten.Load() > 0 {
 			return false
--- a/internal/adapter/peer/conn.go
+++ b/internal/adapter/peer/conn.go
@@ -14,61 +14,63 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// conn is one authenticated connection, dialled or accepted.
+// conn is an authenticated connection, either dialled or accepted.
 type conn struct {
 	transport *Transport
 	ws        *websocket.Conn
 	remote    port.Peer
-	// expires is when the far side's certificate ends, zero without TLS.
+	// expires is the expiry time of the remote certificate, zero without TLS.
 	expires time.Time
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// inlineCtx is ctx with the session, for inline handlers.
+	// inlineCtx is ctx with the session attached; inline handlers get it.
 	inlineCtx context.Context
 
 	out   chan *outgoing
 	bytes *semaphore.Weighted
-	// unwritten counts frames queued or being written.
+	// unwritten is the number of frames that are queued or being written.
 	unwritten atomic.Int64
-	// leaving is set once the far side has said goodbye.
+	// leaving is set once the remote process has sent a goodbye frame.
 	leaving atomic.Bool
-	// lastUsed is how long after began the last frame came either way, in nanoseconds.
-	// The time of day may step, and would end connections in use.
-	lastUsed atomic.Int64
-	began    time.Time
+	// lastUsed is the time of the last frame in either direction, in nanoseconds
+	// since startedAt. It is measured by the monotonic clock: a step of the wall
+	// clock would close connections in use.
+	lastUsed  atomic.Int64
+	startedAt time.Time
 
 	mu      sync.Mutex
 	pending map[uint64]*outgoing
 	nextID  uint64
 
-	// lastRequest and lanes belong to the reader.
-	lastRequest uint64
-	lanes       map[port.Method]*lane
-	slots       chan struct{}
+	// lastRequest, the highest request ID received, and methodQueues are used
+	// by the reader only.
+	lastRequest  uint64
+	methodQueues map[port.Method]*methodQueue
+	slots        chan struct{}
 }
 
 func newConn(t *Transport, ws *websocket.Conn, remote port.Peer) *conn {
 	ctx, cancel := context.WithCancelCause(t.ctx)
 	c := &conn{
-		transport: t,
-		ws:        ws,
-		remote:    remote,
-		ctx:       ctx,
-		cancel:    cancel,
-		began:     time.Now(),
-		out:       make(chan *outgoing, t.options.QueueLength),
-		bytes:     semaphore.NewWeighted(int64(t.options.MaxQueuedBytes)),
-		pending:   make(map[uint64]*outgoing),
-		lanes:     make(map[port.Method]*lane),
-		slots:     make(chan struct{}, t.options.HandlerLimit),
+		transport:    t,
+		ws:           ws,
+		remote:       remote,
+		ctx:          ctx,
+		cancel:       cancel,
+		startedAt:    time.Now(),
+		out:          make(chan *outgoing, t.options.QueueLength),
+		bytes:        semaphore.NewWeighted(int64(t.options.MaxQueuedBytes)),
+		pending:      make(map[uint64]*outgoing),
+		methodQueues: make(map[port.Method]*methodQueue),
+		slots:        make(chan struct{}, t.options.HandlerLimit),
 	}
 	c.inlineCtx = withSession(ctx, c)
-	c.touch()
+	c.markUsed()
 	return c
 }
 
-// run carries the connection until it ends and returns why.
+// run reads, writes and pings until the connection ends, and returns the cause.
 func (c *conn) run() error {
 	c.ws.SetReadLimit(int64(c.transport.options.MaxFrame))
 	var group errgroup.Group
@@ -85,7 +87,7 @@
 	return context.Cause(c.ctx)
 }
 
-// fail ends the connection. The first cause stands.
+// fail closes the connection. Only the first cause is kept.
 func (c *conn) fail(cause error) {
 	if cause == nil {
 		cause = port.ErrPeerLost
@@ -93,16 +95,17 @@
 	c.cancel(cause)
 }
 
-func (c *conn) touch() {
-	c.lastUsed.Store(int64(time.Since(c.began)))
+// markUsed records the current time as that of the last frame.
+func (c *conn) markUsed() {
+	c.lastUsed.Store(int64(time.Since(c.startedAt)))
 }
 
-// idle returns for how long no frame has come either way.
+// idle returns the time since the last frame in either direction.
 func (c *conn) idle(now time.Time) time.Duration {
-	return now.Sub(c.began) - time.Duration(c.lastUsed.Load())
+	return now.Sub(c.startedAt) - time.Duration(c.lastUsed.Load())
 }
 
-// enqueue queues o, waiting for room until ctx ends.
+// enqueue queues o and waits for queue space until ctx is done.
 func (c *conn) enqueue(ctx context.Context, o *outgoing) error {
 	size := int64(o.frame.size())
 	if size > int64(c.transport.options.MaxFrame) {
@@ -124,7 +127,7 @@
 	}
 }
 
-// tryEnqueue queues o if there is room now.
+// tryEnqueue queues o if the queue has space, and reports whether it did.
 func (c *conn) tryEnqueue(o *outgoing) bool {
 	size := int64(o.frame.size())
 	if size > int64(c.transport.options.MaxFrame) || c.ctx.Err() != nil {
@@ -143,15 +146,16 @@
 	}
 }
 
+// release returns the queue space of o.
 func (c *conn) release(o *outgoing) {
 	c.bytes.Release(int64(o.frame.size()))
 	c.unwritten.Add(-1)
 }
 
-// call sends a request on this connection and waits for its answer, at most
-// HandlerTimeout when ctx has no deadline.
+// call sends a request on this connection and waits for its answer, for at
+// most HandlerTimeout if ctx has no deadline.
 func (c *conn) call(ctx context.Context, method port.Method, body []byte) ([]byte, error) {
-	c.touch()
+	c.markUsed()
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.transport.options.HandlerTimeout)
@@ -165,24 +169,25 @@
 	case answer := <-o.answer:
 		return readAnswer(answer)
 	case <-ctx.Done():
-		return nil, c.giveUp(o, ctx.Err())
+		return nil, c.withdraw(o, ctx.Err())
 	case <-c.ctx.Done():
-		return c.lost(o)
+		return c.resolveLost(o)
 	}
 }
 
-// giveUp withdraws o. A frame already taken by the writer may have been run.
-func (c *conn) giveUp(o *outgoing, cause error) error {
+// withdraw cancels o and returns the call's error. Only an unclaimed frame
+// yields ErrPeerNotSent: a frame that the writer has claimed may have been run.
+func (c *conn) withdraw(o *outgoing, cause error) error {
 	if o.abandon() {
 		return notSent(cause)
 	}
-	c.forget(o)
+	c.unregister(o)
 	return cause
 }
 
-// lost settles a call whose connection has ended. The answer may have arrived
-// just before the end.
-func (c *conn) lost(o *outgoing) ([]byte, error) {
+// resolveLost completes a call whose connection has ended. The answer may have
+// arrived just before the end.
+func (c *conn) resolveLost(o *outgoing) ([]byte, error) {
 	if o.abandon() {
 		return nil, notSent(context.Cause(c.ctx))
 	}
@@ -194,6 +199,7 @@
 	}
 }
 
+// readAnswer returns the body of an answer, or the error that its status stands for.
 func readAnswer(answer frame) ([]byte, error) {
 	switch answer.Status {
 	case answerNotRun:
@@ -205,9 +211,9 @@
 	}
 }
 
-// send queues a one-way message.
+// send queues a one-way message and reports whether it was queued.
 func (c *conn) send(method port.Method, body []byte) bool {
-	c.touch()
+	c.markUsed()
 	o := &outgoing{frame: frame{Kind: frameOneWay, Method: method, Body: body}}
 	if c.tryEnqueue(o) {
 		return true
@@ -216,29 +222,31 @@
 	return false
 }
 
-// register gives a request its identity. A caller that left after the writer
-// took its frame is not registered, or its entry would stay until the end.
+// register assigns an ID to a request and records it as pending. A request
+// whose caller returned after the writer had claimed the frame isn't recorded:
+// its entry would stay until the connection ends.
 func (c *conn) register(o *outgoing) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nextID++
 	o.frame.ID = c.nextID
-	if !o.gone {
+	if !o.callerGone {
 		c.pending[o.frame.ID] = o
 	}
 }
 
-func (c *conn) forget(o *outgoing) {
+// unregister removes a request whose caller has returned.
+func (c *conn) unregister(o *outgoing) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o.gone = true
+	o.callerGone = true
 	delete(c.pending, o.frame.ID)
 }
 
-// settle hands an answer to its call. An answer that matches no waiting call
-// by identity and method is dropped: handing it to another caller would give
-// that caller somebody else's result.
-func (c *conn) settle(answer frame) {
+// deliver passes an answer to its call. An answer that matches no pending call
+// by ID and method is dropped, so that no caller gets the result of another
+// call.
+func (c *conn) deliver(answer frame) {
 	c.mu.Lock()
 	o, ok := c.pending[answer.ID]
 	if ok && o.frame.Method != answer.Method {
@@ -255,8 +263,9 @@
 	o.answer <- answer
 }
 
-// pingLoop ends a connection whose far side no longer answers, whose
-// certificate has run out, or which nobody has used for a long time.
+// pingLoop closes the connection when a ping isn't answered within
+// PingTimeout, when the remote certificate has expired, or when the connection
+// has been idle for LinkIdle.
 func (c *conn) pingLoop() error {
 	options := c.transport.options
 	ticker := time.NewTicker(options.PingInterval)
--- a/internal/adapter/peer/dial.go
+++ b/internal/adapter/peer/dial.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// path is where peers connect.
+// path is the URL path of the peer endpoint.
 const path = "/lovagereach/peer/v1"
 
 func (t *Transport) newClient() *http.Client {
@@ -27,7 +27,7 @@
 	return &http.Client{Transport: transport}
 }
 
-// dial connects to address and runs the hello exchange.
+// dial connects to address and performs the hello exchange.
 func (t *Transport) dial(address string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, t.options.DialTimeout+t.options.HelloTimeout)
 	defer cancel()
@@ -55,8 +55,9 @@
 	return c, nil
 }
 
-// classifyTLS gives a refused certificate its type. The far side's refusal
-// arrives as a TLS alert, which the library reports as a network error.
+// classifyTLS returns a RefusedError if err comes from a rejected certificate.
+// A rejection by the remote side arrives as a TLS alert, which crypto/tls
+// reports as a network error.
 func classifyTLS(err error) error {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
--- a/internal/adapter/peer/doc.go
+++ b/internal/adapter/peer/doc.go
@@ -1,9 +1,10 @@
-// Package peer carries messages between the system's own processes over
-// WebSocket and CBOR. It implements port.PeerClient and port.PeerRegistry.
+// Package peer is the transport between the processes of a deployment:
+// CBOR-encoded frames over WebSocket. It implements port.PeerClient and
+// port.PeerRegistry.
 //
-// A connection begins with a hello exchange that proves the shared key or the
-// certificate, the deployment and the incarnation of both sides. After it both
-// sides may send requests, answers and one-way messages. Requests run
-// concurrently within a bound; one-way messages of one method are handled in
-// the order in which they were sent.
+// A connection starts with a hello exchange in which both sides authenticate
+// by shared key or certificate and state their deployment and incarnation.
+// After it, both sides may send requests, answers and one-way messages.
+// Requests run concurrently up to a limit; one-way messages of the same method
+// are handled in the order in which they were sent.
 package peer
--- a/internal/adapter/peer/errors.go
+++ b/internal/adapter/peer/errors.go
@@ -9,7 +9,7 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// RefusalReason is why one side refused a connection.
+// RefusalReason is the reason for which one side refused a connection.
 type RefusalReason string
 
 // The reasons for refusing a connection.
@@ -25,12 +25,12 @@
 	RefusedBadHello    RefusalReason = "bad-hello"
 )
 
-// RefusedError reports that a connection was refused in the hello exchange. It
-// matches port.ErrPeerRefused and, because no message can have been sent,
-// port.ErrPeerNotSent.
+// RefusedError is the error of a connection that was refused in the TLS
+// handshake or the hello exchange. It matches port.ErrPeerRefused and, because
+// no message can have been sent, port.ErrPeerNotSent.
 type RefusedError struct {
 	Reason RefusalReason
-	// ByRemote is true when the far side refused, false when this side did.
+	// ByRemote is true if the remote side refused, false if this side did.
 	ByRemote bool
 	Detail   string
 }
@@ -44,12 +44,12 @@
 	return fmt.Sprintf("peer connection refused by %s (%s): %s", side, e.Reason, e.Detail)
 }
 
-// Unwrap makes the error match the errors of package port.
+// Unwrap returns port.ErrPeerRefused and port.ErrPeerNotSent.
 func (e *RefusedError) Unwrap() []error {
 	return []error{port.ErrPeerRefused, port.ErrPeerNotSent}
 }
 
-// notSent marks cause as port.ErrPeerNotSent.
+// notSent returns an error that matches both cause and port.ErrPeerNotSent.
 func notSent(cause error) error {
 	if errors.Is(cause, port.ErrPeerNotSent) {
 		return cause
@@ -67,7 +67,7 @@
 	return []error{port.ErrPeerNotSent, e.cause}
 }
 
-// Causes of notSent.
+// Causes passed to notSent.
 var (
 	errQueueFull = eris.New("queue is full")
 	errClosing   = eris.New("transport is closing")
--- a/internal/adapter/peer/frame.go
+++ b/internal/adapter/peer/frame.go
@@ -13,11 +13,12 @@
 	frameRequest frameKind = iota + 1
 	frameAnswer
 	frameOneWay
-	// frameGoodbye tells that the sender takes no further requests.
+	// frameGoodbye announces that the sender accepts no further requests.
 	frameGoodbye
 )
 
-// answerStatus tells a handler's failure from a request that was not run.
+// answerStatus is the result of a request: handled, failed in the handler, or
+// not run at all.
 type answerStatus uint8
 
 const (
@@ -27,30 +28,35 @@
 )
 
 const (
-	// frameOverhead bounds a frame's size beyond method, body and error text.
+	// frameOverhead is the maximum encoded size of a frame without its method,
+	// body and error text.
 	frameOverhead = 64
 	maxMethod     = 128
 	maxErrorText  = 1024
-	// maxBatch bounds the frames in one WebSocket message.
+	// maxBatch is the maximum number of frames in one WebSocket message.
 	maxBatch = 256
-	// batchBytes is the size after which the writer adds no further frame.
+	// batchBytes is the size of a WebSocket message from which on the writer adds
+	// no further frame.
 	batchBytes = 256 << 10
 )
 
-// frame is one message. A WebSocket message holds an array of frames, so that
-// one write carries all that waited while the previous one was under way.
+// frame is one request, answer or one-way message. A WebSocket message is an
+// array of frames, so that one write sends all frames that were queued during
+// the previous write.
 type frame struct {
 	Kind frameKind `cbor:"1,keyasint"`
-	// ID grows with each request on a connection; its answer repeats it.
+	// ID increases with each request on a connection; the answer has the ID of
+	// its request.
 	ID     uint64       `cbor:"2,keyasint,omitempty"`
 	Method port.Method  `cbor:"3,keyasint,omitempty"`
 	Body   []byte       `cbor:"4,keyasint,omitempty"`
 	Status answerStatus `cbor:"5,keyasint,omitempty"`
 	Error  string       `cbor:"6,keyasint,omitempty"`
-	// TimeoutMillis is how long the caller still waits.
+	// TimeoutMillis is the time until the caller's deadline, zero if it has none.
 	TimeoutMillis uint32 `cbor:"7,keyasint,omitempty"`
 }
 
+// size returns an upper bound of the encoded size in bytes.
 func (f *frame) size() int {
 	return frameOverhead + len(f.Method) + len(f.Body) + len(f.Error)
 }
@@ -70,7 +76,7 @@
 	}
 	hasID := f.Kind == frameRequest || f.Kind == frameAnswer
 	if hasID != (f.ID != 0) {
-		return eris.Errorf("frame: id: %d does not suit kind %d", f.ID, f.Kind)
+		return eris.Errorf("frame: id: %d is not allowed for kind %d", f.ID, f.Kind)
 	}
 	return nil
 }
@@ -79,8 +85,8 @@
 	return wire.Marshal(frames)
 }
 
-// decodeFrames reads one WebSocket message. Anything but an array of 1 to
-// maxBatch valid frames is an error.
+// decodeFrames decodes one WebSocket message. It returns an error unless the
+// message is an array of 1 to maxBatch valid frames.
 func decodeFrames(data []byte) ([]frame, error) {
 	var frames []frame
 	if err := wire.Unmarshal(data, &frames); err != nil {
--- a/internal/adapter/peer/hello.go
+++ b/internal/adapter/peer/hello.go
@@ -26,9 +26,9 @@
 	serverLabel     = "lovagereach peer server proof"
 )
 
-// hello is how each side introduces itself. The exchange is: client hello,
-// server hello with proof, client proof, server verdict. Either side may send
-// a refusal in place of its turn.
+// hello states the identity of one side. The exchange is: client hello, server
+// hello with proof, client proof, server verdict. Either side may send a
+// refusal in place of its next message.
 type hello struct {
 	Version     uint32            `cbor:"1,keyasint"`
 	Cluster     string            `cbor:"2,keyasint"`
@@ -44,9 +44,9 @@
 	Detail string        `cbor:"2,keyasint"`
 }
 
-// turn is one message of the exchange. Hello is kept encoded, because the
+// helloMessage is one message of the exchange. Hello stays encoded because the
 // proofs cover its bytes.
-type turn struct {
+type helloMessage struct {
 	Hello   []byte   `cbor:"1,keyasint,omitempty"`
 	Proof   []byte   `cbor:"2,keyasint,omitempty"`
 	Refusal *refusal `cbor:"3,keyasint,omitempty"`
@@ -61,19 +61,20 @@
 	}
 }
 
-// handshake runs the hello exchange for one connection.
+// handshake is the hello exchange of one connection.
 type handshake struct {
 	options Options
 	roster  *roster
 	ws      *websocket.Conn
-	// certificate is the far side's verified leaf, nil without TLS.
+	// certificate is the verified leaf certificate of the remote side, nil
+	// without TLS.
 	certificate *x509.Certificate
 }
 
-// client runs the dialling side's part and returns who answered.
+// client performs the dialling side's part and returns the remote peer.
 func (h handshake) client(ctx context.Context) (port.Peer, error) {
 	seq, own := h.nextHello()
-	if err := h.write(ctx, turn{Hello: own}); err != nil {
+	if err := h.write(ctx, helloMessage{Hello: own}); err != nil {
 		return port.Peer{}, err
 	}
 	answer, err := h.read(ctx)
@@ -85,7 +86,7 @@
 		return port.Peer{}, h.refuse(ctx, err)
 	}
 	mine := proof(h.options.Key, clientLabel, own, answer.Hello)
-	if err := h.write(ctx, turn{Proof: mine}); err != nil {
+	if err := h.write(ctx, helloMessage{Proof: mine}); err != nil {
 		return port.Peer{}, err
 	}
 	if _, err := h.read(ctx); err != nil {
@@ -94,7 +95,7 @@
 	return remote, nil
 }
 
-// server runs the accepting side's part and returns who dialled.
+// server performs the accepting side's part and returns the remote peer.
 func (h handshake) server(ctx context.Context) (port.Peer, error) {
 	first, err := h.read(ctx)
 	if err != nil {
@@ -105,7 +106,7 @@
 	}
 	seq, own := h.nextHello()
 	mine := proof(h.options.Key, serverLabel, first.Hello, own)
-	if err := h.write(ctx, turn{Hello: own, Proof: mine}); err != nil {
+	if err := h.write(ctx, helloMessage{Hello: own, Proof: mine}); err != nil {
 		return port.Peer{}, err
 	}
 	second, err := h.read(ctx)
@@ -117,13 +118,13 @@
 	if err != nil {
 		return port.Peer{}, h.refuse(ctx, err)
 	}
-	return remote, h.write(ctx, turn{})
+	return remote, h.write(ctx, helloMessage{})
 }
 
-// check verifies the far side's hello and its proof, which answers a hello of ours, then
-// which life it is. The life comes last, so that nobody without the key can supersede a
-// peer.
-func (h handshake) check(t turn, want []byte, answered helloSeq) (port.Peer, error) {
+// check verifies the remote hello and the proof, which answers the hello numbered
+// answered, and then admits the incarnation. The incarnation comes last, so that a
+// process without the key can't supersede a peer.
+func (h handshake) check(t helloMessage, want []byte, answered helloSeq) (port.Peer, error) {
 	remote, err := h.checkHello(t.Hello)
 	if err != nil {
 		return port.Peer{}, err
@@ -137,6 +138,7 @@
 	return remote, nil
 }
 
+// checkHello decodes a hello and verifies all but the proof.
 func (h handshake) checkHello(data []byte) (port.Peer, error) {
 	var remote hello
 	if err := wire.Unmarshal(data, &remote); err != nil {
@@ -160,9 +162,10 @@
 	return remote.peer(), nil
 }
 
-// certificateMismatch says what a hello claims that its certificate does not.
-// A certificate with organizational units allows only the roles they name, so
-// that the key of an entry host can't pass for a control host.
+// certificateMismatch describes the claim of a hello that the certificate doesn't
+// confirm; it returns an empty string if there is none. A certificate with
+// organizational units allows only the roles that they name, so that an entry
+// host can't pose as a control host with its own key.
 func certificateMismatch(certificate *x509.Certificate, remote hello) string {
 	if certificate == nil {
 		return ""
@@ -181,17 +184,19 @@
 	return &RefusedError{Reason: reason, Detail: detail}
 }
 
-// refuse tells the far side why, as far as it still listens, and returns err.
+// refuse sends the reason to the remote side if err is a RefusedError, ignoring
+// a failed write, and returns err.
 func (h handshake) refuse(ctx context.Context, err error) error {
 	var refused *RefusedError
 	if eris.As(err, &refused) {
 		detail := truncate(refused.Detail, maxErrorText)
-		_ = h.write(ctx, turn{Refusal: &refusal{Reason: refused.Reason, Detail: detail}})
+		_ = h.write(ctx, helloMessage{Refusal: &refusal{Reason: refused.Reason, Detail: detail}})
 	}
 	return err
 }
 
-// nextHello returns this side's hello and its number. The connection must stand before.
+// nextHello returns this side's hello and its number. It must be called after the
+// connection is established (see helloSeq).
 func (h handshake) nextHello() (helloSeq, []byte) {
 	seq := h.roster.issue()
 	return seq, h.encodeHello()
@@ -200,7 +205,7 @@
 func (h handshake) encodeHello() []byte {
 	nonce := make([]byte, nonceSize)
 	if _, err := rand.Read(nonce); err != nil {
-		panic(eris.Wrap(err, "peer: no randomness"))
+		panic(eris.Wrap(err, "peer: random source failed"))
 	}
 	self := h.options.Self
 	return wire.MustMarshal(hello{
@@ -214,22 +219,22 @@
 	})
 }
 
-func (h handshake) write(ctx context.Context, t turn) error {
+func (h handshake) write(ctx context.Context, t helloMessage) error {
 	err := h.ws.Write(ctx, websocket.MessageBinary, wire.MustMarshal(t))
 	return eris.Wrap(err, "peer: write hello")
 }
 
-func (h handshake) read(ctx context.Context) (turn, error) {
+func (h handshake) read(ctx context.Context) (helloMessage, error) {
 	kind, data, err := h.ws.Read(ctx)
 	if err != nil {
-		return turn{}, eris.Wrap(err, "peer: read hello")
+		return helloMessage{}, eris.Wrap(err, "peer: read hello")
 	}
-	var t turn
+	var t helloMessage
 	if kind != websocket.MessageBinary || wire.Unmarshal(data, &t) != nil {
-		return turn{}, h.refuse(ctx, h.refused(RefusedBadHello, "the turn does not decode"))
+		return helloMessage{}, h.refuse(ctx, h.refused(RefusedBadHello, "the turn does not decode"))
 	}
 	if t.Refusal != nil {
-		return turn{}, &RefusedError{
+		return helloMessage{}, &RefusedError{
 			Reason:   t.Refusal.Reason,
 			Detail:   t.Refusal.Detail,
 			ByRemote: true,
@@ -238,9 +243,9 @@
 	return t, nil
 }
 
-// proof authenticates both hellos under key; the label keeps one side's proof
-// from being played back as the other's. Without a key it is empty and the
-// certificates alone authenticate.
+// proof returns an HMAC of both hellos under key. The label prevents one side's
+// proof from being replayed as the other's. Without a key, proof returns nil and
+// only the certificates authenticate the peers.
 func proof(key []byte, label string, client, server []byte) []byte {
 	if len(key) == 0 {
 		return nil
--- a/internal/adapter/peer/hello_test.go
+++ b/internal/adapter/peer/hello_test.go
@@ -11,9 +11,9 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// A process of another deployment, with another key or that runs
-// concurrently with its successor dials us. It must learn why in a typed reason, our log must name the
-// same reason, and no message may pass.
+// A process of another deployment, with another key, or running concurrently with its
+// successor dials a server. The call must fail with the typed reason and without a
+// message sent, and the server's log must contain the same reason.
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct {
 		change func(o *Options)
@@ -43,8 +43,8 @@
 				var lines *syncBuffer
 				server.Log, lines = bufferLog()
 				start(t, n, "b", server, map[port.Method]port.PeerHandlerFunc{methodEcho: echo})
-				for _, life := range []ident.Incarnation{4, 5} {
-					process := start(t, n, "", testOptions(n, self("a", life)), nil)
+				for _, incarnation := range []ident.Incarnation{4, 5} {
+					process := start(t, n, "", testOptions(n, self("a", incarnation)), nil)
 					if _, err := process.Call(within(time.Second), "b", methodEcho, nil); err != nil {
 						t.Fatal(err)
 					}
@@ -58,21 +58,21 @@
 					t.Fatalf("got %v", err)
 				}
 				if !errors.Is(err, port.ErrPeerRefused) || !errors.Is(err, port.ErrPeerNotSent) {
-					t.Fatalf("%v matches neither error of the port", err)
+					t.Fatalf("%v must match port.ErrPeerRefused and port.ErrPeerNotSent", err)
 				}
 				synctest.Wait()
 				if !strings.Contains(lines.String(), "reason="+string(test.reason)) {
-					t.Fatalf("the server's log lacks the reason: %s", lines)
+					t.Fatalf("the server's log does not contain the reason: %s", lines)
 				}
 			})
 		})
 	}
 }
 
-// A host is replaced: its new life connects while the old one's connection is
-// still open, for example behind a healed partition. The old connection must
-// end, or its messages could arrive after those of its successor.
-func TestLaterLifeSupersedes(t *testing.T) {
+// A host is replaced: the new incarnation connects while the previous one's
+// connection is still open, for example after a healed partition. The old connection
+// must be closed, or its messages could arrive after those of the successor.
+func TestNewIncarnationSupersedesPrevious(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		start(t, n, "b", testOptions(n, self("b", 1)), map[port.Method]port.PeerHandlerFunc{methodEcho: echo})
@@ -81,21 +81,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		young := start(t, n, "", testOptions(n, self("a", 2)), nil)
-		if _, err := young.Call(within(time.Second), "b", methodEcho, nil); err != nil {
+		successor := start(t, n, "", testOptions(n, self("a", 2)), nil)
+		if _, err := successor.Call(within(time.Second), "b", methodEcho, nil); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
 		select {
 		case <-session.Done():
 		default:
-			t.Fatal("the older life's connection still stands")
+			t.Fatal("the connection of the previous incarnation is still open")
 		}
 		time.Sleep(DefaultBackoffMax)
 		_, err = old.Call(within(time.Second), "b", methodEcho, nil)
 		var refused *RefusedError
 		if !errors.As(err, &refused) || refused.Reason != RefusedConcurrent {
-			t.Fatalf("the older life got %v", err)
+			t.Fatalf("call of the previous incarnation: got %v", err)
 		}
 	})
 }
--- a/internal/adapter/peer/helpers_test.go
+++ b/internal/adapter/peer/helpers_test.go
@@ -100,6 +100,7 @@
 
 func (l *memListener) Addr() net.Addr { return memAddr(l.address) }
 
+// self returns a peer with the role control.
 func self(host ident.Host, incarnation ident.Incarnation) port.Peer {
 	return port.Peer{Host: host, DataCentre: "hall-north", Incarnation: incarnation, Role: "control"}
 }
@@ -108,8 +109,8 @@
 	return Options{Cluster: testCluster, Self: who, Key: testKey, Dial: n.dial}
 }
 
-// start returns a transport that is closed at the end of the test; it serves
-// on address unless that is empty.
+// start returns a transport that is closed at the end of the test. It serves on
+// address unless address is empty.
 func start(t *testing.T, n *memNet, address string, options Options, handlers map[port.Method]port.PeerHandlerFunc) *Transport {
 	t.Helper()
 	transport, err := New(options)
@@ -144,15 +145,16 @@
 	return body, nil
 }
 
+// within returns a context that expires after d.
 func within(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	context.AfterFunc(ctx, cancel)
 	return ctx
 }
 
-// rogue serves address with a far side that completes the hello exchange and
-// then follows a script.
-func rogue(t *testing.T, n *memNet, address string, script func(ws *websocket.Conn)) {
+// serveFaulty serves address with a peer that completes the hello exchange and then
+// runs script.
+func serveFaulty(t *testing.T, n *memNet, address string, script func(ws *websocket.Conn)) {
 	t.Helper()
 	options := testOptions(n, self("rogue", 1)).withDefaults()
 	serveRaw(t, n, address, func(ctx context.Context, ws *websocket.Conn) {
@@ -163,7 +165,7 @@
 	})
 }
 
-// serveRaw serves address with a far side that follows a script from the hello on.
+// serveRaw serves address with a peer that runs script from the hello on.
 func serveRaw(t *testing.T, n *memNet, address string, script func(ctx context.Context, ws *websocket.Conn)) {
 	t.Helper()
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -205,7 +207,7 @@
 	return frame{Kind: frameAnswer, ID: f.ID, Method: f.Method, Body: []byte(body)}
 }
 
-// syncBuffer collects log lines.
+// syncBuffer is a buffer for log lines that is safe for concurrent use.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
--- a/internal/adapter/peer/incarnation_test.go
+++ b/internal/adapter/peer/incarnation_test.go
@@ -8,9 +8,9 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Guards against processes that start at one time of day, or one just before the other,
-// and can't be told apart.
-func TestProcessesOfOneMomentAreToldApart(t *testing.T) {
+// Guards against equal incarnations of processes that start at the same wall-clock time
+// or shortly after one another.
+func TestIncarnationsOfSimultaneousStartsDiffer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		seen := make(map[ident.Incarnation]bool)
 		for range 20 {
--- a/internal/adapter/peer/lives_test.go
+++ b/internal/adapter/peer/incarnations_test.go
@@ -15,63 +15,64 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// Guards against a process that is refused for as long as it runs since its number is
-// below that of its former life, as after a clock stepped back.
-func TestAProcessNumberedBelowItsFormerLifeIsAdmitted(t *testing.T) {
+// Guards against a process that is refused for as long as it runs because its incarnation
+// is below the previous one, as happens after the clock stepped back.
+func TestLowerIncarnationThanPreviousIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		handlers := map[port.Method]port.PeerHandlerFunc{methodEcho: echo}
 		b := start(t, n, "b", testOptions(n, self("b", 1)), handlers)
-		former := start(t, n, "a", testOptions(n, self("a", 9)), handlers)
-		if _, err := former.Call(within(time.Second), "b", methodEcho, nil); err != nil {
+		previous := start(t, n, "a", testOptions(n, self("a", 9)), handlers)
+		if _, err := previous.Call(within(time.Second), "b", methodEcho, nil); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := b.Call(within(time.Second), "a", methodEcho, nil); err != nil {
 			t.Fatal(err)
 		}
-		_ = former.Close(within(time.Second))
+		_ = previous.Close(within(time.Second))
 		synctest.Wait()
-		later := start(t, n, "a", testOptions(n, self("a", 3)), handlers)
-		if _, err := later.Call(within(time.Second), "b", methodEcho, nil); err != nil {
-			t.Fatalf("the later life is refused: %v", err)
+		current := start(t, n, "a", testOptions(n, self("a", 3)), handlers)
+		if _, err := current.Call(within(time.Second), "b", methodEcho, nil); err != nil {
+			t.Fatalf("the new incarnation is refused: %v", err)
 		}
 		time.Sleep(DefaultBackoffMax)
 		if _, err := b.Call(within(time.Second), "a", methodEcho, nil); err != nil {
-			t.Fatalf("the later life is refused as the side that is dialled: %v", err)
+			t.Fatalf("the new incarnation is refused when it is dialled: %v", err)
 		}
 	})
 }
 
-// Guards against a former life whose answer was held up on the way and ends the
-// connections of its successor.
-func TestALateAnswerOfAFormerLifeChangesNothing(t *testing.T) {
+// Guards against a delayed proof of a previous incarnation that closes the connections
+// of its successor.
+func TestStaleProofOfPreviousIncarnationIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		start(t, n, "b", testOptions(n, self("b", 1)), map[port.Method]port.PeerHandlerFunc{methodEcho: echo})
-		former, hello, answer := challenged(t, n, "b", self("a", 9))
-		later := start(t, n, "", testOptions(n, self("a", 3)), nil)
-		session, err := later.Session(within(time.Second), "b")
+		previous, hello, answer := dialUntilChallenge(t, n, "b", self("a", 9))
+		current := start(t, n, "", testOptions(n, self("a", 3)), nil)
+		session, err := current.Session(within(time.Second), "b")
 		if err != nil {
 			t.Fatal(err)
 		}
-		late := turn{Proof: proof(testKey, clientLabel, hello, answer.Hello)}
-		_ = former.Write(t.Context(), websocket.MessageBinary, wire.MustMarshal(late))
-		_, raw, err := former.Read(within(time.Second))
-		var verdict turn
+		stale := helloMessage{Proof: proof(testKey, clientLabel, hello, answer.Hello)}
+		_ = previous.Write(t.Context(), websocket.MessageBinary, wire.MustMarshal(stale))
+		_, raw, err := previous.Read(within(time.Second))
+		var verdict helloMessage
 		if err != nil || wire.Unmarshal(raw, &verdict) != nil || verdict.Refusal == nil || verdict.Refusal.Reason != RefusedIncarnation {
-			t.Fatalf("the late answer got %+v, %v", verdict, err)
+			t.Fatalf("stale proof: got %+v, %v", verdict, err)
 		}
 		synctest.Wait()
 		select {
 		case <-session.Done():
-			t.Fatal("the late answer ended the connection of the later life")
+			t.Fatal("the stale answer closed the connection of the new incarnation")
 		default:
 		}
 	})
 }
 
-// challenged dials address and stops before the proof.
-func challenged(t *testing.T, n *memNet, address string, who port.Peer) (*websocket.Conn, []byte, turn) {
+// dialUntilChallenge dials address and runs the hello exchange up to the client's proof.
+// It returns the connection, the client hello and the server's message.
+func dialUntilChallenge(t *testing.T, n *memNet, address string, who port.Peer) (*websocket.Conn, []byte, helloMessage) {
 	t.Helper()
 	transport := start(t, n, "", testOptions(n, who), nil)
 	ws, _, err := websocket.Dial(within(time.Second), "ws://"+address+path, &websocket.DialOptions{HTTPClient: transport.client})
@@ -80,19 +81,19 @@
 	}
 	t.Cleanup(func() { _ = ws.CloseNow() })
 	hello := handshake{options: transport.options, roster: transport.roster}.encodeHello()
-	if err := ws.Write(t.Context(), websocket.MessageBinary, wire.MustMarshal(turn{Hello: hello})); err != nil {
+	if err := ws.Write(t.Context(), websocket.MessageBinary, wire.MustMarshal(helloMessage{Hello: hello})); err != nil {
 		t.Fatal(err)
 	}
 	_, raw, err := ws.Read(within(time.Second))
-	var answer turn
+	var answer helloMessage
 	if err != nil || wire.Unmarshal(raw, &answer) != nil || answer.Refusal != nil {
 		t.Fatalf("no challenge: %v", err)
 	}
 	return ws, hello, answer
 }
 
-// Guards against a process that stays refused when the one which took its place is gone.
-func TestAProcessIsAdmittedAgainOnceAConcurrentOneIsGone(t *testing.T) {
+// Guards against a superseded process that stays refused after its successor has stopped.
+func TestProcessIsReadmittedOnceConcurrentOneHasStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		start(t, n, "b", testOptions(n, self("b", 1)), map[port.Method]port.PeerHandlerFunc{methodEcho: echo})
@@ -106,32 +107,33 @@
 		time.Sleep(DefaultBackoffMax)
 		var refused *RefusedError
 		if _, err := first.Call(within(time.Second), "b", methodEcho, nil); !errors.As(err, &refused) || refused.Reason != RefusedConcurrent {
-			t.Fatalf("beside its successor it got %v", err)
+			t.Fatalf("call while the successor runs: got %v", err)
 		}
 		_ = second.Close(within(time.Second))
 		time.Sleep(DefaultBackoffMax)
 		if _, err := first.Call(within(time.Second), "b", methodEcho, nil); err != nil {
-			t.Fatalf("alone again it got %v", err)
+			t.Fatalf("call after the successor has stopped: got %v", err)
 		}
 	})
 }
 
-// Guards against the same where the former life was dialled and answers late.
-func TestALateAnswerOfADialledFormerLifeChangesNothing(t *testing.T) {
+// Guards against a delayed answer of a previous incarnation, which was dialled, that closes
+// the connections of its successor.
+func TestStaleAnswerOfDialledPreviousIncarnationIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		b := start(t, n, "b", testOptions(n, self("b", 1)), map[port.Method]port.PeerHandlerFunc{methodEcho: echo})
 		dialled, release := make(chan struct{}), make(chan struct{})
 		serveRaw(t, n, "a", func(ctx context.Context, ws *websocket.Conn) {
 			_, raw, err := ws.Read(ctx)
-			var first turn
+			var first helloMessage
 			if err != nil || wire.Unmarshal(raw, &first) != nil {
 				return
 			}
 			close(dialled)
 			<-release
 			own := handshake{options: testOptions(n, self("a", 9))}.encodeHello()
-			answer := turn{Hello: own, Proof: proof(testKey, serverLabel, first.Hello, own)}
+			answer := helloMessage{Hello: own, Proof: proof(testKey, serverLabel, first.Hello, own)}
 			_ = ws.Write(ctx, websocket.MessageBinary, wire.MustMarshal(answer))
 			_, _, _ = ws.Read(ctx)
 		})
@@ -141,28 +143,28 @@
 			failed <- err
 		}()
 		<-dialled
-		later := start(t, n, "", testOptions(n, self("a", 3)), nil)
-		session, err := later.Session(within(time.Second), "b")
+		current := start(t, n, "", testOptions(n, self("a", 3)), nil)
+		session, err := current.Session(within(time.Second), "b")
 		if err != nil {
 			t.Fatal(err)
 		}
 		close(release)
 		var refused *RefusedError
 		if err := <-failed; !errors.As(err, &refused) || refused.Reason != RefusedIncarnation {
-			t.Errorf("the late answer got %v", err)
+			t.Errorf("stale answer: got %v", err)
 		}
 		synctest.Wait()
 		select {
 		case <-session.Done():
-			t.Fatal("the late answer ended the connection of the later life")
+			t.Fatal("the stale answer closed the connection of the new incarnation")
 		default:
 		}
 	})
 }
 
-// Guards against a connection of a former life that is attached after its successor was
-// admitted, and against a process without the key that ends a connection.
-func TestNoConnectionOutlivesTheAdmissionOfALaterLife(t *testing.T) {
+// Guards against a connection of a previous incarnation that is attached after its
+// successor was admitted, and against a process without the key that closes a connection.
+func TestAttachRefusesSupersededIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		b := start(t, n, "b", testOptions(n, self("b", 1)), map[port.Method]port.PeerHandlerFunc{methodEcho: echo})
@@ -171,61 +173,62 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		stranger, hello, answer := challenged(t, n, "b", self("a", 3))
-		guess := turn{Proof: proof([]byte("guess"), clientLabel, hello, answer.Hello)}
+		stranger, hello, answer := dialUntilChallenge(t, n, "b", self("a", 3))
+		guess := helloMessage{Proof: proof([]byte("guess"), clientLabel, hello, answer.Hello)}
 		_ = stranger.Write(t.Context(), websocket.MessageBinary, wire.MustMarshal(guess))
 		_, raw, err := stranger.Read(within(time.Second))
-		var verdict turn
+		var verdict helloMessage
 		if err != nil || wire.Unmarshal(raw, &verdict) != nil || verdict.Refusal == nil || verdict.Refusal.Reason != RefusedKey {
-			t.Fatalf("a process without the key got %+v, %v", verdict, err)
+			t.Fatalf("process without the key: got %+v, %v", verdict, err)
 		}
 		synctest.Wait()
 		select {
 		case <-session.Done():
-			t.Fatal("a process without the key ended a connection")
+			t.Fatal("a process without the key closed a connection")
 		default:
 		}
 		if b.roster.attach(&conn{remote: self("a", 1)}) {
-			t.Fatal("a connection of another life was attached")
+			t.Fatal("a connection of another incarnation was attached")
 		}
 	})
 }
 
-// Guards against an order of lives that depends on their numbers or on when their answers
-// come: lives follow one another, are numbered at random, and answer hellos late.
-func TestTheLifeThatRunsIsTheOneKnown(t *testing.T) {
+// Guards against an order of incarnations that depends on their numbers or on the arrival
+// of their answers: incarnations are numbered at random, run one after another, and some of
+// their answers arrive late.
+func TestRosterTracksRunningIncarnation(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		r := newRoster(newStats())
-		who := func(life ident.Incarnation) port.Peer { return port.Peer{Host: "a", Role: "entry", Incarnation: life} }
-		type held struct {
-			life   ident.Incarnation
-			issued helloSeq
+		peerOf := func(i ident.Incarnation) port.Peer { return port.Peer{Host: "a", Role: "entry", Incarnation: i} }
+		type answer struct {
+			incarnation ident.Incarnation
+			hello       helloSeq
 		}
-		var late []held
+		var late []answer
 		for range 30 {
-			life := ident.Incarnation(random.Uint64())
+			running := ident.Incarnation(random.Uint64())
 			for range 1 + random.IntN(3) {
-				h := held{life, r.issue()}
+				a := answer{running, r.issue()}
 				if random.IntN(2) == 0 {
-					late = append(late, h)
+					late = append(late, a)
 					continue
 				}
-				if err := r.admit(who(h.life), h.issued); err != nil {
-					t.Fatalf("seed %d: the life that runs is refused: %v", seed, err)
+				if err := r.admit(peerOf(a.incarnation), a.hello); err != nil {
+					t.Fatalf("seed %d: the running incarnation is refused: %v", seed, err)
 				}
 			}
 			current := r.issue()
-			if err := r.admit(who(life), current); err != nil {
-				t.Fatalf("seed %d: the life that runs is refused: %v", seed, err)
+			if err := r.admit(peerOf(running), current); err != nil {
+				t.Fatalf("seed %d: the running incarnation is refused: %v", seed, err)
 			}
 			for len(late) > 0 && random.IntN(2) == 0 {
 				i := random.IntN(len(late))
-				_ = r.admit(who(late[i].life), late[i].issued)
+				_ = r.admit(peerOf(late[i].incarnation), late[i].hello)
 				late = append(late[:i], late[i+1:]...)
 			}
-			if known := r.lives[process{host: "a", role: "entry"}].incarnation; known != life {
-				t.Fatalf("seed %d: life %d is known, %d runs", seed, known, life)
+			if known := r.peers[peerKey{host: "a", role: "entry"}].incarnation; known != running {
+				t.Fatalf("seed %d: incarnation %d is known, %d is running", seed, known, running)
 			}
 		}
 	}
--- a/internal/adapter/peer/link.go
+++ b/internal/adapter/peer/link.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// maxWaiting bounds one-way messages held while a link dials.
+	// maxWaiting is the maximum number of one-way messages queued while a link
+	// dials.
 	maxWaiting = 64
-	// shortLife is below which a connection's end counts as a failed dial, so
-	// that a peer which accepts and drops connections is not dialled in a loop.
-	shortLife = time.Second
-	// maxShift bounds the doubling of the back-off.
+	// minConnDuration is the duration below which a closed connection counts as a
+	// failed dial, so that a peer that accepts and drops connections isn't dialled
+	// in a loop.
+	minConnDuration = time.Second
+	// maxShift is the maximum number of times that the back-off is doubled.
 	maxShift = 16
 )
 
-// link is the outgoing side towards one address. It dials on demand, one dial
-// at a time, with back-off after failures.
+// link manages the outgoing connection to one address. It dials on demand, one
+// dial at a time, and backs off after failures.
 type link struct {
 	transport *Transport
 	address   string
@@ -31,15 +33,18 @@
 	conn    *conn
 	dialing chan struct{}
 	waiting []*outgoing
+	// retryAt is the time before which the link doesn't dial.
 	retryAt time.Time
 	lastErr error
-	failed  int
-	// failedAt is when the latest dial failed, or the connection ended early.
+	// failed is the number of consecutive failures.
+	failed int
+	// failedAt is the time of the last failure: a dial that failed, or a
+	// connection that ended within minConnDuration.
 	failedAt time.Time
 }
 
-// get returns the live connection, or a channel that is closed once the dial
-// under way has ended, or the error that made the link back off.
+// get returns the live connection, or a channel that is closed when the dial in
+// progress ends, or the error because of which the link backs off.
 func (l *link) get() (*conn, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +69,7 @@
 	return nil, l.dialing, nil
 }
 
-// connect waits for a live connection until ctx ends.
+// connect waits for a live connection until ctx is done.
 func (l *link) connect(ctx context.Context) (*conn, error) {
 	for {
 		c, dialing, err := l.get()
@@ -79,7 +84,8 @@
 	}
 }
 
-// send queues a one-way message, also while the first dial is under way.
+// send queues a one-way message, also while a dial is in progress, and reports
+// whether it was queued.
 func (l *link) send(method port.Method, body []byte) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +125,7 @@
 	go l.watch(c, time.Now())
 }
 
-// watch runs the connection and clears it when it ends.
+// watch runs the connection, which started at since, and clears it when it ends.
 func (l *link) watch(c *conn, since time.Time) {
 	cause := l.transport.runConn(c)
 	l.mu.Lock()
@@ -127,16 +133,16 @@
 	if l.conn == c {
 		l.conn = nil
 	}
-	if time.Since(since) < shortLife {
+	if time.Since(since) < minConnDuration {
 		l.backOff(eris.Wrap(cause, "peer: connection ended early"))
 		return
 	}
 	l.failed = 0
 }
 
-// backOff holds off the next dial for a random time that doubles with each
-// failure. The jitter keeps the links of many processes from dialling a
-// restarted host at the same moment.
+// backOff delays the next dial by a random time whose limit doubles with each
+// failure. The jitter prevents the links of many processes from dialling a
+// restarted host at the same time.
 func (l *link) backOff(err error) {
 	options := l.transport.options
 	l.transport.stats.sendDrops.Add(len(l.waiting))
@@ -148,8 +154,8 @@
 	l.retryAt = l.failedAt.Add(limit/2 + rand.N(limit/2+1))
 }
 
-// failureAfter returns why the link has no connection, nil if it has one or has not failed
-// since.
+// failureAfter returns the last error of a link without a connection. It returns nil if the
+// link is connected or hasn't failed since the given time.
 func (l *link) failureAfter(since time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,7 +165,8 @@
 	return l.lastErr
 }
 
-// idle reports whether the link holds nothing worth keeping.
+// idle reports whether the link has no connection, no dial in progress and no
+// back-off to wait for.
 func (l *link) idle(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/adapter/peer/hostile_test.go
+++ b/internal/adapter/peer/malformed_test.go
@@ -16,9 +16,10 @@
 const upgrade = "GET " + path + " HTTP/1.1\r\nHost: b\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n" +
 	"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n"
 
-// Strangers write anything to the listener. Each such connection must end by
-// itself within the hello's time, and a proper peer is still served.
-func TestHostileInputOnTheListener(t *testing.T) {
+// Clients that aren't peers write arbitrary bytes to the listener. Each such
+// connection must be closed within the hello timeout, and a valid peer must still
+// be served.
+func TestMalformedInputOnListener(t *testing.T) {
 	cases := map[string]string{
 		"silence":           "",
 		"garbage":           "\x00\x01\x02\xff\xfe garbage\r\n\r\n",
@@ -51,7 +52,7 @@
 				select {
 				case <-ended:
 				default:
-					t.Error("the connection still stands")
+					t.Error("the connection is still open")
 				}
 				_ = c.Close()
 				a := start(t, n, "", testOptions(n, self("a", 1)), nil)
@@ -63,9 +64,9 @@
 	}
 }
 
-// An authenticated peer with a fault sends what is no valid message. The
-// connection ends, and the process goes on.
-func TestBadFramesEndTheConnection(t *testing.T) {
+// A faulty authenticated peer sends an invalid message. The connection must be
+// closed and the process must keep running.
+func TestMalformedFramesCloseConnection(t *testing.T) {
 	valid, _ := encodeFrames([]frame{{Kind: frameOneWay, Method: methodEcho}})
 	huge := make([]byte, DefaultMaxFrame+1)
 	cases := map[string][]byte{
@@ -86,7 +87,7 @@
 				go func() { _ = ws.Write(context.Background(), websocket.MessageBinary, data) }()
 				ctx := within(time.Second)
 				if _, _, err := ws.Read(ctx); err == nil || ctx.Err() != nil {
-					t.Errorf("the connection still stands: %v", err)
+					t.Errorf("the connection is still open: %v", err)
 				}
 				_ = ws.CloseNow()
 			})
@@ -113,10 +114,10 @@
 		}
 		again, err := encodeFrames(frames)
 		if err != nil {
-			t.Fatalf("decoded frames do not encode: %v", err)
+			t.Fatalf("decoded frames can't be encoded: %v", err)
 		}
 		if _, err := decodeFrames(again); err != nil {
-			t.Fatalf("encoded frames do not decode: %v", err)
+			t.Fatalf("encoded frames can't be decoded: %v", err)
 		}
 	})
 }
--- a/internal/adapter/peer/lane.go
+++ b/internal/adapter/peer/methodqueue.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// lane handles the one-way messages of one method on one connection in order.
-// It holds memory and a goroutine only while messages wait: a control host has
-// hundreds of connections, most of them idle.
-type lane struct {
+// methodQueue handles the one-way messages of one method on one connection in
+// order. It uses a goroutine and buffer memory only while messages are queued,
+// because a control host has hundreds of connections, most of them idle.
+type methodQueue struct {
 	mu      sync.Mutex
 	waiting []frame
 	running bool
 }
 
-// add queues f and reports false when too many wait.
-func (l *lane) add(c *conn, f frame) bool {
+// add queues f and reports whether the queue had space for it.
+func (l *methodQueue) add(c *conn, f frame) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.waiting) >= c.transport.options.QueueLength {
@@ -26,7 +26,8 @@
 	return true
 }
 
-func (l *lane) run(c *conn) {
+// run handles queued messages until the queue is empty.
+func (l *methodQueue) run(c *conn) {
 	for {
 		f, ok := l.next()
 		if !ok {
@@ -38,7 +39,8 @@
 	}
 }
 
-func (l *lane) next() (frame, bool) {
+// next returns the oldest queued message, or false if the queue is empty.
+func (l *methodQueue) next() (frame, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.waiting) == 0 {
--- a/internal/adapter/peer/options.go
+++ b/internal/adapter/peer/options.go
@@ -33,54 +33,62 @@
 
 const (
 	maxNameLength = 256
-	// minMaxFrame leaves room for the longest header beside a small body.
+	// minMaxFrame is the minimum of MaxFrame: the longest header and a small body
+	// fit into it.
 	minMaxFrame = 4096
 )
 
 // Options configures a Transport. Cluster, Self and one of Key and TLS are
-// required; a zero value elsewhere takes the default of the same name.
+// required; a zero value of another option selects the default of that name.
 type Options struct {
-	// Cluster names the deployment. Processes of another one are refused.
+	// Cluster is the name of the deployment. Processes of other deployments are
+	// refused.
 	Cluster string
 	Self    port.Peer
-	// Key is a secret shared by all processes. Without TLS it authenticates
-	// the hello exchange only and suits development.
+	// Key is a secret shared by all processes. Without TLS only the hello
+	// exchange is authenticated and nothing is encrypted, which is meant for
+	// development.
 	Key []byte
-	// TLS enables mutual certificates when set.
+	// TLS enables mutual TLS authentication if set.
 	TLS *TLSFiles
 
-	// MaxFrame bounds one WebSocket message in bytes.
+	// MaxFrame is the maximum size of a WebSocket message in bytes.
 	MaxFrame int
-	// QueueLength and MaxQueuedBytes bound what waits to be written on one
-	// connection, and what waits for one method's one-way handler.
+	// QueueLength is the maximum number of frames queued for writing on one
+	// connection, and of messages queued for the one-way handler of one method.
+	// MaxQueuedBytes is the maximum total size of the frames queued for writing
+	// on one connection.
 	QueueLength    int
 	MaxQueuedBytes int
-	// HandlerLimit bounds the requests that run at once on one connection.
+	// HandlerLimit is the maximum number of requests of one connection that run
+	// concurrently.
 	HandlerLimit int
-	// MaxConns bounds accepted connections, MaxLinks addresses dialled.
+	// MaxConns is the maximum number of accepted connections, MaxLinks that of
+	// addresses dialled.
 	MaxConns int
 	MaxLinks int
 
 	DialTimeout  time.Duration
 	HelloTimeout time.Duration
 	WriteTimeout time.Duration
-	// HandlerTimeout bounds every handler, and a call without a deadline.
+	// HandlerTimeout is the timeout of every handler and of a call without a
+	// deadline.
 	HandlerTimeout time.Duration
 	PingInterval   time.Duration
 	PingTimeout    time.Duration
-	// LinkIdle closes an outgoing connection that carried no message of ours
-	// and none of the far side for this long.
+	// LinkIdle is the time after which a connection without messages in either
+	// direction is closed.
 	LinkIdle   time.Duration
 	BackoffMin time.Duration
 	BackoffMax time.Duration
 
-	// Log receives one line for each connection event; nil discards them.
+	// Log receives a line for each connection event; nil disables logging.
 	Log *log.Logger
-	// Dial replaces the TCP dialler.
+	// Dial is used in place of the TCP dialler if set.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Validate reports the first option that cannot work.
+// Validate returns an error for the first invalid option.
 func (o Options) Validate() error {
 	switch {
 	case o.Cluster == "":
--- a/internal/adapter/peer/outgoing.go
+++ b/internal/adapter/peer/outgoing.go
@@ -7,23 +7,24 @@
 )
 
 // The states of an outgoing frame. A frame leaves stateQueued exactly once:
-// either the writer takes it or its caller gives up on it. That is what lets a
-// caller tell "no byte was sent" from "uncertain".
+// either the writer claims it or its caller abandons it. This is how a caller
+// distinguishes "no byte was sent" from "outcome uncertain".
 const (
 	stateQueued uint32 = iota
-	stateTaken
+	stateClaimed
 	stateAbandoned
 )
 
-// outgoing is one frame on its way out.
+// outgoing is a frame to be written.
 type outgoing struct {
 	frame    frame
 	deadline time.Time
 	state    atomic.Uint32
-	// answer receives at most one frame; nil for all but requests.
+	// answer receives at most one frame. It is nil unless the frame is a request.
 	answer chan frame
-	// gone is set, under the connection's lock, once the caller has left.
-	gone bool
+	// callerGone is set once the caller has returned. It is guarded by the
+	// connection's mutex.
+	callerGone bool
 }
 
 func newRequest(ctx context.Context, f frame) *outgoing {
@@ -31,17 +32,18 @@
 	return &outgoing{frame: f, deadline: deadline, answer: make(chan frame, 1)}
 }
 
-// take claims the frame for writing.
-func (o *outgoing) take() bool {
-	return o.state.CompareAndSwap(stateQueued, stateTaken)
+// claim claims the frame for writing and reports whether it was still queued.
+func (o *outgoing) claim() bool {
+	return o.state.CompareAndSwap(stateQueued, stateClaimed)
 }
 
-// abandon withdraws the frame and reports whether it was still unwritten.
+// abandon withdraws the frame and reports whether it was still queued.
 func (o *outgoing) abandon() bool {
 	return o.state.CompareAndSwap(stateQueued, stateAbandoned)
 }
 
-// stampTimeout states how long the caller still waits.
+// stampTimeout sets the frame's timeout to the time left until the caller's
+// deadline.
 func (o *outgoing) stampTimeout(now time.Time) {
 	if o.deadline.IsZero() {
 		return
--- a/internal/adapter/peer/read.go
+++ b/internal/adapter/peer/read.go
@@ -10,20 +10,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// readBuffers are shared by all connections, so that an idle one keeps none.
-// Decoding copies what it keeps of them.
+// readBuffers is shared by all connections, so that an idle connection holds no
+// buffer. Decoded frames don't refer to the buffer.
 var readBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// readLoop decodes and dispatches messages until the connection ends. A
-// message that does not decode ends the connection: what follows it cannot be
-// trusted, and its callers learn that their outcome is uncertain.
+// readLoop decodes and dispatches messages until the connection ends. A message
+// that can't be decoded closes the connection: the data after it can't be
+// trusted, and pending calls fail with an uncertain outcome.
 func (c *conn) readLoop() error {
 	for {
 		frames, err := c.readFrames()
 		if err != nil {
 			return err
 		}
-		c.touch()
+		c.markUsed()
 		c.transport.stats.recvFrames.Add(len(frames))
 		for _, f := range frames {
 			c.dispatch(f)
@@ -31,7 +31,7 @@
 	}
 }
 
-// readFrames reads and decodes one message.
+// readFrames reads and decodes one WebSocket message.
 func (c *conn) readFrames() ([]frame, error) {
 	kind, reader, err := c.ws.Reader(c.ctx)
 	if err != nil {
@@ -46,7 +46,7 @@
 	c.transport.stats.recvBytes.Add(buffer.Len())
 	frames, err := decodeFrames(buffer.Bytes())
 	if err == nil && kind != websocket.MessageBinary {
-		err = eris.New("text in place of frames")
+		err = eris.New("text message in place of a binary one")
 	}
 	if err != nil {
 		c.transport.stats.badFrames.Inc()
@@ -55,8 +55,8 @@
 	return frames, nil
 }
 
-// dispatch hands a message on. Of what was read before the connection ended only answers
-// count: a later life of the far side may have been heard since.
+// dispatch passes a frame to its handler. Once the connection has ended, only answers are
+// accepted: a newer incarnation of the remote process may have sent messages since.
 func (c *conn) dispatch(f frame) {
 	if c.ctx.Err() != nil && f.Kind != frameAnswer {
 		return
@@ -67,22 +67,22 @@
 	case frameOneWay:
 		c.acceptOneWay(f)
 	case frameAnswer:
-		c.settle(f)
+		c.deliver(f)
 	case frameGoodbye:
 		c.leaving.Store(true)
 	}
 }
 
-// acceptRequest starts the handler of a request unless the identity has been
-// seen before: identities grow on a connection, so a repeated one would run a
-// request twice.
+// acceptRequest starts the handler of a request. It drops a request whose ID isn't
+// above the last one: IDs increase on a connection, so the request is a repeat
+// and would run twice.
 func (c *conn) acceptRequest(f frame) {
 	if f.ID <= c.lastRequest {
 		c.transport.stats.duplicates.Inc()
 		return
 	}
 	c.lastRequest = f.ID
-	if !c.transport.begin(false) {
+	if !c.transport.beginWork(false) {
 		c.refuseRequest(f, "the process is shutting down")
 		return
 	}
@@ -90,21 +90,22 @@
 	case c.slots <- struct{}{}:
 		go c.runRequest(f)
 	default:
-		c.transport.end()
+		c.transport.endWork()
 		c.transport.stats.busy.Inc()
 		c.refuseRequest(f, "too many requests run on this connection")
 	}
 }
 
-func (c *conn) refuseRequest(f frame, why string) {
-	answer := frame{Kind: frameAnswer, ID: f.ID, Method: f.Method, Status: answerNotRun, Error: why}
+// refuseRequest answers that the request was not run.
+func (c *conn) refuseRequest(f frame, reason string) {
+	answer := frame{Kind: frameAnswer, ID: f.ID, Method: f.Method, Status: answerNotRun, Error: reason}
 	if !c.tryEnqueue(&outgoing{frame: answer}) {
 		c.transport.stats.sendDrops.Inc()
 	}
 }
 
 func (c *conn) runRequest(f frame) {
-	defer c.transport.end()
+	defer c.transport.endWork()
 	defer func() { <-c.slots }()
 	ctx, cancel := context.WithTimeout(c.ctx, c.handlerTimeout(f))
 	defer cancel()
@@ -112,13 +113,14 @@
 		return
 	}
 	answer := c.handle(ctx, f)
-	queueing, stop := context.WithTimeout(c.ctx, c.transport.options.WriteTimeout)
+	enqueueCtx, stop := context.WithTimeout(c.ctx, c.transport.options.WriteTimeout)
 	defer stop()
-	if err := c.enqueue(queueing, &outgoing{frame: answer}); err != nil {
+	if err := c.enqueue(enqueueCtx, &outgoing{frame: answer}); err != nil {
 		c.transport.stats.sendDrops.Inc()
 	}
 }
 
+// handlerTimeout returns the smaller of HandlerTimeout and the caller's timeout.
 func (c *conn) handlerTimeout(f frame) time.Duration {
 	limit := c.transport.options.HandlerTimeout
 	if f.TimeoutMillis == 0 {
@@ -127,6 +129,7 @@
 	return min(limit, time.Duration(f.TimeoutMillis)*time.Millisecond)
 }
 
+// handle calls the handler of a request and returns the answer frame.
 func (c *conn) handle(ctx context.Context, f frame) frame {
 	answer := frame{Kind: frameAnswer, ID: f.ID, Method: f.Method}
 	handler, ok := c.transport.handlers[f.Method]
@@ -150,9 +153,9 @@
 	return answer
 }
 
-// acceptOneWay hands a message to the lane of its method. Each lane handles in
-// order and is bounded, so that a slow handler delays and drops messages of
-// its own method only.
+// acceptOneWay adds a message to the queue of its method. Each queue is bounded
+// and handled in order, so that a slow handler delays and drops only messages of
+// its own method.
 func (c *conn) acceptOneWay(f frame) {
 	if _, ok := c.transport.handlers[f.Method]; !ok {
 		c.transport.stats.oneWayDrops.Inc()
@@ -162,33 +165,33 @@
 		c.runInline(f)
 		return
 	}
-	l, ok := c.lanes[f.Method]
+	l, ok := c.methodQueues[f.Method]
 	if !ok {
-		l = &lane{}
-		c.lanes[f.Method] = l
+		l = &methodQueue{}
+		c.methodQueues[f.Method] = l
 	}
 	if !l.add(c, f) {
 		c.transport.stats.oneWayDrops.Inc()
 	}
 }
 
-// runInline calls a handler that does not wait for anything, so it needs no
-// deadline of its own.
+// runInline calls an inline handler on the reader's goroutine. Inline handlers
+// don't block, so the context has no deadline.
 func (c *conn) runInline(f frame) {
-	if !c.transport.begin(false) {
+	if !c.transport.beginWork(false) {
 		c.transport.stats.oneWayDrops.Inc()
 		return
 	}
-	defer c.transport.end()
+	defer c.transport.endWork()
 	_, _ = c.transport.handlers[f.Method].HandlePeer(c.inlineCtx, c.remote, f.Method, f.Body)
 }
 
 func (c *conn) runOneWay(f frame) {
-	if !c.transport.begin(false) {
+	if !c.transport.beginWork(false) {
 		c.transport.stats.oneWayDrops.Inc()
 		return
 	}
-	defer c.transport.end()
+	defer c.transport.endWork()
 	ctx, cancel := context.WithTimeout(c.ctx, c.transport.options.HandlerTimeout)
 	defer cancel()
 	handler := c.transport.handlers[f.Method]
--- a/internal/adapter/peer/read_test.go
+++ b/internal/adapter/peer/read_test.go
@@ -9,9 +9,9 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// Guards against messages of a former life that were read before its connection ended and
-// are handled after those of its successor.
-func TestWhatAnEndedConnectionHadReadIsDropped(t *testing.T) {
+// Guards against messages of a previous incarnation that were read before its connection
+// ended and are handled after those of its successor.
+func TestMessagesReadBeforeConnectionEndAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		var handled atomic.Int64
--- a/internal/adapter/peer/refusals.go
+++ b/internal/adapter/peer/refusals.go
@@ -8,64 +8,65 @@
 )
 
 const (
-	// refusalEvery is how often a refusal of one host for one reason is logged. A link
-	// dials again every 0.2 s for as long as it is refused.
-	refusalEvery = 10 * time.Second
-	// refusalsMost bounds the lines about refusals within refusalEvery. With a wrong key
-	// a fleet of a thousand hosts is refused 5,000 times a second.
-	refusalsMost = 100
+	// refusalLogInterval is the interval in which refusals of one host for one reason are
+	// logged once. A refused link dials again every 0.2 s.
+	refusalLogInterval = 10 * time.Second
+	// maxRefusalLines is the maximum number of log lines about refusals within
+	// refusalLogInterval. A fleet of a thousand hosts with a wrong key is refused 5,000
+	// times a second.
+	maxRefusalLines = 100
 )
 
-// refusalKey is what refusals have in common that are logged once.
+// refusalKey groups refusals: those with the same key are logged once per interval.
 type refusalKey struct {
 	host     string
 	reason   RefusalReason
 	byRemote bool
 }
 
-// refusalLog bounds the lines about refused connections: one for each host and reason
-// within refusalEvery, refusalsMost in all.
+// refusalLog limits the log lines about refused connections within refusalLogInterval to
+// one for each host and reason, and to maxRefusalLines in total.
 type refusalLog struct {
 	mu    sync.Mutex
 	since time.Time
-	// told are the refusals that were logged since then.
-	told map[refusalKey]struct{}
-	// leftOut counts those that were not logged since the line before.
-	leftOut int
+	// logged is the set of refusals logged since the time in since.
+	logged map[refusalKey]struct{}
+	// suppressed is the number of refusals not logged since the last log line.
+	suppressed int
 }
 
-// take reports whether a refusal is to be logged, and how many were left out before.
-func (r *refusalLog) take(now time.Time, key refusalKey) (leftOut int, logged bool) {
+// allow reports whether to log a refusal, and how many refusals were suppressed since
+// the last log line.
+func (r *refusalLog) allow(now time.Time, key refusalKey) (suppressed int, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.told == nil || now.Sub(r.since) >= refusalEvery {
-		r.since, r.told = now, make(map[refusalKey]struct{})
+	if r.logged == nil || now.Sub(r.since) >= refusalLogInterval {
+		r.since, r.logged = now, make(map[refusalKey]struct{})
 	}
-	if _, known := r.told[key]; known || len(r.told) >= refusalsMost {
-		r.leftOut++
+	if _, known := r.logged[key]; known || len(r.logged) >= maxRefusalLines {
+		r.suppressed++
 		return 0, false
 	}
-	r.told[key] = struct{}{}
-	leftOut, r.leftOut = r.leftOut, 0
-	return leftOut, true
+	r.logged[key] = struct{}{}
+	suppressed, r.suppressed = r.suppressed, 0
+	return suppressed, true
 }
 
-// logRefusal counts and logs a connection that was refused in the hello exchange, and
-// returns err.
+// logRefusal counts and logs err if it is a RefusedError, and returns err.
 func (t *Transport) logRefusal(address string, err error) error {
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
 		return err
 	}
 	t.stats.refusals.Inc()
-	host, _, split := net.SplitHostPort(address)
-	if split != nil {
+	host, _, splitErr := net.SplitHostPort(address)
+	if splitErr != nil {
 		host = address
 	}
 	key := refusalKey{host: host, reason: refused.Reason, byRemote: refused.ByRemote}
-	if leftOut, logged := t.refused.take(time.Now(), key); logged {
+	if suppressed, ok := t.refusalLimiter.allow(time.Now(), key); ok {
 		t.options.Log.Warn("peer refused", "address", address, "reason", refused.Reason,
-			"by_remote", refused.ByRemote, "detail", refused.Detail, "left_out", leftOut)
+			"by_remote", refused.ByRemote, "detail", refused.Detail, "left_out", suppressed)
 	}
 	return err
 }
--- a/internal/adapter/peer/roster.go
+++ b/internal/adapter/peer/roster.go
@@ -8,47 +8,49 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// maxKnownPeers bounds the processes whose latest life is remembered.
-const maxKnownPeers = 8192
+// maxPeers is the maximum number of processes whose latest incarnation is stored.
+const maxPeers = 8192
 
 // RoleControlTool is the role of short-lived operator tools. Several may run
-// on one host at once, so their incarnations do not supersede one another.
+// concurrently on one host, so their incarnations don't supersede one another.
 const RoleControlTool = "ctl"
 
-type process struct {
+// peerKey identifies a process across its incarnations.
+type peerKey struct {
 	host ident.Host
 	role string
 }
 
-// life is the latest life known of a process.
-type life struct {
+// peerState is the latest known incarnation of a process.
+type peerState struct {
 	incarnation ident.Incarnation
-	// answered is the latest hello of ours that this life has answered.
+	// answered is the latest hello of this process that the incarnation has
+	// answered.
 	answered helloSeq
-	// former is the life before, zero if none is known.
-	former ident.Incarnation
-	conns  map[*conn]struct{}
+	// previous is the incarnation before, zero if none is known.
+	previous ident.Incarnation
+	conns    map[*conn]struct{}
 }
 
-// helloSeq numbers the hellos that this process writes. Each carries a nonce that the
-// far side's proof covers, and is written once the connection stands, so that whoever
-// answers one was alive after all that went before it.
+// helloSeq is the number of a hello written by this process. A hello carries a nonce
+// that the remote proof covers, and is written after the connection is established, so
+// that a process that answers it was running after all hellos with lower numbers.
 type helloSeq uint64
 
-// roster knows the latest life of each process and its connections. The lives of one
-// process follow one another, so that the life which has answered a later hello is the
-// later one. The time of day says nothing of it: a process that starts again after its
-// clock stepped back would count as its own past for as long as it runs.
+// roster holds the latest incarnation of each process and its connections. The
+// incarnations of a process don't overlap, so the one that has answered a later hello is
+// the newer one. Wall-clock start times aren't compared: a process that restarts after
+// its clock stepped back would be refused as an older incarnation for as long as it runs.
 type roster struct {
 	stats *stats
 
 	mu     sync.Mutex
 	issued helloSeq
-	lives  map[process]*life
+	peers  map[peerKey]*peerState
 }
 
 func newRoster(s *stats) *roster {
-	return &roster{stats: s, lives: make(map[process]*life)}
+	return &roster{stats: s, peers: make(map[peerKey]*peerState)}
 }
 
 // issue returns the number of the next hello.
@@ -59,17 +61,17 @@
 	return r.issued
 }
 
-// admit takes in that p has answered a hello. A later life ends the connections of
-// the former one: otherwise messages of a process that was replaced could still arrive
-// after those of its successor. An answer of a former life that comes late is refused.
+// admit records that p has answered a hello. A newer incarnation closes the connections
+// of the previous one: otherwise messages of a replaced process could still arrive after
+// those of its successor. A stale answer of a previous incarnation is refused.
 func (r *roster) admit(p port.Peer, answered helloSeq) error {
 	if p.Role == RoleControlTool {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := process{host: p.Host, role: p.Role}
-	known, ok := r.lives[key]
+	key := peerKey{host: p.Host, role: p.Role}
+	known, ok := r.peers[key]
 	switch {
 	case !ok:
 		return r.add(key, p.Incarnation, answered)
@@ -79,37 +81,40 @@
 	case answered < known.answered:
 		detail := fmt.Sprintf("host %q has a later life %d, this is %d", p.Host, known.incarnation, p.Incarnation)
 		return &RefusedError{Reason: RefusedIncarnation, Detail: detail}
-	case p.Incarnation == known.former && len(known.conns) > 0:
-		// Only a process that still runs comes back. If each took the other's place,
-		// neither could keep a connection.
+	case p.Incarnation == known.previous && len(known.conns) > 0:
+		// An incarnation that was superseded connects again only if it is still running.
+		// If both superseded each other in turn, neither could keep a connection.
 		detail := fmt.Sprintf("two processes run as %s of host %q, %d and %d; stop one", p.Role, p.Host, known.incarnation, p.Incarnation)
 		return &RefusedError{Reason: RefusedConcurrent, Detail: detail}
 	}
-	known.former = known.incarnation
+	known.previous = known.incarnation
 	known.incarnation, known.answered = p.Incarnation, answered
 	r.supersede(known)
 	return nil
 }
 
-func (r *roster) add(key process, incarnation ident.Incarnation, answered helloSeq) error {
-	if len(r.lives) >= maxKnownPeers && !r.evict() {
+// add stores a process that was unknown before.
+func (r *roster) add(key peerKey, incarnation ident.Incarnation, answered helloSeq) error {
+	if len(r.peers) >= maxPeers && !r.evict() {
 		return &RefusedError{Reason: RefusedBusy, Detail: "too many peers are connected"}
 	}
-	r.lives[key] = &life{incarnation: incarnation, answered: answered, conns: make(map[*conn]struct{})}
+	r.peers[key] = &peerState{incarnation: incarnation, answered: answered, conns: make(map[*conn]struct{})}
 	return nil
 }
 
+// evict removes one process without connections and reports whether there was one.
 func (r *roster) evict() bool {
-	for key, known := range r.lives {
+	for key, known := range r.peers {
 		if len(known.conns) == 0 {
-			delete(r.lives, key)
+			delete(r.peers, key)
 			return true
 		}
 	}
 	return false
 }
 
-func (r *roster) supersede(known *life) {
+// supersede closes the connections of the previous incarnation.
+func (r *roster) supersede(known *peerState) {
 	for c := range known.conns {
 		r.stats.superseded.Inc()
 		c.fail(&RefusedError{Reason: RefusedIncarnation, Detail: "a later life has connected"})
@@ -117,15 +122,15 @@
 	clear(known.conns)
 }
 
-// attach registers an admitted connection. It reports false when a later life
-// was admitted between the hello and now.
+// attach registers an admitted connection. It returns false if a newer
+// incarnation has been admitted since the hello.
 func (r *roster) attach(c *conn) bool {
 	if c.remote.Role == RoleControlTool {
 		return true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.lives[process{host: c.remote.Host, role: c.remote.Role}]
+	known, ok := r.peers[peerKey{host: c.remote.Host, role: c.remote.Role}]
 	if !ok || known.incarnation != c.remote.Incarnation {
 		return false
 	}
@@ -136,7 +141,7 @@
 func (r *roster) detach(c *conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known, ok := r.lives[process{host: c.remote.Host, role: c.remote.Role}]; ok {
+	if known, ok := r.peers[peerKey{host: c.remote.Host, role: c.remote.Role}]; ok {
 		delete(known.conns, c)
 	}
 }
--- a/internal/adapter/peer/serve.go
+++ b/internal/adapter/peer/serve.go
@@ -13,8 +13,9 @@
 
 const maxHeaderBytes = 8 << 10
 
-// Serve accepts connections on listener until Close, and returns nil then, also
-// when Close came first. It owns listener.
+// Serve accepts connections on listener until Close is called, and then returns
+// nil; it also returns nil if Close was called before. Serve takes ownership of
+// listener.
 func (t *Transport) Serve(listener net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, t.accept)
@@ -27,7 +28,7 @@
 	}
 	t.mu.Lock()
 	if t.closing {
-		// A process that is stopped while it starts up ends like any other.
+		// A process that is stopped during startup shuts down without an error.
 		t.mu.Unlock()
 		return listener.Close()
 	}
--- a/internal/adapter/peer/session.go
+++ b/internal/adapter/peer/session.go
@@ -7,33 +7,34 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// Session is one live connection to another process, in either direction. It
-// lets a handler push messages to the process that called it, and lets a
-// subscriber notice that its connection has ended.
+// Session is a live connection to another process, dialled or accepted. A
+// handler uses it to push messages to the calling process, and a subscriber to
+// detect that its connection has ended.
 type Session interface {
-	// Peer is who is at the far side.
+	// Peer returns the process at the other end.
 	Peer() port.Peer
 	// Send queues a one-way message on this connection and reports whether it
-	// was queued. Messages of one method arrive in order or, after the
-	// connection's end, not at all.
+	// was queued. Messages of one method arrive in order; once the connection
+	// has ended, queued messages are lost.
 	Send(method port.Method, body []byte) bool
-	// Call is PeerClient.Call on this connection.
+	// Call is like PeerClient.Call, on this connection.
 	Call(ctx context.Context, method port.Method, body []byte) ([]byte, error)
-	// Done is closed when the connection has ended.
+	// Done returns a channel that is closed when the connection has ended.
 	Done() <-chan struct{}
 }
 
-// ConnectionStatus describes one connection for dumps.
+// ConnectionStatus is the state of one connection, for dumps.
 type ConnectionStatus struct {
 	Peer port.Peer
-	// Waiting is the number of frames that wait to be written.
+	// Waiting is the number of frames not written yet.
 	Waiting int64
-	// Unanswered is the number of calls that wait for an answer.
+	// Unanswered is the number of calls without an answer yet.
 	Unanswered int
-	Idle       time.Duration
+	// Idle is the time since the last frame in either direction.
+	Idle time.Duration
 }
 
-// Connections describes the live connections in both directions.
+// Connections returns the state of all live connections, dialled and accepted.
 func (t *Transport) Connections() []ConnectionStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,8 +56,8 @@
 	}
 }
 
-// Unreached returns why an address can't be reached, nil if it is connected or no dial has
-// failed since.
+// Unreached returns the error of the last dial of address. It returns nil if the address is
+// connected or no dial has failed since the given time.
 func (t *Transport) Unreached(address string, since time.Time) error {
 	t.mu.Lock()
 	l := t.links[address]
@@ -73,8 +74,8 @@
 	return context.WithValue(ctx, sessionKey{}, Session(c))
 }
 
-// FromContext returns the connection on which a handler was called. It is nil
-// outside of handlers. The session may be kept after the handler returns.
+// FromContext returns the connection on which a handler was called, or nil
+// outside of handlers. The session remains usable after the handler returns.
 func FromContext(ctx context.Context) Session {
 	session, _ := ctx.Value(sessionKey{}).(Session)
 	return session
--- a/internal/adapter/peer/stats.go
+++ b/internal/adapter/peer/stats.go
@@ -2,11 +2,11 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// stats counts what the transport did and dropped.
+// stats holds the counters of a transport.
 type stats struct {
 	set *metrics.Set
-	// lateAnswers counts answers that matched no waiting call: late,
-	// repeated, crossed or forged.
+	// lateAnswers counts answers that matched no pending call, because they were
+	// late, repeated, sent for another call or forged.
 	lateAnswers *metrics.Counter
 	duplicates  *metrics.Counter
 	sendDrops   *metrics.Counter
--- a/internal/adapter/peer/tls.go
+++ b/internal/adapter/peer/tls.go
@@ -10,25 +10,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// TLSFiles names PEM files. They are read again when one of them changes, at
-// the next handshake; connections already open go on until the far side's
+// TLSFiles holds the paths of PEM files. After a change of one of them, the files
+// are reloaded at the next handshake; open connections remain until the remote
 // certificate expires.
 type TLSFiles struct {
-	// Certificate names this host among its DNS names and, if it has
-	// organizational units, its role among those; Key belongs to it.
+	// Certificate is the certificate of this host. Its DNS names include the host
+	// and its organizational units, if it has any, include the role. Key is its
+	// private key.
 	Certificate string
 	Key         string
-	// Authority holds the certificates that may sign those of peers.
+	// Authority holds the certificates of the authorities trusted to sign peer
+	// certificates.
 	Authority string
 }
 
-// credentials are the loaded files.
+// credentials is the loaded content of TLSFiles.
 type credentials struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// certificates loads TLSFiles and loads them again after a change.
+// certificates loads TLSFiles and reloads them after a change.
 type certificates struct {
 	files TLSFiles
 	stats *stats
@@ -38,6 +40,7 @@
 	current *credentials
 }
 
+// fileStamp is compared to detect a change of a file.
 type fileStamp struct {
 	modified time.Time
 	size     int64
@@ -82,9 +85,9 @@
 	return &credentials{certificate: certificate, authority: pool}, nil
 }
 
-// latest returns the credentials in the files. While the files are being
-// replaced one by one they may not fit together; then the former credentials
-// stay in use and the next handshake tries again.
+// latest returns the credentials in the files. While the files are replaced one by
+// one they may not match; the previous credentials then stay in use and the next
+// handshake tries to load the files again.
 func (c *certificates) latest() *credentials {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,9 +122,9 @@
 	}
 }
 
-// clientConfig skips the library's verification, which needs the name of the
-// host at an address before it is dialled. Instead verify checks the chain and
-// the hello exchange checks that the certificate names the host.
+// clientConfig disables the verification of crypto/tls, which requires the host
+// name of an address before dialling. Instead, verify checks the chain and the
+// hello exchange checks that the certificate names the host.
 func (c *certificates) clientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -136,6 +139,7 @@
 	}
 }
 
+// verify checks the certificate chain of the remote side.
 func (c *certificates) verify(state tls.ConnectionState, usage x509.ExtKeyUsage) error {
 	if len(state.PeerCertificates) == 0 {
 		return &RefusedError{Reason: RefusedCertificate, Detail: "no certificate was shown"}
@@ -155,7 +159,7 @@
 	return nil
 }
 
-// leaf returns the verified certificate of a connection, nil without TLS.
+// leaf returns the verified leaf certificate of a connection, nil without TLS.
 func leaf(state *tls.ConnectionState) *x509.Certificate {
 	if state == nil || len(state.PeerCertificates) == 0 {
 		return nil
--- a/internal/adapter/peer/tls_test.go
+++ b/internal/adapter/peer/tls_test.go
@@ -55,7 +55,7 @@
 	return key
 }
 
-// issue writes the files of a host to folder.
+// issue writes the TLS files of a host to folder.
 func (a *authority) issue(t *testing.T, folder, host string, roles ...string) TLSFiles {
 	key := newTestKey(t)
 	template := &x509.Certificate{
@@ -123,9 +123,9 @@
 	return err
 }
 
-// Hosts with certificates of the deployment meet; one of another authority,
-// one that uses another host's certificate and one without TLS are refused
-// with a type that the caller can tell from a host that is down.
+// Hosts with certificates of the deployment connect. A host with a certificate of
+// another authority, of another host or of another role, and a host without TLS,
+// are refused; the caller can distinguish the error from that of a host that is down.
 func TestMutualCertificates(t *testing.T) {
 	good := newAuthority(t)
 	_, address := serveTLS(t, good.issue(t, t.TempDir(), "b"))
@@ -169,9 +169,9 @@
 }
 
 // An operator moves the deployment to a new authority by replacing files. The
-// processes must use them at the next handshake without a restart, and a
-// half-replaced set must not take the listener down.
-func TestCertificatesAreLoadedAgain(t *testing.T) {
+// processes must use them from the next handshake on without a restart, and a
+// half-replaced set of files must not stop the listener.
+func TestCertificatesAreReloaded(t *testing.T) {
 	folder := t.TempDir()
 	old := newAuthority(t)
 	b, address := serveTLS(t, old.issue(t, folder, "b"))
--- a/internal/adapter/peer/transport.go
+++ b/internal/adapter/peer/transport.go
@@ -12,17 +12,18 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// Transport is one process's end of all its peer connections. It implements
+// Transport manages all peer connections of a process. It implements
 // port.PeerClient and port.PeerRegistry.
 type Transport struct {
-	options  Options
-	stats    *stats
-	roster   *roster
-	refused  refusalLog
-	certs    *certificates
-	client   *http.Client
-	handlers map[port.Method]port.PeerHandler
-	// inline marks methods whose one-way handlers run on the reader.
+	options        Options
+	stats          *stats
+	roster         *roster
+	refusalLimiter refusalLog
+	certs          *certificates
+	client         *http.Client
+	handlers       map[port.Method]port.PeerHandler
+	// inline is the set of methods whose one-way handlers run on the reader's
+	// goroutine.
 	inline map[port.Method]bool
 
 	ctx    context.Context
@@ -32,8 +33,9 @@
 	links  map[string]*link
 	conns  map[*conn]struct{}
 	server *http.Server
-	// active counts calls of ours and handlers of others under way; closing
-	// lets it only fall, and idle is closed when it reaches zero after that.
+	// active is the number of outgoing calls and running handlers. After closing
+	// is set, it only increases for calls made by handlers; idle is closed when it
+	// reaches zero, and active is then -1.
 	active  int
 	closing bool
 	idle    chan struct{}
@@ -44,7 +46,8 @@
 	_ port.PeerRegistry = (*Transport)(nil)
 )
 
-// New returns a transport that dials on demand. Serve makes it accept.
+// New returns a transport that dials on demand. It accepts connections once Serve
+// is called.
 func New(options Options) (*Transport, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -70,11 +73,11 @@
 	return t, nil
 }
 
-// Metrics returns the set of the transport's counters.
+// Metrics returns the transport's metrics.
 func (t *Transport) Metrics() *metrics.Set { return t.stats.set }
 
 // Handle implements port.PeerRegistry. It must not be called after the first
-// connection.
+// connection is established.
 func (t *Transport) Handle(method port.Method, handler port.PeerHandler) {
 	if _, taken := t.handlers[method]; taken {
 		panic(eris.Errorf("peer: method %q has two handlers", method))
@@ -85,22 +88,22 @@
 	t.handlers[method] = handler
 }
 
-// HandleInline is Handle for a method whose one-way handler only decodes and
-// queues. It is called on the connection's reader, which saves a change of
-// goroutine; a handler that blocks would hold up all that the peer sends.
+// HandleInline is like Handle for a method whose one-way handler only decodes and
+// queues. The handler is called on the connection's reader goroutine, which saves
+// a goroutine switch; a handler that blocks would delay all messages of the peer.
 func (t *Transport) HandleInline(method port.Method, handler port.PeerHandler) {
 	t.Handle(method, handler)
 	t.inline[method] = true
 }
 
-// Call implements port.PeerClient. While a link backs off it fails at once, so
-// that the caller can try another host. While the transport closes, handlers
-// under way may still call over connections that stand.
+// Call implements port.PeerClient. While a link backs off, Call fails immediately,
+// so that the caller can try another host. While the transport closes, running
+// handlers may still make calls over established connections.
 func (t *Transport) Call(ctx context.Context, address string, method port.Method, body []byte) ([]byte, error) {
-	if !t.begin(FromContext(ctx) != nil) {
+	if !t.beginWork(FromContext(ctx) != nil) {
 		return nil, notSent(errClosing)
 	}
-	defer t.end()
+	defer t.endWork()
 	c, err := t.connect(ctx, address)
 	if err != nil {
 		return nil, notSent(err)
@@ -118,7 +121,7 @@
 	return l.send(method, body)
 }
 
-// Session returns the kept connection to address, dialling it if needed.
+// Session returns the connection to address and dials it if needed.
 func (t *Transport) Session(ctx context.Context, address string) (Session, error) {
 	c, err := t.connect(ctx, address)
 	if err != nil {
@@ -152,6 +155,7 @@
 	return l, nil
 }
 
+// evictLink removes one idle link and reports whether there was one.
 func (t *Transport) evictLink() bool {
 	now := time.Now()
 	for address, l := range t.links {
@@ -163,9 +167,9 @@
 	return false
 }
 
-// begin counts work under way; once the transport is closing it fails unless
-// the work is part of a handler, which Close waits for anyway.
-func (t *Transport) begin(inHandler bool) bool {
+// beginWork counts a call or handler as active. Once the transport is closing, it
+// returns false unless the work is part of a handler, which Close waits for anyway.
+func (t *Transport) beginWork(inHandler bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closing && !inHandler || t.active < 0 {
@@ -175,14 +179,16 @@
 	return true
 }
 
-func (t *Transport) end() {
+func (t *Transport) endWork() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.active--
-	t.settleIdle()
+	t.closeIfIdle()
 }
 
-func (t *Transport) settleIdle() {
+// closeIfIdle closes idle if the transport is closing and no work is active. t.mu
+// must be held.
+func (t *Transport) closeIfIdle() {
 	if t.closing && t.active == 0 {
 		close(t.idle)
 		t.active = -1
@@ -195,7 +201,7 @@
 	return t.closing
 }
 
-// runConn registers c, runs it and returns why it ended.
+// runConn registers c, runs it until it ends and returns the cause.
 func (t *Transport) runConn(c *conn) error {
 	if !t.roster.attach(c) {
 		c.fail(&RefusedError{Reason: RefusedIncarnation, Detail: "a later life has connected"})
--- a/internal/adapter/peer/transport_test.go
+++ b/internal/adapter/peer/transport_test.go
@@ -15,7 +15,7 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-func TestCallAnswersItsOwnCaller(t *testing.T) {
+func TestConcurrentCallsGetTheirOwnAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		start(t, n, "b", testOptions(n, self("b", 1)), map[port.Method]port.PeerHandlerFunc{methodEcho: echo})
@@ -34,10 +34,10 @@
 	})
 }
 
-// A far side that answers late, twice, with another call's identity or with
-// half a message. The caller sees its own answer, a timeout or a lost
-// connection, and never bytes meant for another call: answers are matched by
-// identity and method, and a message that does not decode ends the connection.
+// A peer answers late, twice, with another call's ID or with a truncated message.
+// The caller must get its own answer, a timeout or a lost connection, and never the
+// answer of another call: answers are matched by ID and method, and a message that
+// can't be decoded closes the connection.
 func TestAnswersOfAFaultyPeer(t *testing.T) {
 	cases := map[string]struct {
 		script func(ws *websocket.Conn)
@@ -106,7 +106,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := newMemNet()
-				rogue(t, n, "b", func(ws *websocket.Conn) {
+				serveFaulty(t, n, "b", func(ws *websocket.Conn) {
 					test.script(ws)
 					readFrames(ws)
 				})
@@ -116,7 +116,7 @@
 					t.Fatalf("got %q, %v; want %q, %v", got, err, test.want, test.err)
 				}
 				if errors.Is(err, port.ErrPeerNotSent) {
-					t.Fatalf("a request that was written is called not sent: %v", err)
+					t.Fatalf("a request that was written is reported as not sent: %v", err)
 				}
 				time.Sleep(3 * time.Second)
 				if got := a.stats.lateAnswers.Get(); got != test.late {
@@ -127,9 +127,8 @@
 	}
 }
 
-// The network repeats a request frame. The handler must run once, because the
-// request may be one that must not be repeated; identities grow on a
-// connection, so the second is recognised.
+// A request frame is repeated. The handler must run once, because the request may not
+// be idempotent; IDs increase on a connection, so the repeat is detected.
 func TestRepeatedRequestRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
@@ -150,6 +149,7 @@
 	})
 }
 
+// dialRaw dials address and completes the hello exchange.
 func dialRaw(t *testing.T, n *memNet, address string, who port.Peer) *websocket.Conn {
 	t.Helper()
 	options := testOptions(n, who)
@@ -222,10 +222,10 @@
 	})
 }
 
-// An entry subscribes and the control host pushes deltas on the same
-// connection. The entry sees them in order, and both sides learn of the
-// connection's end, after which the entry must subscribe anew.
-func TestPushOnTheCallersConnection(t *testing.T) {
+// An entry subscribes and the control host pushes deltas on the same connection. The
+// entry must receive them in order, and both sides must detect the end of the
+// connection, after which the entry has to subscribe again.
+func TestPushOnCallersConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		var pusher Session
@@ -265,14 +265,14 @@
 	})
 }
 
-// The far side stops reading and answering without closing its socket, as a
-// paused process does. The connection must end by the ping's timeout so that
-// callers turn to another host.
+// A peer stops reading and answering without closing its socket, like a paused
+// process. The connection must be closed after the ping timeout, so that callers use
+// another host.
 func TestHungPeerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
 		hang := make(chan struct{})
-		rogue(t, n, "b", func(*websocket.Conn) { <-hang })
+		serveFaulty(t, n, "b", func(*websocket.Conn) { <-hang })
 		a := start(t, n, "", testOptions(n, self("a", 1)), nil)
 		session, err := a.Session(within(time.Second), "b")
 		if err != nil {
@@ -282,15 +282,15 @@
 		select {
 		case <-session.Done():
 		default:
-			t.Error("the connection still stands")
+			t.Error("the connection is still open")
 		}
 		close(hang)
 	})
 }
 
-// A host is down while a caller keeps trying. Each call fails at once and the
-// number of dials is bounded by the back-off, so that a restarted host is not
-// met by a storm.
+// A host is down while a caller keeps retrying. Each call must fail immediately and
+// the back-off must limit the number of dials, so that a restarted host isn't flooded
+// with connections.
 func TestBackOffBoundsDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
@@ -307,9 +307,9 @@
 	})
 }
 
-// Close while a handler runs, which then asks a third host. The caller gets its
-// answer, a further call is refused as not sent, and Close returns only after
-// the answer is written.
+// Close is called while a handler runs that then calls a third host. The caller must
+// get its answer, a further call must fail as not sent, and Close must return only
+// after the answer is written.
 func TestCloseDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemNet()
--- a/internal/adapter/peer/write.go
+++ b/internal/adapter/peer/write.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// batch is what the writer sends in one WebSocket message.
+// batch is the content of one WebSocket message to be written.
 type batch struct {
 	items  []*outgoing
 	frames []frame
@@ -23,28 +23,28 @@
 	b.size = 0
 }
 
-// writeLoop writes all that waits, many frames to a message.
+// writeLoop writes queued frames, many of them per message.
 func (c *conn) writeLoop() error {
 	var b batch
-	var carry *outgoing
+	var next *outgoing
 	for {
 		b.reset()
-		if carry == nil {
+		if next == nil {
 			select {
-			case carry = <-c.out:
+			case next = <-c.out:
 			case <-c.ctx.Done():
 				return context.Cause(c.ctx)
 			}
 		}
-		carry = c.fill(&b, carry)
+		next = c.fill(&b, next)
 		if err := c.writeBatch(&b); err != nil {
 			return err
 		}
 	}
 }
 
-// fill adds first and whatever waits behind it, and returns a frame that did
-// not fit.
+// fill adds first and the frames queued behind it to b. It returns the frame that
+// didn't fit, or nil.
 func (c *conn) fill(b *batch, first *outgoing) *outgoing {
 	for next := first; ; {
 		size := next.frame.size()
@@ -63,8 +63,9 @@
 	}
 }
 
+// add claims o and adds it to b; an abandoned frame is released.
 func (c *conn) add(b *batch, o *outgoing, size int) {
-	if !o.take() {
+	if !o.claim() {
 		c.release(o)
 		return
 	}
