--- a/internal/adapter/disk/bench_test.go
+++ b/internal/adapter/disk/bench_test.go
@@ -14,7 +14,7 @@
 
 const benchRecord = 256
 
-// BenchmarkBareAppendSync is what one write and one sync cost on this disk.
+// BenchmarkBareAppendSync measures one write and one sync of a plain file.
 func BenchmarkBareAppendSync(b *testing.B) {
 	file, err := os.Create(filepath.Join(b.TempDir(), "bare"))
 	if err != nil {
@@ -65,7 +65,7 @@
 	group.Wait()
 }
 
-// BenchmarkOpen is a restart: reading, verifying and the new checkpoint.
+// BenchmarkOpen measures a restart: reading, verifying and writing the new checkpoint.
 func BenchmarkOpen(b *testing.B) {
 	for _, count := range []int{100, 1000, 10000} {
 		b.Run(name("entries", count), func(b *testing.B) { benchmarkOpen(b, count) })
@@ -98,6 +98,6 @@
 	}
 }
 
-func name(what string, n int) string {
-	return fmt.Sprintf("%s=%d", what, n)
+func name(key string, n int) string {
+	return fmt.Sprintf("%s=%d", key, n)
 }
--- a/internal/adapter/disk/disktest/doc.go
+++ b/internal/adapter/disk/disktest/doc.go
@@ -1,4 +1,3 @@
-// Package disktest holds an in-memory file system with the faults of a disk:
-// crashes that lose what was not synced, short writes, a full disk and syncs
-// that fail.
+// Package disktest provides an in-memory file system that injects disk faults:
+// crashes that lose unsynced data, short writes, a full disk and failed syncs.
 package disktest
--- a/internal/adapter/disk/disktest/fs.go
+++ b/internal/adapter/disk/disktest/fs.go
@@ -19,30 +19,32 @@
 	ErrIO      = errors.New("input/output error")
 )
 
-// file is one file: what a reader sees and what a crash leaves.
+// file is the content of a file as readers see it and as a crash leaves it.
 type file struct {
 	data []byte
-	// durable is what lasts; dirty is the offset of the first write since.
+	// durable is the content that survives a crash. dirty is the offset of the
+	// first write since the last sync.
 	durable []byte
 	dirty   int
-	// lost is set after a failed sync: its data never lasts, although later
-	// syncs succeed.
-	lost bool
+	// syncFailed is set after a failed sync: later syncs succeed, but writes no
+	// longer become durable.
+	syncFailed bool
 }
 
 func newFile(data []byte) *file {
 	return &file{data: bytes.Clone(data), durable: bytes.Clone(data), dirty: len(data)}
 }
 
+// sync makes data durable unless an earlier sync has failed.
 func (f *file) sync(data []byte, dirty int) {
-	if !f.lost {
+	if !f.syncFailed {
 		f.durable = data
 		f.dirty = dirty
 	}
 }
 
-// torn is what lasts when a crash lets n bytes of the unsynced writes through.
-func (f *file) torn(n int) []byte {
+// afterCrash returns the content after a crash that kept n bytes of the unsynced writes.
+func (f *file) afterCrash(n int) []byte {
 	kept := bytes.Clone(f.durable)
 	if n > 0 && f.dirty < len(f.data) {
 		written := f.data[f.dirty:min(len(f.data), f.dirty+n)]
@@ -57,52 +59,54 @@
 // FS is a disk.FS in memory. The zero value is not usable; call New.
 type FS struct {
 	mu sync.Mutex
-	// names are what a reader sees, lasting what a crash leaves.
-	names   map[string]*file
-	lasting map[string]*file
-	locked  bool
-	// crashed makes every operation of the former life fail.
+	// names is the folder as readers see it, durableNames as a crash leaves it.
+	names        map[string]*file
+	durableNames map[string]*file
+	locked       bool
+	// crashed makes every operation fail: the process that used f has crashed.
 	crashed bool
-	// steps is how many operations succeed before the life ends, negative for
-	// no bound.
-	steps int
-
-	// room is how many bytes may still be written, negative for no bound.
-	room int
-	// failSync is how many syncs succeed before one fails, negative for never.
-	failSync int
-	// stall, when set, is received from before each sync.
+	// remainingOps is the number of operations before the process crashes, negative
+	// for no limit.
+	remainingOps int
+
+	// freeBytes is the number of bytes that may still be written, negative for no
+	// limit.
+	freeBytes int
+	// syncsUntilFailure is the number of syncs that succeed before one fails,
+	// negative for never.
+	syncsUntilFailure int
+	// stall, if set, is received from before each sync.
 	stall <-chan struct{}
-	// syncTime is how long each sync takes.
+	// syncTime is the duration of each sync.
 	syncTime time.Duration
-	// syncs counts the syncs of files.
+	// syncs is the number of file syncs so far.
 	syncs int
 }
 
 var _ disk.FS = (*FS)(nil)
 
-// New returns an empty disk without faults.
+// New returns an empty file system without faults.
 func New() *FS {
 	return &FS{
-		names:    make(map[string]*file),
-		lasting:  make(map[string]*file),
-		room:     -1,
-		failSync: -1,
-		steps:    -1,
+		names:             make(map[string]*file),
+		durableNames:      make(map[string]*file),
+		freeBytes:         -1,
+		syncsUntilFailure: -1,
+		remainingOps:      -1,
 	}
 }
 
-// LimitRoom makes the disk full after n more bytes.
-func (f *FS) LimitRoom(n int) { f.set(func() { f.room = n }) }
+// LimitRoom makes the disk full after n more bytes; a negative n removes the limit.
+func (f *FS) LimitRoom(n int) { f.set(func() { f.freeBytes = n }) }
 
-// FailSync makes one sync fail after n more that succeed.
-func (f *FS) FailSync(n int) { f.set(func() { f.failSync = n }) }
+// FailSync makes one sync fail after n more have succeeded.
+func (f *FS) FailSync(n int) { f.set(func() { f.syncsUntilFailure = n }) }
 
-// EndAfter ends the life that uses f after n more operations: every later one
-// fails and changes nothing.
-func (f *FS) EndAfter(n int) { f.set(func() { f.steps = n }) }
+// EndAfter crashes the process that uses f after n more operations: every later
+// operation fails and changes nothing.
+func (f *FS) EndAfter(n int) { f.set(func() { f.remainingOps = n }) }
 
-// Stall makes each sync first receive from gate; nil ends that.
+// Stall makes each sync first receive from gate; a nil gate removes the stall.
 func (f *FS) Stall(gate <-chan struct{}) { f.set(func() { f.stall = gate }) }
 
 // SlowSync makes each sync take d.
@@ -121,17 +125,17 @@
 	change()
 }
 
-// Crash ends the life that uses f and returns the disk as the next life finds
-// it: names and data that were not synced are gone, except that a file keeps
-// up to torn bytes beyond its synced part.
+// Crash crashes the host that uses f and returns the file system after the
+// restart: names and data that were not synced are lost, except that each file
+// keeps up to torn bytes of its unsynced writes.
 func (f *FS) Crash(torn int) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.crash(f.lasting, torn)
+	return f.crash(f.durableNames, torn)
 }
 
-// Kill ends the life that uses f and returns the disk as the next life of the process
-// finds it: nothing is gone, and what was not synced can still be lost.
+// Kill ends the process that uses f and returns the file system for its next
+// incarnation: nothing is lost, but unsynced data can still be lost in a later crash.
 func (f *FS) Kill() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -139,22 +143,22 @@
 	next := New()
 	next.syncTime = f.syncTime
 	copies := make(map[*file]*file)
-	again := func(names map[string]*file) map[string]*file {
+	copyNames := func(names map[string]*file) map[string]*file {
 		copied := make(map[string]*file, len(names))
 		for name, old := range names {
 			if copies[old] == nil {
-				copies[old] = &file{data: bytes.Clone(old.data), durable: bytes.Clone(old.durable), dirty: old.dirty, lost: old.lost}
+				copies[old] = &file{data: bytes.Clone(old.data), durable: bytes.Clone(old.durable), dirty: old.dirty, syncFailed: old.syncFailed}
 			}
 			copied[name] = copies[old]
 		}
 		return copied
 	}
-	next.names, next.lasting = again(f.names), again(f.lasting)
+	next.names, next.durableNames = copyNames(f.names), copyNames(f.durableNames)
 	return next
 }
 
-// CrashKeepingNames is Crash on a file system that had written the names, but
-// not the data, of its own accord.
+// CrashKeepingNames is like Crash on a file system that has written the names, but
+// not the data, to disk without a sync.
 func (f *FS) CrashKeepingNames(torn int) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,13 +170,13 @@
 	next := New()
 	next.syncTime = f.syncTime
 	for name, old := range names {
-		next.names[name] = newFile(old.torn(torn))
+		next.names[name] = newFile(old.afterCrash(torn))
 	}
-	next.lasting = cloneNames(next.names)
+	next.durableNames = cloneNames(next.names)
 	return next
 }
 
-// Clone returns a copy of the disk as it stands, with everything synced.
+// Clone returns a copy of the file system with everything synced.
 func (f *FS) Clone() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,7 +184,7 @@
 	for name, old := range f.names {
 		next.names[name] = newFile(old.data)
 	}
-	next.lasting = cloneNames(next.names)
+	next.durableNames = cloneNames(next.names)
 	return next
 }
 
@@ -199,16 +203,16 @@
 	return copied
 }
 
-// alive counts an operation and fails once the life has ended.
-func (f *FS) alive() error {
-	if f.steps == 0 {
+// beginOp counts an operation and returns ErrIO once the process has crashed.
+func (f *FS) beginOp() error {
+	if f.remainingOps == 0 {
 		f.crashed = true
 	}
 	if f.crashed {
 		return ErrIO
 	}
-	if f.steps > 0 {
-		f.steps--
+	if f.remainingOps > 0 {
+		f.remainingOps--
 	}
 	return nil
 }
@@ -217,7 +221,7 @@
 func (f *FS) Create(name string) (disk.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.alive(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return nil, err
 	}
 	created := &file{}
@@ -233,7 +237,7 @@
 	if !ok {
 		return nil, os.ErrNotExist
 	}
-	return bytes.Clone(found.data), f.alive()
+	return bytes.Clone(found.data), f.beginOp()
 }
 
 // List implements disk.FS.
@@ -245,7 +249,7 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	return names, f.alive()
+	return names, f.beginOp()
 }
 
 // Segment returns the name of the latest log segment.
@@ -268,7 +272,7 @@
 	if !ok {
 		return os.ErrNotExist
 	}
-	if err := f.alive(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return err
 	}
 	delete(f.names, from)
@@ -283,7 +287,7 @@
 	if _, ok := f.names[name]; !ok {
 		return os.ErrNotExist
 	}
-	if err := f.alive(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return err
 	}
 	delete(f.names, name)
@@ -294,10 +298,10 @@
 func (f *FS) SyncFolder() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.alive(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return err
 	}
-	f.lasting = cloneNames(f.names)
+	f.durableNames = cloneNames(f.names)
 	return nil
 }
 
@@ -325,15 +329,15 @@
 	position int
 }
 
-// Write implements io.Writer. A full disk takes what fits.
+// Write implements io.Writer. A full disk accepts the bytes that fit.
 func (h *handle) Write(p []byte) (int, error) {
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
-	if err := h.fs.alive(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return 0, err
 	}
 	grown := max(0, h.position+len(p)-len(h.file.data))
-	n := len(p) - grown + h.fs.take(grown)
+	n := len(p) - grown + h.fs.allocate(grown)
 	copied := copy(h.file.data[h.position:], p[:n])
 	h.file.data = append(h.file.data, p[copied:n]...)
 	h.file.dirty = min(h.file.dirty, h.position)
@@ -344,11 +348,11 @@
 	return n, nil
 }
 
-// take uses up to n bytes of room and returns how many.
-func (f *FS) take(n int) int {
-	if f.room >= 0 {
-		n = min(n, f.room)
-		f.room -= n
+// allocate takes up to n bytes of the free space and returns their number.
+func (f *FS) allocate(n int) int {
+	if f.freeBytes >= 0 {
+		n = min(n, f.freeBytes)
+		f.freeBytes -= n
 	}
 	return n
 }
@@ -357,7 +361,7 @@
 func (h *handle) Reserve(size int64) error {
 	h.fs.mu.Lock()
 	missing := max(0, int(size)-len(h.file.data))
-	taken := h.fs.take(missing)
+	taken := h.fs.allocate(missing)
 	h.file.data = append(h.file.data, make([]byte, taken)...)
 	h.fs.mu.Unlock()
 	if taken < missing {
@@ -381,17 +385,17 @@
 	}
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
-	if err := h.fs.alive(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return err
 	}
 	h.fs.syncs++
-	if h.fs.failSync == 0 {
-		h.fs.failSync = -1
-		h.file.lost = true
+	if h.fs.syncsUntilFailure == 0 {
+		h.fs.syncsUntilFailure = -1
+		h.file.syncFailed = true
 		return ErrIO
 	}
-	if h.fs.failSync > 0 {
-		h.fs.failSync--
+	if h.fs.syncsUntilFailure > 0 {
+		h.fs.syncsUntilFailure--
 	}
 	h.file.sync(written, position)
 	return nil
--- a/internal/adapter/disk/errors.go
+++ b/internal/adapter/disk/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// DamageError reports stored data that cannot have come from a crash.
+// DamageError reports stored data that is damaged in a way that a crash can't cause.
 type DamageError struct {
 	File   string
 	Offset int64
@@ -18,10 +18,10 @@
 		e.File, e.Offset, e.Reason)
 }
 
-// FailedError reports that a write or sync failed and that the folder answers
-// no more in this life of the process.
+// FailedError reports that a write or sync failed and that the folder is disabled
+// until the process restarts.
 type FailedError struct {
-	// Op is what failed.
+	// Op is the operation that failed.
 	Op    string
 	Cause error
 }
@@ -36,13 +36,13 @@
 
 // Errors of Folder.
 var (
-	// ErrLocked reports that another process uses the folder.
+	// ErrLocked reports that another process holds the folder's lock.
 	ErrLocked = errors.New("disk: the data folder is in use by another process")
 	// ErrClosed reports a call after Close.
 	ErrClosed = errors.New("disk: closed")
-	// ErrUpdate reports an update that does not follow from what is stored. It
-	// was not written.
+	// ErrUpdate reports an update that is inconsistent with the stored state or
+	// exceeds a limit. It was not written.
 	ErrUpdate = errors.New("disk: update does not fit the stored log")
-	// ErrForeign reports a folder that belongs to another host or deployment.
+	// ErrForeign reports a folder of another host or deployment.
 	ErrForeign = errors.New("disk: the data folder belongs to another host or deployment")
 )
--- a/internal/adapter/disk/fault_test.go
+++ b/internal/adapter/disk/fault_test.go
@@ -10,22 +10,22 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// written returns a disk with two saved updates and a third, and the sizes of
-// its segment after the second and the third.
-func written(t *testing.T) (fs *disktest.FS, before, after int) {
+// diskWithUpdates returns a disk with three saved updates, and the sizes of its segment
+// after the second and after the third.
+func diskWithUpdates(t *testing.T) (fs *disktest.FS, before, after int) {
 	t.Helper()
 	fs = disktest.New()
 	folder := open(t, fs)
 	save(t, folder, disk.Update{Hard: &quorum.HardState{Term: 1}, Entries: entries(1, 2, 1)})
 	save(t, folder, disk.Update{Snapshot: snapshot(1, 1, "state")})
-	before = used(fs, fs.Segment())
+	before = usedSize(fs, fs.Segment())
 	last := entry(3, 1)
 	save(t, folder, disk.Update{Entries: []quorum.Entry{last}})
-	return fs.Clone(), before, used(fs, fs.Segment())
+	return fs.Clone(), before, usedSize(fs, fs.Segment())
 }
 
-// used is the length of a file without the zeros reserved at its end.
-func used(fs *disktest.FS, name string) int {
+// usedSize returns the size of a file without the reserved zeros at its end.
+func usedSize(fs *disktest.FS, name string) int {
 	content, _ := fs.Read(name)
 	return len(bytes.TrimRight(content, "\x00"))
 }
@@ -35,11 +35,11 @@
 	withLast    = `term 1, snapshot 1 "state", 1.2, 1.3`
 )
 
-// A crash cuts the last write at any byte: the file ends there, or zeros that
-// were reserved follow. The write was not acknowledged, so the next start drops
-// it whole, keeps everything before it, and can go on.
+// A crash tears the last write at any byte: the file ends there, or reserved zeros
+// follow. The write was not acknowledged, so the next Open must drop it completely,
+// keep everything before it, and accept further updates.
 func TestTornWriteAtEachByte(t *testing.T) {
-	fs, before, after := written(t)
+	fs, before, after := diskWithUpdates(t)
 	for size := before; size <= after; size++ {
 		short := fs.Clone()
 		short.Change(short.Segment(), func(data []byte) []byte { return data[:size] })
@@ -61,28 +61,27 @@
 	}
 	folder, err := disk.Open(options(torn))
 	if err != nil {
-		t.Fatalf("cut at %d of %d: %v", size-before, after-before, err)
+		t.Fatalf("torn at byte %d of %d: %v", size-before, after-before, err)
 	}
 	if got := describe(t, folder, 0); got != want {
-		t.Fatalf("cut at %d of %d: %s", size-before, after-before, got)
+		t.Fatalf("torn at byte %d of %d: %s", size-before, after-before, got)
 	}
 	save(t, folder, disk.Update{Entries: entries(3, 3, 2)})
 	if got := describe(t, open(t, torn.Crash(0)), 0); got != withoutLast+", 2.3" {
-		t.Fatalf("cut at %d of %d, then written: %s", size-before, after-before, got)
+		t.Fatalf("torn at byte %d of %d, after another update: %s", size-before, after-before, got)
 	}
 }
 
-// A crash leaves the length of the last write but not all of its sectors: the
-// missing ones read as zero. It is torn like a short one, whichever sector is
-// missing.
+// A crash keeps the file size of the last write but not all of its sectors: the missing
+// ones read as zero. The write must count as torn whichever sector is missing.
 func TestTornSectors(t *testing.T) {
 	const sector = 512
 	fs := disktest.New()
 	folder := open(t, fs)
 	save(t, folder, disk.Update{Hard: &quorum.HardState{Term: 1}, Entries: entries(1, 1, 1)})
-	before := used(fs, fs.Segment())
+	before := usedSize(fs, fs.Segment())
 	save(t, folder, disk.Update{Entries: entries(2, 120, 1)})
-	for start := before; start < used(fs, fs.Segment()); start = (start/sector + 1) * sector {
+	for start := before; start < usedSize(fs, fs.Segment()); start = (start/sector + 1) * sector {
 		torn := fs.Clone()
 		torn.Change(torn.Segment(), func(data []byte) []byte {
 			clear(data[start:min(len(data), (start/sector+1)*sector)])
@@ -90,22 +89,22 @@
 		})
 		again, err := disk.Open(options(torn))
 		if err != nil {
-			t.Fatalf("sector at %d: %v", start, err)
+			t.Fatalf("missing sector at %d: %v", start, err)
 		}
 		if got := describe(t, again, 0); got != `term 1, snapshot 0 "", 1.1` {
-			t.Fatalf("sector at %d: %s", start, got)
+			t.Fatalf("missing sector at %d: %s", start, got)
 		}
 	}
 }
 
-// A bit changes in what was synced: in the log, in a snapshot or in the
-// identity. The folder must be refused with file and offset. Cutting the log
-// there would forget votes and entries that this host has acknowledged.
+// A bit flips in synced data: in the log, in a snapshot or in the identity. Open must
+// fail with file and offset. Truncating the log there would lose votes and entries that
+// this host has acknowledged.
 func TestFlippedBitIsRefused(t *testing.T) {
-	fs, _, _ := written(t)
+	fs, _, _ := diskWithUpdates(t)
 	names, _ := fs.List()
 	for _, name := range names {
-		for offset := range used(fs, name) {
+		for offset := range usedSize(fs, name) {
 			for _, bit := range []byte{0x01, 0x80} {
 				flipped := fs.Clone()
 				flipped.Change(name, func(data []byte) []byte {
@@ -122,8 +121,8 @@
 	}
 }
 
-// Whole parts of the folder are missing or cut although they were synced. An
-// empty log must not be taken for a new folder.
+// Synced files of the folder are missing or truncated. Open must fail; in particular, an
+// empty log must not be mistaken for a new folder.
 func TestMissingFilesAreRefused(t *testing.T) {
 	cases := map[string]func(fs *disktest.FS){
 		"no segment":      func(fs *disktest.FS) { _ = fs.Remove(fs.Segment()) },
@@ -137,7 +136,7 @@
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
-			fs, _, _ := written(t)
+			fs, _, _ := diskWithUpdates(t)
 			change(fs)
 			_, err := disk.Open(options(fs))
 			var damage *disk.DamageError
@@ -169,11 +168,11 @@
 	return content
 }
 
-// The disk fills up or a sync fails at any step of a run with snapshots and
-// new segments. From that step on no save may succeed, also not when the disk
-// has room again or the next sync works: the failed sync's data is gone from
-// the page cache. What was acknowledged before is there after a restart.
-func TestFailureIsFinal(t *testing.T) {
+// The disk fills up or a sync fails at any step of a run with snapshots and new segments.
+// No later save may succeed, even after the disk has free space again or the next sync
+// succeeds, because the data of the failed sync is lost from the page cache. Updates
+// acknowledged before must be present after a restart.
+func TestFailureIsPermanent(t *testing.T) {
 	faults := map[string]func(fs *disktest.FS, step int){
 		"full disk": func(fs *disktest.FS, step int) { fs.LimitRoom(step * 50) },
 		"sync":      func(fs *disktest.FS, step int) { fs.FailSync(step) },
@@ -219,7 +218,7 @@
 		fs.LimitRoom(-1)
 	}
 	if !failed {
-		t.Fatalf("step %d: the fault did not show", step)
+		t.Fatalf("step %d: no save failed", step)
 	}
 	stored, _, _, err := open(t, fs.Crash(0)).Load(0)
 	if err != nil || stored.HardState.Term < acked {
@@ -227,9 +226,9 @@
 	}
 }
 
-// The process dies at any moment, losing what was not synced but keeping any
-// number of bytes of the write under way. What was acknowledged survives.
-func TestCrashKeepsWhatWasAcknowledged(t *testing.T) {
+// The host crashes during a write, loses unsynced data and keeps any number of bytes of
+// that write. Acknowledged updates must survive.
+func TestCrashKeepsAcknowledgedUpdates(t *testing.T) {
 	for torn := range 120 {
 		fs := disktest.New()
 		folder := open(t, fs)
@@ -238,13 +237,13 @@
 		fs.Stall(gate)
 		result := make(chan error, 1)
 		folder.Start(disk.Update{Entries: entries(6, 6, 1)}, func(err error) { result <- err })
-		// Wait for the write by offering one receive that the sync takes only
-		// after the crash.
+		// The sync is stalled until after the crash, so the write is complete but
+		// not synced.
 		waitForWrite(fs)
 		next := fs.Crash(torn)
 		close(gate)
 		if err := <-result; err == nil {
-			t.Fatal("acknowledged after the crash")
+			t.Fatal("an update was acknowledged after the crash")
 		}
 		got := describe(t, open(t, next), 0)
 		want := `term 1, snapshot 0 "", 1.1, 1.2, 1.3, 1.4, 1.5`
@@ -254,18 +253,18 @@
 	}
 }
 
-// The process dies before each operation of a life that forms the folder, takes
-// snapshots and replaces segments. The names that it changed last may have
-// lasted or not. Every next start finds what was acknowledged, and a folder
-// that was never formed is formed.
+// The process crashes before each operation of a run that initializes the folder, takes
+// snapshots and replaces segments. The last changes of names may be durable or not. The
+// next Open must find all acknowledged updates, and initialize the folder if that had
+// not been completed.
 func TestCrashBeforeEachOperation(t *testing.T) {
-	ends := 0
-	for step := 0; ends < 3; step++ {
+	complete := 0
+	for step := 0; complete < 3; step++ {
 		fs := disktest.New()
 		fs.EndAfter(step)
-		acked := runLife(fs)
-		if acked == lifeUpdates {
-			ends++
+		acked := saveUntilCrash(fs)
+		if acked == plannedUpdates {
+			complete++
 		}
 		for name, next := range map[string]*disktest.FS{
 			"lost":    fs.Crash(step % 40),
@@ -283,17 +282,18 @@
 	}
 }
 
-const lifeUpdates = 30
+const plannedUpdates = 30
 
-// runLife returns the last acknowledged update.
-func runLife(fs *disktest.FS) (acked uint64) {
+// saveUntilCrash saves updates until one fails, at most plannedUpdates, and returns the
+// index of the last acknowledged one.
+func saveUntilCrash(fs *disktest.FS) (acked uint64) {
 	small := options(fs)
 	small.SegmentBytes = 512
 	folder, err := disk.Open(small)
 	if err != nil {
 		return 0
 	}
-	for index := uint64(1); index <= lifeUpdates; index++ {
+	for index := uint64(1); index <= plannedUpdates; index++ {
 		update := disk.Update{Hard: &quorum.HardState{Term: index}, Entries: entries(index, index, 1)}
 		if index%7 == 0 {
 			update.Snapshot = snapshot(index-1, 1, "state")
@@ -307,6 +307,7 @@
 	return acked
 }
 
+// waitForWrite waits until entry 6 has been written to the segment.
 func waitForWrite(fs *disktest.FS) {
 	needle := []byte("command 1.6")
 	for {
--- a/internal/adapter/disk/folder.go
+++ b/internal/adapter/disk/folder.go
@@ -21,14 +21,14 @@
 	DefaultSegmentBytes = 64 << 20
 	DefaultBatchBytes   = 4 << 20
 	DefaultReserveBytes = 1 << 20
-	// SlowSync is when a sync counts and is logged as slow: a leader whose disk
-	// takes longer than an election would be replaced if it did not heartbeat
-	// meanwhile.
+	// SlowSync is the duration above which a sync is counted and logged as slow. A
+	// leader whose sync takes longer than an election timeout would be replaced if
+	// it didn't send heartbeats during the sync.
 	SlowSync = 200 * time.Millisecond
-	// MaxGroups bounds the groups of one folder.
+	// MaxGroups is the maximum number of groups in a folder.
 	MaxGroups = 4096
-	// segmentGrowth is how many times its checkpoint a segment grows to, so
-	// that checkpoints cost at most a third of all writes.
+	// segmentGrowth is the size at which a segment is replaced, as a multiple of
+	// its checkpoint. With it, checkpoints are at most a third of all writes.
 	segmentGrowth = 4
 )
 
@@ -37,17 +37,17 @@
 	FS      FS
 	Cluster string
 	Host    ident.Host
-	// SegmentBytes is the least size at which a new segment is begun.
+	// SegmentBytes is the minimum size at which a segment is replaced.
 	SegmentBytes int
-	// BatchBytes is the size after which no more updates join one sync.
+	// BatchBytes is the size from which on no further update joins a batch.
 	BatchBytes int
-	// ReserveBytes is the space that is filled with zeros ahead of the log.
+	// ReserveBytes is the space filled with zeros ahead of the end of the log.
 	ReserveBytes int
-	// Log receives slow syncs and the failure; nil discards them.
+	// Log receives slow syncs and the first failure; nil disables logging.
 	Log *log.Logger
 }
 
-// Validate reports the first option that cannot work.
+// Validate returns an error for the first invalid option.
 func (o Options) Validate() error {
 	switch {
 	case o.FS == nil:
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Update is what a group writes at once. It is durable as a whole or not.
+// Update is an atomic change of a group's stored state.
 type Update struct {
 	Group port.GroupID
 	Hard  *quorum.HardState
@@ -68,10 +68,11 @@
 	// the whole log.
 	Snapshot   *quorum.Snapshot
 	ReplaceLog bool
-	// Entries replace everything stored from the first one's index.
+	// Entries replace all stored entries from the index of the first one on.
 	Entries []quorum.Entry
 }
 
+// pendingUpdate is an update that is not written yet. done is called with its result.
 type pendingUpdate struct {
 	record record
 	done   func(error)
@@ -85,21 +86,24 @@
 	lock     io.Closer
 	stats    *folderStats
 
-	mu      sync.Mutex
-	wake    *sync.Cond
+	mu sync.Mutex
+	// cond signals a change of pending, failed or closed to the writer.
+	cond    *sync.Cond
 	pending []pendingUpdate
 	failed  error
 	closed  bool
 	groups  map[port.GroupID]*groupState
 
-	// The rest belongs to the writer goroutine.
-	file     File
-	number   uint64
-	sequence uint64
-	size     int
-	reserved int
-	limit    int
-	stopped  chan struct{}
+	// The fields below are used by the writer goroutine only. segmentSize is the
+	// number of bytes written to the current segment, reserved its size on disk, and
+	// segmentLimit the size above which it is replaced.
+	file          File
+	segmentNumber uint64
+	sequence      uint64
+	segmentSize   int
+	reserved      int
+	segmentLimit  int
+	writerDone    chan struct{}
 }
 
 type folderStats struct {
@@ -132,30 +136,31 @@
 	}
 }
 
-// Metrics returns the set of the folder's counters.
+// Metrics returns the folder's metrics.
 func (f *Folder) Metrics() *metrics.Set { return f.stats.set }
 
-// Identity returns whose folder this is.
+// Identity returns the owner of the folder.
 func (f *Folder) Identity() Identity { return f.identity }
 
-// Err returns why the folder is out of use, nil while it works.
+// Err returns the failure that disabled the folder, nil if there is none.
 func (f *Folder) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed
 }
 
-// Status describes a folder for dumps.
+// Status is the state of a folder, for dumps.
 type Status struct {
 	Identity Identity
-	// Failed is why the folder is out of use, empty while it works.
+	// Failed is the failure that disabled the folder, empty if there is none.
 	Failed string
-	// Waiting is the number of updates that wait for a sync.
+	// Waiting is the number of updates not handed to the writer yet.
 	Waiting int
 	Groups  []GroupStatus
 }
 
-// GroupStatus describes what is stored of one group.
+// GroupStatus is the stored state of one group, for dumps. Snapshot is the index of
+// the snapshot, Entries the number of entries after it.
 type GroupStatus struct {
 	Group    port.GroupID
 	Term     uint64
@@ -163,7 +168,7 @@
 	Entries  int
 }
 
-// Status describes the folder.
+// Status returns the state of the folder.
 func (f *Folder) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,7 +188,7 @@
 	return status
 }
 
-// Groups lists the groups that have stored state.
+// Groups returns the groups that have stored state, in no particular order.
 func (f *Folder) Groups() []port.GroupID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,8 +199,8 @@
 	return ids
 }
 
-// Load returns what is stored of a group and its snapshot's data; ok is false
-// when nothing is.
+// Load returns the stored state of a group and the data of its snapshot. ok is
+// false if the group has no stored state.
 func (f *Folder) Load(group port.GroupID) (stored quorum.StoredState, data []byte, ok bool, err error) {
 	for {
 		var ref snapshotRef
@@ -207,13 +212,14 @@
 		if err == nil {
 			return stored, data, true, nil
 		}
-		// A later snapshot may have replaced the file before it was read.
-		if _, now, _, _ := f.stored(group); now.File == ref.File {
+		// A newer snapshot may have replaced the file before it was read.
+		if _, current, _, _ := f.stored(group); current.File == ref.File {
 			return quorum.StoredState{}, nil, false, err
 		}
 	}
 }
 
+// stored returns the state of a group and a reference to its snapshot.
 func (f *Folder) stored(group port.GroupID) (quorum.StoredState, snapshotRef, bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -240,19 +246,19 @@
 	return decodeSnapshot(f.identity.ID, group, ref, content)
 }
 
-// Save writes an update and returns once it is synced. Any error but ErrUpdate
-// means that the folder is out of use.
+// Save writes an update and returns once it is synced. Any error other than
+// ErrUpdate means that the folder is closed or disabled.
 func (f *Folder) Save(update Update) error {
 	result := make(chan error, 1)
 	f.Start(update, func(err error) { result <- err })
 	return <-result
 }
 
-// Start is Save without waiting: done is called, from another goroutine or
-// from this one, when the update is synced or has failed. Updates of one group
-// are written in the order of the calls. A snapshot's file is written before
-// Start returns. The caller bounds what it starts; a replica has one update
-// under way.
+// Start is the asynchronous form of Save: done is called, from another goroutine
+// or from this one, when the update is synced or has failed. Updates of one group
+// are written in the order of the calls. A snapshot's file is written before Start
+// returns. The queue is unbounded, so the caller has to limit the updates that it
+// starts; a replica has one update in progress.
 func (f *Folder) Start(update Update, done func(error)) {
 	r := record{
 		Group:   update.Group,
@@ -273,6 +279,7 @@
 	}
 }
 
+// push queues an update for the writer.
 func (f *Folder) push(update pendingUpdate) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -283,10 +290,12 @@
 		return ErrClosed
 	}
 	f.pending = append(f.pending, update)
-	f.wake.Signal()
+	f.cond.Signal()
 	return nil
 }
 
+// writeSnapshot writes the snapshot's file, if it has data, and returns a reference
+// to it.
 func (f *Folder) writeSnapshot(group port.GroupID, snapshot quorum.Snapshot) (snapshotRef, error) {
 	if err := f.Err(); err != nil {
 		return snapshotRef{}, err
@@ -307,28 +316,28 @@
 	return ref, nil
 }
 
-// fail puts the folder out of use. A sync that failed may have dropped the
-// data from the page cache and marked it clean, so that the next sync succeeds
-// without it: an answer after that would promise data that is not there.
+// fail disables the folder and returns its first failure. A failed sync may have
+// marked the pages as clean without writing them, so that the next sync succeeds
+// without their data: updates acknowledged after that would not be durable.
 func (f *Folder) fail(op string, cause error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.failed == nil {
 		f.failed = &FailedError{Op: op, Cause: cause}
-		f.options.Log.Error("data folder is out of use", "op", op, "cause", cause)
+		f.options.Log.Error("data folder disabled after a failure", "op", op, "cause", cause)
 		f.stats.failures.Inc()
-		f.wake.Broadcast()
+		f.cond.Broadcast()
 	}
 	return f.failed
 }
 
-// Close writes what is pending, ends the writer and releases the folder.
+// Close writes the pending updates, stops the writer and releases the lock.
 func (f *Folder) Close() error {
 	f.mu.Lock()
 	f.closed = true
-	f.wake.Broadcast()
+	f.cond.Broadcast()
 	f.mu.Unlock()
-	<-f.stopped
+	<-f.writerDone
 	_ = f.file.Close()
 	return f.lock.Close()
 }
--- a/internal/adapter/disk/folder_test.go
+++ b/internal/adapter/disk/folder_test.go
@@ -14,7 +14,7 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// testReserve is small, so that runs cross its end often.
+// testReserve is small, so that tests exceed the reserved space often.
 const testReserve = 300
 
 func options(fs disk.FS) disk.Options {
@@ -53,7 +53,7 @@
 	return &quorum.Snapshot{Meta: quorum.SnapshotMeta{Index: index, Term: term}, Data: []byte(data)}
 }
 
-// describe gives what is stored of a group in one line.
+// describe returns the stored state of a group as one line.
 func describe(t *testing.T, folder *disk.Folder, group port.GroupID) string {
 	t.Helper()
 	stored, data, ok, err := folder.Load(group)
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestUpdateThatDoesNotFit(t *testing.T) {
+func TestInvalidUpdateIsRefused(t *testing.T) {
 	cases := map[string]disk.Update{
 		"gap":              {Entries: entries(7, 7, 1)},
 		"before snapshot":  {Entries: entries(2, 2, 1)},
@@ -150,13 +150,12 @@
 	}
 }
 
-// Many groups write while a sync is under way. All of them must share the next
-// sync: with one sync a group, the disk would bound the number of groups.
+// Many groups write during a sync. All of them must share the next sync: with one sync
+// per group, the disk would limit the number of groups.
 func TestGroupsShareASync(t *testing.T) {
 	const groups = 50
 	fs := disktest.New()
-	// New segments and newly reserved space have syncs of their own, which
-	// are not what is counted.
+	// Avoid the extra syncs of new segments and newly reserved space.
 	roomy := options(fs)
 	roomy.SegmentBytes, roomy.ReserveBytes = 1<<20, 1<<20
 	folder, err := disk.Open(roomy)
@@ -181,8 +180,8 @@
 	}
 	close(gate)
 	started.Wait()
-	// The writer stands at the gate with the first updates it took, however
-	// many; all others wait and share one sync.
+	// The writer is stalled in the sync of its first batch, of whatever size; all
+	// other updates share the next sync.
 	if shared := fs.Syncs() - before; shared > 2 {
 		t.Fatalf("%d syncs for %d groups", shared, groups)
 	}
@@ -192,9 +191,8 @@
 	}
 }
 
-// The log outgrows its segment again and again. Old segments and snapshots go
-// away, so the folder stays bounded, and every crash between the steps finds
-// the same state.
+// The log outgrows its segment repeatedly. Old segments and snapshots must be removed, so
+// that the folder stays bounded, and each restart in between must find the same state.
 func TestSegmentsAreReplaced(t *testing.T) {
 	fs := disktest.New()
 	small := options(fs)
@@ -228,7 +226,7 @@
 	}
 }
 
-func TestFolderIsGuarded(t *testing.T) {
+func TestFolderIsExclusive(t *testing.T) {
 	fs := disktest.New()
 	folder := open(t, fs)
 	if _, err := disk.Open(options(fs)); !errors.Is(err, disk.ErrLocked) {
@@ -252,9 +250,9 @@
 	}
 }
 
-// A follower is sent the stored snapshot while newer ones replace it. A reader
-// that finds its file deleted must read the newer one, not report damage.
-func TestLoadBesideNewSnapshots(t *testing.T) {
+// A snapshot is loaded for a follower while newer ones replace it. If the file is removed
+// before it is read, Load must return the newer snapshot instead of reporting damage.
+func TestLoadDuringSnapshotReplacement(t *testing.T) {
 	folder := open(t, disktest.New())
 	save(t, folder, disk.Update{Snapshot: snapshot(1, 1, "state"), ReplaceLog: true})
 	var writer sync.WaitGroup
--- a/internal/adapter/disk/frame.go
+++ b/internal/adapter/disk/frame.go
@@ -17,31 +17,32 @@
 //	payload
 //	end       byte, not zero
 //
-// in big-endian order. The header has its own sum so that a damaged length is
-// not taken for a frame that a crash cut short. The sums start from a seed that
-// is the folder's own: bytes that a caller stores can't pass for a frame.
+// in big-endian order. The header has a checksum of its own, so that a damaged
+// length isn't mistaken for a frame truncated by a crash. The checksums start from
+// a seed that is specific to the folder, so that stored payload bytes can't be
+// mistaken for a frame.
 const (
 	frameMagic      = 0x4c475746
 	frameHeaderSize = 24
-	// frameEnd and the first byte of the magic are not zero, so that the part
-	// of a sector at either end of a frame is zero only if it was not written.
+	// frameEnd and the first byte of the magic are not zero, so that the part of a
+	// sector at either end of a frame reads as zero only if it was not written.
 	frameEnd     = 0xa5
 	frameEndSize = 1
-	// maxPayload bounds one frame. The bound is checked before writing.
+	// maxPayload is the maximum payload size of a frame, checked before writing.
 	maxPayload = 256 << 20
-	// sectorSize is the unit that a disk writes whole or not at all.
+	// sectorSize is the unit that a disk writes atomically.
 	sectorSize = 512
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// seed is what the sums of a folder's frames start from.
-type seed uint32
+// checksumSeed is the initial value of the checksums of a folder's frames.
+type checksumSeed uint32
 
-func (s seed) sum(data []byte) uint32 { return crc32.Update(uint32(s), castagnoli, data) }
+func (s checksumSeed) sum(data []byte) uint32 { return crc32.Update(uint32(s), castagnoli, data) }
 
-// appendFrame adds a frame to dst.
-func (s seed) appendFrame(dst []byte, sequence uint64, payload []byte) []byte {
+// appendFrame appends a frame to dst.
+func (s checksumSeed) appendFrame(dst []byte, sequence uint64, payload []byte) []byte {
 	start := len(dst)
 	dst = binary.BigEndian.AppendUint32(dst, frameMagic)
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(payload)))
@@ -52,15 +53,17 @@
 	return append(dst, frameEnd)
 }
 
-// frameState is what stands at an offset.
+// frameState is the result of parsing a frame.
 type frameState int
 
 const (
-	frameWhole frameState = iota
+	frameComplete frameState = iota
 	frameTorn
 	frameDamaged
 )
 
+// parsedFrame is a frame read from a file. size includes header and end; reason
+// describes a torn or damaged frame.
 type parsedFrame struct {
 	state    frameState
 	sequence uint64
@@ -69,36 +72,36 @@
 	reason   string
 }
 
-// parseFrame reads the frame at offset, which is before the end of data. It
-// tells a frame that a crash cut short from a damaged one: a crash leaves the
-// file short, or sectors or the frame's end unwritten, which read as zero.
-// Anything else that does not match its sum was changed after it was written.
-func (s seed) parseFrame(data []byte, offset int) parsedFrame {
+// parseFrame parses the frame at offset, which must be below len(data). It
+// distinguishes a frame torn by a crash from a damaged one: a crash truncates the
+// file, or leaves sectors or the end of the frame unwritten, which read as zero. Any
+// other checksum mismatch means that the data changed after it was written.
+func (s checksumSeed) parseFrame(data []byte, offset int) parsedFrame {
 	rest := data[offset:]
 	if len(rest) < frameHeaderSize {
-		return parsedFrame{state: frameTorn, reason: "file ends in a frame's header"}
+		return parsedFrame{state: frameTorn, reason: "file ends within a frame header"}
 	}
 	header := rest[:frameHeaderSize]
-	sumAt := frameHeaderSize - 4
-	if s.sum(header[:sumAt]) != binary.BigEndian.Uint32(header[sumAt:]) || binary.BigEndian.Uint32(header) != frameMagic {
+	checkOffset := frameHeaderSize - 4
+	if s.sum(header[:checkOffset]) != binary.BigEndian.Uint32(header[checkOffset:]) || binary.BigEndian.Uint32(header) != frameMagic {
 		if unwritten(data, offset, offset+frameHeaderSize) || allZero(rest[frameHeaderSize:]) {
 			return parsedFrame{state: frameTorn, reason: "frame header was not written"}
 		}
-		return parsedFrame{state: frameDamaged, reason: "frame header does not match its sum"}
+		return parsedFrame{state: frameDamaged, reason: "frame header checksum mismatch"}
 	}
 	size := frameHeaderSize + int(binary.BigEndian.Uint32(header[4:])) + frameEndSize
 	if len(rest) < size {
-		return parsedFrame{state: frameTorn, reason: "file ends in a frame"}
+		return parsedFrame{state: frameTorn, reason: "file ends within a frame"}
 	}
 	payload := rest[frameHeaderSize : size-frameEndSize]
 	if s.sum(payload) != binary.BigEndian.Uint32(header[16:]) || rest[size-1] != frameEnd {
 		if unwritten(data, offset, offset+size) || rest[size-1] == 0 {
 			return parsedFrame{state: frameTorn, reason: "part of the frame was not written"}
 		}
-		return parsedFrame{state: frameDamaged, reason: "frame does not match its sum"}
+		return parsedFrame{state: frameDamaged, reason: "frame checksum mismatch"}
 	}
 	return parsedFrame{
-		state:    frameWhole,
+		state:    frameComplete,
 		sequence: binary.BigEndian.Uint64(header[8:]),
 		payload:  payload,
 		size:     size,
@@ -107,7 +110,8 @@
 
 func allZero(data []byte) bool { return len(bytes.TrimLeft(data, "\x00")) == 0 }
 
-// unwritten reports whether some sector's part of data[from:to] is all zero.
+// unwritten reports whether data[from:to] contains a sector, or part of one, that is
+// all zero.
 func unwritten(data []byte, from, to int) bool {
 	for start := from; start < to; {
 		end := min(to, (start/sectorSize+1)*sectorSize)
@@ -120,9 +124,9 @@
 	return false
 }
 
-// findFrame looks for a whole frame after offset, with a sequence above after.
-// It shows that the frame at offset had been synced before.
-func (s seed) findFrame(data []byte, offset int, after uint64) (int, bool) {
+// findFrame searches for a complete frame behind offset with a sequence number above
+// after. Such a frame proves that the frame at offset had been synced.
+func (s checksumSeed) findFrame(data []byte, offset int, after uint64) (int, bool) {
 	magic := binary.BigEndian.AppendUint32(nil, frameMagic)
 	for at := offset + 1; at < len(data); at++ {
 		next := bytes.Index(data[at:], magic)
@@ -130,21 +134,21 @@
 			return 0, false
 		}
 		at += next
-		if f := s.parseFrame(data, at); f.state == frameWhole && f.sequence > after {
+		if f := s.parseFrame(data, at); f.state == frameComplete && f.sequence > after {
 			return at, true
 		}
 	}
 	return 0, false
 }
 
-// walkFrames calls visit for each frame from offset on, in order. It returns
-// the length of the whole part, which is less than len(data) when the last
-// frame is torn, or a DamageError.
-func (s seed) walkFrames(file string, data []byte, offset int, visit func(payload []byte) error) (int, uint64, error) {
+// walkFrames calls visit for each frame from offset on, in order. It returns the
+// offset behind the last complete frame, which is below len(data) if the last frame
+// is torn, and the sequence number of that frame, or a DamageError.
+func (s checksumSeed) walkFrames(file string, data []byte, offset int, visit func(payload []byte) error) (int, uint64, error) {
 	var last uint64
 	for offset < len(data) {
 		f := s.parseFrame(data, offset)
-		if f.state != frameWhole {
+		if f.state != frameComplete {
 			next, follows := s.findFrame(data, offset, last)
 			if f.state == frameTorn && !follows {
 				return offset, last, nil
--- a/internal/adapter/disk/fs.go
+++ b/internal/adapter/disk/fs.go
@@ -9,30 +9,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is what the package needs of a file system. Names are within one folder.
+// FS is the file system interface used by this package. Names are relative to one
+// folder.
 type FS interface {
-	// Create makes a file, replacing one of that name.
+	// Create creates a file or truncates an existing one.
 	Create(name string) (File, error)
 	// Read returns a file's content, or an error matching os.ErrNotExist.
 	Read(name string) ([]byte, error)
 	List() ([]string, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncFolder makes the names of created, renamed and removed files last.
+	// SyncFolder makes the creation, renaming and removal of files durable.
 	SyncFolder() error
-	// Lock excludes other processes until the closer is closed. It returns
-	// ErrLocked when the lock is taken.
+	// Lock locks the folder against other processes until the closer is closed.
+	// It returns ErrLocked if another process holds the lock.
 	Lock() (io.Closer, error)
 }
 
-// File is a file being written from its start.
+// File is a file that is written sequentially from its start.
 type File interface {
 	io.Writer
-	// Reserve makes the file at least size bytes long, with zeros behind what
-	// is written, and syncs it. Writes into reserved space change no metadata,
-	// which makes their syncs cheaper.
+	// Reserve extends the file with zeros to at least size bytes and syncs it.
+	// Writes into reserved space change no metadata, which makes their syncs
+	// cheaper.
 	Reserve(size int64) error
-	// Sync returns once everything written will survive a crash.
+	// Sync returns once all written data survives a crash.
 	Sync() error
 	Close() error
 }
@@ -43,10 +44,10 @@
 	folderMode = 0o700
 )
 
-// osFS is FS over a folder of the operating system.
+// osFS implements FS on a folder of the operating system.
 type osFS struct{ folder string }
 
-// NewFS returns the file system of a folder, which it creates if needed.
+// NewFS returns an FS for the given folder and creates the folder if needed.
 func NewFS(folder string) (FS, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, eris.Wrap(err, "disk: data folder")
@@ -67,14 +68,15 @@
 	return &osFile{File: file}, nil
 }
 
-// osFile is File over a file of the operating system.
+// osFile implements File. reserved is the size up to which zeros were written.
 type osFile struct {
 	*os.File
 	reserved int64
 }
 
-// Reserve implements File. It writes the zeros: space that is only allocated
-// would be marked as written by each later sync, at the cost saved here.
+// Reserve implements File. It writes zeros instead of only allocating the space:
+// each later sync would have to mark allocated space as written, which is the
+// metadata change that Reserve avoids.
 func (f *osFile) Reserve(size int64) error {
 	position, err := f.Seek(0, io.SeekCurrent)
 	if err != nil {
@@ -91,8 +93,8 @@
 	return f.File.Sync()
 }
 
-// Sync implements File. The length is synced with the data where it changed;
-// other metadata is of no use after a crash.
+// Sync implements File. fdatasync includes a changed file size; other metadata isn't
+// needed after a crash.
 func (f *osFile) Sync() error {
 	for {
 		err := unix.Fdatasync(int(f.Fd()))
--- a/internal/adapter/disk/identity.go
+++ b/internal/adapter/disk/identity.go
@@ -13,21 +13,21 @@
 
 const identityName = "identity"
 
-// Identity says whose data folder this is. It is written once, when the folder
-// is formed, after the first segment is synced.
+// Identity identifies the owner of a data folder. It is written once, when the folder
+// is initialized, after the first segment is synced.
 type Identity struct {
 	Cluster string     `cbor:"1,keyasint"`
 	Host    ident.Host `cbor:"2,keyasint"`
-	// ID is random and stands in every file of the folder.
+	// ID is random and part of every segment and snapshot file of the folder.
 	ID uint64 `cbor:"3,keyasint"`
 }
 
-// drawID returns a random identity other than zero.
-func drawID() uint64 {
+// randomID returns a random identity other than zero.
+func randomID() uint64 {
 	var buffer [8]byte
 	for {
 		if _, err := rand.Read(buffer[:]); err != nil {
-			panic(eris.Wrap(err, "disk: no randomness"))
+			panic(eris.Wrap(err, "disk: random source failed"))
 		}
 		if id := binary.BigEndian.Uint64(buffer[:]); id != 0 {
 			return id
@@ -36,10 +36,10 @@
 }
 
 func writeIdentity(fs FS, identity Identity) error {
-	return writeFile(fs, identityName, seed(0).appendFrame(nil, 1, wire.MustMarshal(identity)))
+	return writeFile(fs, identityName, checksumSeed(0).appendFrame(nil, 1, wire.MustMarshal(identity)))
 }
 
-// readIdentity returns the identity, and false when the folder has none.
+// readIdentity returns the identity, or false if the folder has none.
 func readIdentity(fs FS) (Identity, bool, error) {
 	content, err := fs.Read(identityName)
 	if eris.Is(err, os.ErrNotExist) {
@@ -52,9 +52,9 @@
 	if len(content) == 0 {
 		return Identity{}, false, &DamageError{File: identityName, Reason: "file is empty"}
 	}
-	f := seed(0).parseFrame(content, 0)
-	if f.state != frameWhole || f.size != len(content) || wire.Unmarshal(f.payload, &identity) != nil {
-		return Identity{}, false, &DamageError{File: identityName, Reason: "identity does not match its sum"}
+	f := checksumSeed(0).parseFrame(content, 0)
+	if f.state != frameComplete || f.size != len(content) || wire.Unmarshal(f.payload, &identity) != nil {
+		return Identity{}, false, &DamageError{File: identityName, Reason: "identity checksum mismatch"}
 	}
 	return identity, true, nil
 }
--- a/internal/adapter/disk/open.go
+++ b/internal/adapter/disk/open.go
@@ -16,10 +16,10 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// Open locks the folder, reads it and starts its writer. A folder without an
-// identity is formed. A torn last frame is left out; everything else is written
-// to a new segment and synced before Open returns, because what an earlier
-// life left in the page cache need not be on the disk.
+// Open locks the folder, reads it and starts its writer. A folder without an identity
+// is initialized. A torn last frame is dropped; everything else is written to a new
+// segment and synced before Open returns, because data that a previous incarnation
+// left in the page cache may not be on disk yet.
 func Open(options Options) (*Folder, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -37,13 +37,13 @@
 		options.Log = log.New(io.Discard)
 	}
 	f := &Folder{
-		options: options,
-		fs:      options.FS,
-		stats:   newFolderStats(),
-		groups:  make(map[port.GroupID]*groupState),
-		stopped: make(chan struct{}),
+		options:    options,
+		fs:         options.FS,
+		stats:      newFolderStats(),
+		groups:     make(map[port.GroupID]*groupState),
+		writerDone: make(chan struct{}),
 	}
-	f.wake = sync.NewCond(&f.mu)
+	f.cond = sync.NewCond(&f.mu)
 	lock, err := f.fs.Lock()
 	if err != nil {
 		return nil, err
@@ -59,17 +59,18 @@
 	return f, nil
 }
 
+// recover restores the state from the files of the folder.
 func (f *Folder) recover() error {
 	names, err := f.fs.List()
 	if err != nil {
 		return eris.Wrap(err, "disk: list")
 	}
-	identity, formed, err := readIdentity(f.fs)
+	identity, ok, err := readIdentity(f.fs)
 	if err != nil {
 		return err
 	}
-	if !formed {
-		return f.form(names)
+	if !ok {
+		return f.initialize(names)
 	}
 	if identity.Cluster != f.options.Cluster || identity.Host != f.options.Host {
 		return fmt.Errorf("%w: it is of host %q in %q, this is host %q in %q", ErrForeign,
@@ -82,15 +83,15 @@
 	if err := f.rotate(); err != nil {
 		return f.fail("checkpoint", err)
 	}
-	return f.clean()
+	return f.removeUnused()
 }
 
-// form starts a new folder. A crash before the identity is synced leaves a
-// first segment, which is replaced: nothing can have been stored in it.
-func (f *Folder) form(names []string) error {
+// initialize sets up a new folder. A crash before the identity is synced leaves a first
+// segment, which is replaced: no update can have been stored in it.
+func (f *Folder) initialize(names []string) error {
 	first := segmentName(1)
 	for _, name := range names {
-		if name != lockName && name != first && !isLeftover(name) {
+		if name != lockName && name != first && !isTempFile(name) {
 			return &DamageError{File: identityName, Reason: "the file is missing but " + name + " is there"}
 		}
 	}
@@ -100,11 +101,11 @@
 			return eris.Wrap(err, "disk: first segment")
 		}
 		written := bytes.TrimRight(content, "\x00")
-		if len(written) > segmentHeaderSize+len(endFrame()) {
+		if len(written) > segmentHeaderSize+len(emptyCheckpoint()) {
 			return &DamageError{File: identityName, Reason: "the file is missing but a segment holds data"}
 		}
 	}
-	f.identity = Identity{Cluster: f.options.Cluster, Host: f.options.Host, ID: drawID()}
+	f.identity = Identity{Cluster: f.options.Cluster, Host: f.options.Host, ID: randomID()}
 	if err := f.rotate(); err != nil {
 		return f.fail("formation", err)
 	}
@@ -114,11 +115,12 @@
 	return nil
 }
 
-// endFrame is all that follows the header of a first segment without groups.
-func endFrame() []byte {
-	return seed(0).appendFrame(nil, 1, wire.MustMarshal([]record{{End: true}}))
+// emptyCheckpoint returns the checkpoint frame of a first segment, which has no groups.
+func emptyCheckpoint() []byte {
+	return checksumSeed(0).appendFrame(nil, 1, wire.MustMarshal([]record{{End: true}}))
 }
 
+// latestSegment returns the highest segment number in names, zero if there is none.
 func latestSegment(names []string) uint64 {
 	var latest uint64
 	for _, name := range names {
@@ -129,8 +131,8 @@
 	return latest
 }
 
-// replay reads the latest segment, which holds all there is. A torn last frame
-// is left out; nothing is ever written behind it, as a new segment follows.
+// replay reads the latest segment, which holds the complete state. A torn last frame is
+// dropped; no frame is written behind it because a new segment follows.
 func (f *Folder) replay(number uint64) error {
 	if number == 0 {
 		return &DamageError{File: segmentName(1), Reason: "the folder holds no segment"}
@@ -140,7 +142,7 @@
 	if err != nil {
 		return eris.Wrap(err, "disk: read segment")
 	}
-	f.number = number
+	f.segmentNumber = number
 	f.sequence, err = readSegment(number, f.identity.ID, data, f.replayRecord)
 	return err
 }
@@ -158,9 +160,9 @@
 	return nil
 }
 
-// clean deletes files that a crash left over.
-func (f *Folder) clean() error {
-	used := map[string]bool{identityName: true, lockName: true, segmentName(f.number): true}
+// removeUnused verifies the snapshots in use and removes files that a crash left behind.
+func (f *Folder) removeUnused() error {
+	used := map[string]bool{identityName: true, lockName: true, segmentName(f.segmentNumber): true}
 	for id, state := range f.groups {
 		if _, err := f.readSnapshot(id, state.snapshot); err != nil {
 			return err
@@ -172,8 +174,8 @@
 		return eris.Wrap(err, "disk: list")
 	}
 	for _, name := range names {
-		ours := strings.HasSuffix(name, snapshotSuffix) || strings.HasSuffix(name, segmentSuffix) || isLeftover(name)
-		if used[name] || !ours {
+		owned := strings.HasSuffix(name, snapshotSuffix) || strings.HasSuffix(name, segmentSuffix) || isTempFile(name)
+		if used[name] || !owned {
 			continue
 		}
 		if err := f.fs.Remove(name); err != nil {
--- a/internal/adapter/disk/record.go
+++ b/internal/adapter/disk/record.go
@@ -7,45 +7,47 @@
 	"github.com/lovagereach/lovagereach/quorum"
 )
 
-// snapshotRef names a synced snapshot file.
+// snapshotRef refers to a synced snapshot file.
 type snapshotRef struct {
 	Meta quorum.SnapshotMeta `cbor:"1,keyasint"`
 	// File is empty for a snapshot without data.
 	File string `cbor:"2,keyasint,omitempty"`
 }
 
-// record is one group's part of a frame.
+// record is a change of one group's state; a frame is a list of records.
 type record struct {
 	Group port.GroupID `cbor:"1,keyasint"`
-	// Reset marks a checkpoint: the record holds the group's whole state.
+	// Reset discards the state before the record. It marks the first record of a
+	// group in a checkpoint.
 	Reset bool              `cbor:"2,keyasint,omitempty"`
 	Hard  *quorum.HardState `cbor:"3,keyasint,omitempty"`
 	// Snapshot replaces the log up to its index, or all of it with Replace.
 	Snapshot *snapshotRef `cbor:"4,keyasint,omitempty"`
 	Replace  bool         `cbor:"5,keyasint,omitempty"`
-	// Entries replace everything from the first one's index.
+	// Entries replace all entries from the index of the first one on.
 	Entries []quorum.Entry `cbor:"6,keyasint,omitempty"`
-	// End closes the checkpoint at a segment's start. A segment without it has
-	// lost synced data.
+	// End marks the end of the checkpoint at the start of a segment. A segment
+	// without it has lost synced data.
 	End bool `cbor:"7,keyasint,omitempty"`
 }
 
-// groupState is what is stored of one group. The entries share their data
-// with the caller's.
+// groupState is the stored state of one group. The entries share their data with the
+// caller's entries.
 type groupState struct {
 	hard     quorum.HardState
 	snapshot snapshotRef
 	entries  []quorum.Entry
 }
 
-func (s *groupState) last() uint64 {
+// lastIndex returns the index of the last entry, or that of the snapshot.
+func (s *groupState) lastIndex() uint64 {
 	return s.snapshot.Meta.Index + uint64(len(s.entries))
 }
 
-// check reports whether r may follow s.
+// check returns an ErrUpdate if r is inconsistent with s.
 func (s *groupState) check(r *record) error {
 	index := s.snapshot.Meta.Index
-	last := s.last()
+	last := s.lastIndex()
 	if r.Reset {
 		index, last = 0, 0
 	}
@@ -68,13 +70,13 @@
 	}
 	for i := range r.Entries {
 		if r.Entries[i].Index != first+uint64(i) {
-			return fmt.Errorf("%w: entry %d stands in place of %d", ErrUpdate, r.Entries[i].Index, first+uint64(i))
+			return fmt.Errorf("%w: entry %d in place of entry %d", ErrUpdate, r.Entries[i].Index, first+uint64(i))
 		}
 	}
 	return nil
 }
 
-// apply adds r, which has been checked.
+// apply applies r, which must have passed check.
 func (s *groupState) apply(r *record) {
 	if r.Reset {
 		*s = groupState{}
@@ -83,7 +85,7 @@
 		s.hard = *r.Hard
 	}
 	if r.Snapshot != nil {
-		s.install(r)
+		s.installSnapshot(r)
 	}
 	if len(r.Entries) == 0 {
 		return
@@ -92,19 +94,19 @@
 	s.entries = append(s.entries[:keep], r.Entries...)
 }
 
-func (s *groupState) install(r *record) {
+// installSnapshot replaces the snapshot and drops the entries that it covers.
+func (s *groupState) installSnapshot(r *record) {
 	dropped := r.Snapshot.Meta.Index - s.snapshot.Meta.Index
 	if r.Replace || dropped >= uint64(len(s.entries)) {
 		s.entries = nil
 	} else {
-		// A copy, so that the dropped entries can be collected.
+		// Copy, so that the garbage collector can free the dropped entries.
 		s.entries = append([]quorum.Entry(nil), s.entries[dropped:]...)
 	}
 	s.snapshot = *r.Snapshot
 }
 
-// checkpoint returns records that hold the whole of s, in parts of about
-// limit bytes.
+// checkpoint returns records that hold all of s, each of about limit bytes.
 func (s *groupState) checkpoint(group port.GroupID, limit int) []record {
 	records := []record{{Group: group, Reset: true, Hard: &s.hard, Snapshot: &s.snapshot}}
 	start, size := 0, 0
@@ -121,11 +123,12 @@
 	return records
 }
 
-// entryOverhead is roughly an entry's size on disk beside its data.
+// entryOverhead is the approximate size of an entry on disk without its data.
 const entryOverhead = 32
 
 func entrySize(e *quorum.Entry) int { return entryOverhead + len(e.Data) }
 
+// size returns the approximate size on disk in bytes.
 func (r *record) size() int {
 	size := 2 * entryOverhead
 	for i := range r.Entries {
--- a/internal/adapter/disk/segment.go
+++ b/internal/adapter/disk/segment.go
@@ -12,7 +12,7 @@
 	segmentSuffix = ".log"
 	tempSuffix    = ".tmp"
 	segmentMagic  = "LVRSEG01"
-	// segmentHeaderSize holds magic, number, folder identity and a sum.
+	// segmentHeaderSize is the size of magic, number, folder identity and checksum.
 	segmentHeaderSize = 8 + 8 + 8 + 4
 )
 
@@ -33,16 +33,16 @@
 	return binary.BigEndian.AppendUint32(header, seedOf(identity).sum(header))
 }
 
-// seedOf returns the seed of a folder's frames.
-func seedOf(identity uint64) seed { return seed(identity ^ identity>>32) }
+// seedOf returns the checksum seed of a folder.
+func seedOf(identity uint64) checksumSeed { return checksumSeed(identity ^ identity>>32) }
 
-// readSegment checks the header and replays the records of a segment. It
-// returns the last frame's sequence.
+// readSegment checks the header of a segment and calls visit for each record. It
+// returns the sequence number of the last frame.
 func readSegment(number, identity uint64, data []byte, visit func(*record) error) (uint64, error) {
 	name := segmentName(number)
 	want := segmentHeader(number, identity)
 	if !strings.HasPrefix(string(data), string(want)) {
-		return 0, &DamageError{File: name, Reason: "segment header is not this folder's"}
+		return 0, &DamageError{File: name, Reason: "segment header does not match this folder"}
 	}
 	complete := false
 	end, sequence, err := seedOf(identity).walkFrames(name, data, len(want), func(payload []byte) error {
--- a/internal/adapter/disk/snapshot.go
+++ b/internal/adapter/disk/snapshot.go
@@ -13,12 +13,13 @@
 
 const snapshotSuffix = ".snap"
 
-// A snapshot file holds two frames: its meta data, and its data.
+// A snapshot file holds two frames, metadata and data, with these sequence numbers.
 const (
 	snapshotMetaFrame = 1
 	snapshotDataFrame = 2
 )
 
+// snapshotMeta is the metadata frame of a snapshot file.
 type snapshotMeta struct {
 	Identity uint64              `cbor:"1,keyasint"`
 	Group    port.GroupID        `cbor:"2,keyasint"`
@@ -29,8 +30,8 @@
 	return fmt.Sprintf("snapshot-%08x-%016x-%016x%s", uint32(group), meta.Index, meta.Term, snapshotSuffix)
 }
 
-// writeFile makes a file that is either there in full after a crash or not at
-// all.
+// writeFile creates a file atomically: after a crash it is either complete or
+// missing.
 func writeFile(fs FS, name string, content []byte) error {
 	temp := name + tempSuffix
 	file, err := fs.Create(temp)
@@ -60,8 +61,8 @@
 	return seedOf(identity).appendFrame(content, snapshotDataFrame, snapshot.Data), nil
 }
 
-// decodeSnapshot returns the data of a snapshot file. The file was synced
-// before the log named it, so a torn one is damage as well.
+// decodeSnapshot returns the data of a snapshot file. The file was synced before the
+// log referred to it, so a torn frame is reported as damage as well.
 func decodeSnapshot(identity uint64, group port.GroupID, ref snapshotRef, content []byte) ([]byte, error) {
 	damaged := func(offset int, reason string) ([]byte, error) {
 		return nil, &DamageError{File: ref.File, Offset: int64(offset), Reason: reason}
@@ -79,14 +80,14 @@
 	}
 	var meta snapshotMeta
 	if err := wire.Unmarshal(parts[0], &meta); err != nil {
-		return damaged(0, "snapshot meta data: "+err.Error())
+		return damaged(0, "snapshot metadata: "+err.Error())
 	}
 	if meta.Identity != identity || meta.Group != group || meta.Meta.Index != ref.Meta.Index || meta.Meta.Term != ref.Meta.Term {
-		return damaged(0, "snapshot is not the one the log names")
+		return damaged(0, "snapshot does not match its reference in the log")
 	}
 	return parts[1], nil
 }
 
-func isLeftover(name string) bool {
+func isTempFile(name string) bool {
 	return strings.HasSuffix(name, tempSuffix)
 }
--- a/internal/adapter/disk/writer.go
+++ b/internal/adapter/disk/writer.go
@@ -11,14 +11,14 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// run writes and syncs whatever is pending, one frame at a time, until the
-// folder is closed or fails. What arrives during a sync shares the next one.
+// run writes and syncs pending updates, one frame at a time, until the folder is
+// closed or fails. Updates that arrive during a sync share the next one.
 func (f *Folder) run() {
-	defer close(f.stopped)
+	defer close(f.writerDone)
 	for {
-		batch := f.next()
+		batch := f.nextBatch()
 		if len(batch) == 0 {
-			f.abort(f.Err())
+			f.failPending(f.Err())
 			return
 		}
 		obsolete, err := f.commit(batch)
@@ -26,22 +26,22 @@
 			batch[i].done(err)
 		}
 		if err == nil {
-			err = f.tidy(obsolete)
+			err = f.rotateAndClean(obsolete)
 		}
 		if err != nil {
-			f.abort(err)
+			f.failPending(err)
 			return
 		}
 	}
 }
 
-// next waits for updates and takes as many as fit a batch. It returns none
-// when the writer is to end.
-func (f *Folder) next() []pendingUpdate {
+// nextBatch waits for updates and removes as many from the queue as fit into a
+// batch. It returns an empty batch if the writer has to stop.
+func (f *Folder) nextBatch() []pendingUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for len(f.pending) == 0 && !f.closed && f.failed == nil {
-		f.wake.Wait()
+		f.cond.Wait()
 	}
 	if f.failed != nil {
 		return nil
@@ -56,8 +56,8 @@
 	return batch
 }
 
-// abort answers everything that still waits after a failure.
-func (f *Folder) abort(cause error) {
+// failPending completes all pending updates with cause.
+func (f *Folder) failPending(cause error) {
 	f.mu.Lock()
 	waiting := f.pending
 	f.pending = nil
@@ -67,10 +67,10 @@
 	}
 }
 
-// commit makes a batch durable and returns the snapshot files that nothing
-// names any more. Updates that do not fit the stored state are left out.
+// commit makes a batch durable and returns the snapshot files that are no longer
+// referenced. Updates that are inconsistent with the stored state are skipped.
 func (f *Folder) commit(batch []pendingUpdate) ([]string, error) {
-	records, obsolete := f.admit(batch)
+	records, obsolete := f.applyBatch(batch)
 	if len(records) > 0 {
 		if err := f.append(records); err != nil {
 			return nil, f.fail("log write", err)
@@ -80,10 +80,10 @@
 	return obsolete, nil
 }
 
-// tidy begins a new segment when the present one has grown long, and deletes
-// obsolete files.
-func (f *Folder) tidy(obsolete []string) error {
-	if f.size > f.limit {
+// rotateAndClean starts a new segment if the current one exceeds its limit, and
+// removes obsolete files.
+func (f *Folder) rotateAndClean(obsolete []string) error {
+	if f.segmentSize > f.segmentLimit {
 		if err := f.rotate(); err != nil {
 			return f.fail("checkpoint", err)
 		}
@@ -91,9 +91,9 @@
 	return f.removeAll(obsolete)
 }
 
-// admit applies the records in order and returns those to write, and the
-// snapshot files that they replace.
-func (f *Folder) admit(batch []pendingUpdate) (records []record, obsolete []string) {
+// applyBatch applies the records in order. It returns the records to write and the
+// snapshot files that are no longer referenced.
+func (f *Folder) applyBatch(batch []pendingUpdate) (records []record, obsolete []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range batch {
@@ -102,7 +102,7 @@
 		if !ok {
 			state = &groupState{}
 		}
-		if err := f.refuse(state, r, ok); err != nil {
+		if err := f.checkUpdate(state, r, ok); err != nil {
 			done := batch[i].done
 			batch[i].done = func(error) { done(err) }
 			if r.Snapshot != nil && r.Snapshot.File != "" && r.Snapshot.File != state.snapshot.File {
@@ -121,7 +121,8 @@
 	return records, obsolete
 }
 
-func (f *Folder) refuse(state *groupState, r *record, known bool) error {
+// checkUpdate returns an ErrUpdate if r exceeds a limit or is inconsistent with state.
+func (f *Folder) checkUpdate(state *groupState, r *record, known bool) error {
 	if !known && len(f.groups) >= MaxGroups {
 		return eris.Wrapf(ErrUpdate, "more than %d groups", MaxGroups)
 	}
@@ -131,6 +132,7 @@
 	return state.check(r)
 }
 
+// append writes records in one frame and syncs it.
 func (f *Folder) append(records []record) error {
 	if err := f.writeFrame(records); err != nil {
 		return err
@@ -144,20 +146,20 @@
 		return err
 	}
 	data := seedOf(f.identity.ID).appendFrame(nil, f.sequence+1, payload)
-	if err := f.reserve(f.size + len(data)); err != nil {
+	if err := f.reserve(f.segmentSize + len(data)); err != nil {
 		return err
 	}
 	if err := f.write(data); err != nil {
 		return err
 	}
 	f.sequence++
-	f.size += len(data)
+	f.segmentSize += len(data)
 	return nil
 }
 
-// reserve keeps zeros ahead of the log. Syncs within them write no metadata,
-// so they don't wait for the file system's journal, which all writers of the
-// disk share.
+// reserve ensures that the file has size bytes, and writes zeros ahead of the log if
+// needed. Syncs of reserved space write no metadata, so they don't wait for the file
+// system's journal, which all writers of the disk share.
 func (f *Folder) reserve(size int) error {
 	if size <= f.reserved {
 		return nil
@@ -180,9 +182,9 @@
 }
 
 func (f *Folder) sync() error {
-	began := time.Now()
+	startedAt := time.Now()
 	err := f.file.Sync()
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	f.stats.syncs.Inc()
 	f.stats.syncTime.Update(took.Seconds())
 	if took > SlowSync {
@@ -192,11 +194,11 @@
 	return err
 }
 
-// rotate begins a segment with a checkpoint of all groups. It takes its final
-// name only once it is synced, so an incomplete checkpoint is never read; the
-// old segment goes after the new name has lasted.
+// rotate starts a new segment with a checkpoint of all groups. The segment gets its
+// final name only after it is synced, so that an incomplete checkpoint is never read;
+// the old segment is removed after the new name is durable.
 func (f *Folder) rotate() error {
-	old := f.number
+	old := f.segmentNumber
 	if f.file != nil {
 		_ = f.file.Close()
 	}
@@ -205,8 +207,8 @@
 	if err != nil {
 		return eris.Wrap(err, "create segment")
 	}
-	f.file, f.number, f.size, f.reserved = file, old+1, segmentHeaderSize, 0
-	if err := f.write(segmentHeader(f.number, f.identity.ID)); err != nil {
+	f.file, f.segmentNumber, f.segmentSize, f.reserved = file, old+1, segmentHeaderSize, 0
+	if err := f.write(segmentHeader(f.segmentNumber, f.identity.ID)); err != nil {
 		return err
 	}
 	if err := f.checkpoint(); err != nil {
@@ -215,13 +217,13 @@
 	if err := f.sync(); err != nil {
 		return err
 	}
-	if err := f.fs.Rename(temp, segmentName(f.number)); err != nil {
+	if err := f.fs.Rename(temp, segmentName(f.segmentNumber)); err != nil {
 		return eris.Wrap(err, "rename segment")
 	}
 	if err := f.fs.SyncFolder(); err != nil {
 		return eris.Wrap(err, "sync folder")
 	}
-	f.limit = max(f.options.SegmentBytes, segmentGrowth*f.size)
+	f.segmentLimit = max(f.options.SegmentBytes, segmentGrowth*f.segmentSize)
 	f.stats.checkpoints.Inc()
 	if old == 0 {
 		return nil
@@ -250,8 +252,8 @@
 	return f.groups[id].checkpoint(id, f.options.BatchBytes)
 }
 
-// removeAll deletes files that nothing names any more. Their names need not
-// be synced away: opening the folder deletes them again.
+// removeAll removes files that are no longer referenced. The removal need not be
+// synced: Open removes the files again if they reappear after a crash.
 func (f *Folder) removeAll(names []string) error {
 	for _, name := range names {
 		if err := f.fs.Remove(name); err != nil {
