--- a/internal/adapter/announce/announce.go
+++ b/internal/adapter/announce/announce.go
@@ -1,6 +1,6 @@
-// Package announce listens for upstreams: their announcements, load reports
-// and cache events, as JSON over HTTP. It checks and bounds what it reads and
-// hands it to a Sink; it keeps no state of its own.
+// Package announce is the HTTP listener for announcements, load reports and cache events
+// of upstreams, sent as JSON. It validates messages, limits their size and passes them to
+// a Sink; it holds no state.
 package announce
 
 import (
@@ -18,56 +18,56 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// Paths of the listener.
+// URL paths of the listener.
 const (
 	PathAnnouncement = "/v1/announce"
 	PathLoad         = "/v1/load"
 	PathEvents       = "/v1/cache-events"
 )
 
-// Bounds on what one upstream may send.
+// Limits of one message, in bytes or items, and timeouts.
 const (
-	// MaxBody is the largest body in bytes.
+	// MaxBody is the maximum body size in bytes.
 	MaxBody = 1 << 20
-	// MaxHeader is the largest header in bytes.
+	// MaxHeader is the maximum header size in bytes.
 	MaxHeader = 16 << 10
-	// MaxEvents is the largest number of cache events in one batch.
+	// MaxEvents is the maximum number of cache events in a batch.
 	MaxEvents = 4096
-	// MaxName is the longest identity in bytes.
+	// MaxName is the maximum length of an identifier in bytes.
 	MaxName = 128
-	// MaxModels is the largest number of loaded versions announced.
+	// MaxModels is the maximum number of loaded versions in an announcement.
 	MaxModels = 64
-	// MaxAdapters is the largest number of adapters of one loaded version.
+	// MaxAdapters is the maximum number of adapters of a loaded version.
 	MaxAdapters = 256
-	// MaxLease is the longest lease an announcement may ask for.
+	// MaxLease is the maximum lease that an announcement may request.
 	MaxLease = time.Minute
-	// ioTimeout bounds reading one request and writing its answer.
+	// ioTimeout is the timeout of reading a request and of writing its answer.
 	ioTimeout = 5 * time.Second
-	// idleTimeout bounds a silent connection.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 2 * time.Minute
 )
 
-// Reply answers an announcement.
+// Reply is the answer to an announcement.
 type Reply struct {
-	// LeaseMillis is how long the announcement holds here.
+	// LeaseMillis is the time for which this entry holds the announcement.
 	LeaseMillis int64 `json:"lease_ms"`
-	// Entries are the announcement listeners, each an IP and port, to which
-	// the upstream announces itself and reports from now on.
+	// Entries are the announcement listeners, each an IP address and port, to
+	// which the upstream sends announcements and reports from now on.
 	Entries []string `json:"entries"`
-	// Resync asks the upstream to announce itself once more without waiting.
+	// Resync requests another announcement without delay.
 	Resync bool `json:"resync,omitempty"`
-	// ReportEveryMillis and EventsEveryMillis are the shortest intervals at
-	// which this entry wants load reports and batches of cache events; zero
-	// leaves them to the upstream.
+	// ReportEveryMillis and EventsEveryMillis are the minimum intervals between
+	// load reports and between batches of cache events to this entry; zero leaves
+	// them to the upstream.
 	ReportEveryMillis int64 `json:"report_every_ms,omitempty"`
 	EventsEveryMillis int64 `json:"events_every_ms,omitempty"`
 }
 
-// Assignment is what a Sink answers to an announcement.
+// Assignment is a Sink's answer to an announcement.
 type Assignment struct {
-	// Entries are the addresses to announce to from now on.
+	// Entries are the addresses to which the upstream sends announcements from now on.
 	Entries []string
-	// Pace is how often the upstream should report here.
+	// Pace holds the intervals of the upstream's reports to this entry.
 	Pace upstream.ReportIntervals
 }
 
@@ -80,14 +80,14 @@
 	}
 }
 
-// EventsReply answers a batch of cache events.
+// EventsReply is the answer to a batch of cache events.
 type EventsReply struct {
-	// Snapshot tells that events are missing and that a snapshot will be read.
+	// Snapshot is true if events are missing and the entry will read a snapshot.
 	Snapshot bool `json:"snapshot,omitempty"`
 }
 
-// Sink takes what upstreams say. Its methods return an error only for input
-// that the sender should correct.
+// Sink receives the messages of upstreams. Its methods return an error only for invalid
+// input; the error is sent to the upstream.
 type Sink interface {
 	Announce(port.Announcement) (Assignment, error)
 	Load(port.LoadReport) error
@@ -95,8 +95,7 @@
 	Events(port.CacheEvents) (bool, error)
 }
 
-// NewServer returns the HTTP server of the listener; the caller serves and
-// closes it.
+// NewServer returns the HTTP server of the listener. The caller starts and closes it.
 func NewServer(sink Sink, set *metrics.Set) *http.Server {
 	return &http.Server{
 		Handler:           NewHandler(sink, set),
@@ -108,7 +107,7 @@
 	}
 }
 
-// NewHandler returns the listener's handler.
+// NewHandler returns the HTTP handler of the listener. It registers its counters in set.
 func NewHandler(sink Sink, set *metrics.Set) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+PathAnnouncement, receive(set, "announcement", checkAnnouncement,
@@ -126,10 +125,10 @@
 	return mux
 }
 
-// receive decodes one kind of message, checks it and answers with what take
-// returns.
-func receive[M any](set *metrics.Set, kind string, check func(M) error, take func(M) (any, error)) http.Handler {
-	taken := set.NewCounter(fmt.Sprintf(`lovagereach_announce_messages_total{kind=%q}`, kind))
+// receive returns a handler that decodes and checks one kind of message, passes it to
+// handle and sends the result as the answer.
+func receive[M any](set *metrics.Set, kind string, check func(M) error, handle func(M) (any, error)) http.Handler {
+	accepted := set.NewCounter(fmt.Sprintf(`lovagereach_announce_messages_total{kind=%q}`, kind))
 	refused := set.NewCounter(fmt.Sprintf(`lovagereach_announce_refused_total{kind=%q}`, kind))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		message, err := decode[M](w, r)
@@ -138,14 +137,14 @@
 		}
 		var answer any
 		if err == nil {
-			answer, err = take(message)
+			answer, err = handle(message)
 		}
 		if err != nil {
 			refused.Inc()
 			writeError(w, err)
 			return
 		}
-		taken.Inc()
+		accepted.Inc()
 		writeAnswer(w, answer)
 	})
 }
@@ -156,7 +155,7 @@
 	if err != nil {
 		return message, err
 	}
-	// An upstream newer than this entry may send fields it does not know.
+	// Unknown fields are allowed: the upstream may be newer than this entry.
 	return message, httpbound.DecodeJSON(body, &message, true)
 }
 
@@ -169,7 +168,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// errorBody is the shape of a refusal.
+// errorBody is the JSON body of a refusal.
 type errorBody struct {
 	Error string `json:"error"`
 	Field string `json:"field,omitempty"`
@@ -260,7 +259,7 @@
 	if message.Running < 0 || message.Queued < 0 || message.QueuedTokens < 0 || message.Age < 0 {
 		return invalid("running", "counts, tokens and age can't be negative")
 	}
-	// The comparison is written so that NaN fails it too.
+	// Written as a negation so that NaN is refused too.
 	if !(message.LinkBusy >= 0 && message.LinkBusy <= 1) {
 		return invalid("link_busy", "%v is not between 0 and 1", message.LinkBusy)
 	}
--- a/internal/adapter/announce/announce_test.go
+++ b/internal/adapter/announce/announce_test.go
@@ -15,7 +15,7 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// fakeSink counts what it is given.
+// fakeSink records the messages it receives and returns err.
 type fakeSink struct {
 	announced []port.Announcement
 	loads     []port.LoadReport
@@ -48,7 +48,7 @@
 const engine = `{"upstream":"runner-1","incarnation":7,"kind":"engine","address":"127.0.0.1:9000","data_centre":"hall-north",
 "models":[{"model":"m","version":"v1","adapters":["a"]}],"lease_ms":3000,"slots":4,"block_bytes":1024,"new_field":true}`
 
-func TestGoodMessages(t *testing.T) {
+func TestValidMessagesReachSink(t *testing.T) {
 	sink := &fakeSink{}
 	got := post(sink, PathAnnouncement, engine)
 	var reply Reply
@@ -69,9 +69,9 @@
 	}
 }
 
-// Whatever an upstream sends, only what is within bounds may reach the
-// registry, and the sender must learn which field is at fault.
-func TestHostileMessages(t *testing.T) {
+// Upstreams send invalid messages. They must not reach the sink, and the answer must name
+// the invalid field.
+func TestInvalidMessagesAreRefused(t *testing.T) {
 	change := func(old, new string) string { return strings.Replace(engine, old, new, 1) }
 	cases := map[string]struct {
 		path, body string
@@ -111,13 +111,13 @@
 				t.Errorf("got %d %+v", got.Code, body)
 			}
 			if len(sink.announced)+len(sink.loads)+len(sink.events) != 0 {
-				t.Error("the message was taken")
+				t.Error("the message reached the sink")
 			}
 		})
 	}
 }
 
-func TestRefusalReachesTheSender(t *testing.T) {
+func TestSinkErrorIsReturnedToSender(t *testing.T) {
 	got := post(&fakeSink{err: errors.New("an earlier life")}, PathAnnouncement, engine)
 	if got.Code != http.StatusBadRequest || !strings.Contains(got.Body.String(), "an earlier life") {
 		t.Errorf("got %d %s", got.Code, got.Body)
--- a/internal/adapter/engine/bench_test.go
+++ b/internal/adapter/engine/bench_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// BenchmarkDirectRequest is the cost of a request of one token without an
-// entry between, stand-in included.
+// BenchmarkDirectRequest measures a request of one token sent directly to an engine
+// stand-in, without an entry in between; it includes the cost of the stand-in.
 func BenchmarkDirectRequest(b *testing.B) {
 	client := benchmarkEngine(b)
 	b.ReportAllocs()
@@ -52,8 +52,8 @@
 	}
 }
 
-// BenchmarkDirectToken is the cost of one token of a long answer without an
-// entry between, stand-in included.
+// BenchmarkDirectToken measures one token of a long answer sent directly by an engine
+// stand-in, without an entry in between; it includes the cost of the stand-in.
 func BenchmarkDirectToken(b *testing.B) {
 	const tokens = 1000
 	client := benchmarkEngine(b)
@@ -66,8 +66,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(n*tokens), "ns/token")
 }
 
-// BenchmarkReadToken is the adapter's own cost of one token, from bytes that
-// are already there: in the form that this project writes, and in any other.
+// BenchmarkReadToken measures the adapter's cost of decoding one token from memory: in
+// the exact form that upstreamapi writes, and in general JSON.
 func BenchmarkReadToken(b *testing.B) {
 	codec := upstreamapi.NewTokenCodec(testRequest.Request, testRequest.Attempt)
 	forms := map[string]func(index int) string{
--- a/internal/adapter/engine/engine.go
+++ b/internal/adapter/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine reaches model engines over HTTP: it implements port.Engine on
-// the interface of package upstreamapi.
+// Package engine is the HTTP client of model engines. It implements port.Engine with the
+// protocol of package upstreamapi.
 package engine
 
 import (
@@ -20,32 +20,33 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// DefaultIdleTimeout is how long a stream may stay silent.
+// DefaultIdleTimeout is the default of Options.IdleTimeout.
 const DefaultIdleTimeout = 30 * time.Second
 
-// Options configure the clients of all engines of a process.
+// Options configures the clients of all engines of a process.
 type Options struct {
-	// Transport is shared by all engines; nil means one of its own.
+	// Transport is shared by all engines; if nil, New creates one for the client.
 	Transport *httpsend.Transport
-	// IdleTimeout bounds an engine's silence before and between its tokens; a
-	// comment of the event stream breaks the silence as a token does. Zero
-	// means DefaultIdleTimeout.
+	// IdleTimeout is the maximum time without data from the engine, before and
+	// between tokens; comments of the event stream count as data. Zero selects
+	// DefaultIdleTimeout.
 	IdleTimeout time.Duration
-	// Counters receive what was dropped; nil means counters of its own.
+	// Counters counts dropped events; if nil, New creates counters for the client.
 	Counters *Counters
 }
 
-// Counters count events that belonged to no live attempt or came twice.
+// Counters counts dropped events and broken streams.
 type Counters struct {
 	// Crossed counts events of another request or attempt.
 	Crossed atomic.Uint64
-	// Duplicated counts tokens that had already been delivered.
+	// Duplicated counts tokens that had been delivered before.
 	Duplicated atomic.Uint64
-	// Broken counts streams that ended before their end was announced.
+	// Broken counts streams that failed before their final event and end marker,
+	// other than by an error event of the engine.
 	Broken atomic.Uint64
 }
 
-// Client is one engine.
+// Client is the client of one engine.
 type Client struct {
 	options Options
 	caller  *httpcall.Caller
@@ -53,7 +54,7 @@
 
 var _ port.Engine = (*Client)(nil)
 
-// New returns the client of the engine at address, an IP and port.
+// New returns a client of the engine at address, an IP address and port.
 func New(address string, options Options) *Client {
 	if options.Transport == nil {
 		options.Transport = httpsend.NoRetryTransport()
@@ -70,7 +71,7 @@
 // Counters returns the counters of dropped events.
 func (c *Client) Counters() *Counters { return c.options.Counters }
 
-// Generate implements port.Engine. ctx bounds the whole stream.
+// Generate implements port.Engine. ctx applies to the complete stream.
 func (c *Client) Generate(ctx context.Context, req port.GenerateRequest) (port.TokenStream, error) {
 	body, err := json.Marshal(completionRequest(req))
 	if err != nil {
@@ -88,7 +89,7 @@
 	idle := time.AfterFunc(c.options.IdleTimeout, cancel)
 	resp, err := c.options.Transport.Do(httpReq.WithContext(streamCtx), req.Request, req.Attempt)
 	if err != nil {
-		err = silence(ctx, streamCtx, err)
+		err = classifyTimeout(ctx, streamCtx, err)
 		idle.Stop()
 		cancel()
 		return nil, err
@@ -102,9 +103,9 @@
 	return newStream(ctx, req, resp.Body, streamControl{cancel: cancel, idle: idle, idleTimeout: c.options.IdleTimeout}, c.options.Counters), nil
 }
 
-// silence gives an attempt that ended because the engine stayed silent its
-// cause: the transport sees a cancelled request and takes the caller for gone.
-func silence(ctx, streamCtx context.Context, err error) error {
+// classifyTimeout returns a timeout error for an attempt that the idle timer cancelled.
+// The transport reports such an attempt as cancelled by the caller.
+func classifyTimeout(ctx, streamCtx context.Context, err error) error {
 	if ctx.Err() != nil || streamCtx.Err() == nil || outcome.KindOf(err) != outcome.KindUnknown {
 		return err
 	}
--- a/internal/adapter/engine/stream.go
+++ b/internal/adapter/engine/stream.go
@@ -13,15 +13,15 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// streamControl ends a stream that is cancelled or silent.
+// streamControl cancels a stream when its idle timer expires or its caller cancels.
 type streamControl struct {
 	cancel      context.CancelFunc
 	idle        *time.Timer
 	idleTimeout time.Duration
 }
 
-// stream reads one answer. Reading happens in Next itself, so a slow caller
-// slows the engine down instead of filling a queue.
+// stream reads one streamed answer. Next reads from the body synchronously, so that a
+// slow caller causes backpressure on the engine instead of filling a queue.
 type stream struct {
 	ctx      context.Context
 	request  port.GenerateRequest
@@ -30,21 +30,25 @@
 	codec    *upstreamapi.TokenCodec
 	control  streamControl
 	counters *Counters
-	next     int
-	end      *port.TokenEvent
-	over     error
-}
-
-// listener reads a body and takes every byte for a sign of life. Engines send
-// comments while a request waits in their queue, which may last longer than any
-// silence that should be borne.
-type listener struct {
+	// next is the index of the next token expected.
+	next int
+	// finalEvent is the event with the finish reason, returned once the end of the
+	// stream confirms it.
+	finalEvent *port.TokenEvent
+	// closeErr is returned by Next once the stream has ended.
+	closeErr error
+}
+
+// activityReader reads a body and resets the idle timer whenever data arrives. Engines
+// send comments while a request waits in their queue, which may take longer than the
+// idle timeout.
+type activityReader struct {
 	body    io.Reader
 	control streamControl
 }
 
 // Read implements io.Reader.
-func (l *listener) Read(p []byte) (int, error) {
+func (l *activityReader) Read(p []byte) (int, error) {
 	n, err := l.body.Read(p)
 	if n > 0 {
 		l.control.idle.Reset(l.control.idleTimeout)
@@ -52,17 +56,17 @@
 	return n, err
 }
 
-// drainTimeout bounds the wait for the end of a body after its last event.
+// drainTimeout is the maximum time to wait for the end of the body after the last event.
 const drainTimeout = 100 * time.Millisecond
 
-var errStreamOver = errors.New("stream is over")
+var errStreamEnded = errors.New("stream is over")
 
 func newStream(ctx context.Context, req port.GenerateRequest, body io.ReadCloser, control streamControl, counters *Counters) *stream {
 	return &stream{
 		ctx:      ctx,
 		request:  req,
 		body:     body,
-		events:   upstreamapi.NewEventReader(&listener{body: body, control: control}),
+		events:   upstreamapi.NewEventReader(&activityReader{body: body, control: control}),
 		codec:    upstreamapi.NewTokenCodec(req.Request, req.Attempt),
 		control:  control,
 		counters: counters,
@@ -72,8 +76,8 @@
 
 // Next implements port.TokenStream.
 func (s *stream) Next(ctx context.Context) (port.TokenEvent, error) {
-	if s.over != nil {
-		return port.TokenEvent{}, s.over
+	if s.closeErr != nil {
+		return port.TokenEvent{}, s.closeErr
 	}
 	if ctx.Done() != nil && ctx.Done() != s.ctx.Done() {
 		stop := context.AfterFunc(ctx, s.control.cancel)
@@ -84,18 +88,18 @@
 	s.control.idle.Stop()
 	switch {
 	case err != nil:
-		s.over = s.broken(ctx, err)
+		s.closeErr = s.classifyError(ctx, err)
 		s.release()
-		return port.TokenEvent{}, s.over
+		return port.TokenEvent{}, s.closeErr
 	case event.Done:
-		s.over = errStreamOver
+		s.closeErr = errStreamEnded
 		s.drain()
 		s.release()
 	}
 	return event, nil
 }
 
-// read returns the next event that belongs to this attempt and advances it.
+// read returns the next event of this attempt and drops events of other attempts.
 func (s *stream) read() (port.TokenEvent, error) {
 	for {
 		data, err := s.events.Next()
@@ -103,14 +107,14 @@
 			return port.TokenEvent{}, err
 		}
 		if string(data) == upstreamapi.EndOfStream {
-			if s.end == nil {
+			if s.finalEvent == nil {
 				return port.TokenEvent{}, upstreamapi.ErrTruncated
 			}
-			return *s.end, nil
+			return *s.finalEvent, nil
 		}
 		if index, text, ok := s.codec.Parse(data); ok {
-			event, use, err := s.token(index, text)
-			if err != nil || use {
+			event, deliver, err := s.handleToken(index, text)
+			if err != nil || deliver {
 				return event, err
 			}
 			continue
@@ -123,8 +127,8 @@
 			s.counters.Crossed.Add(1)
 			continue
 		}
-		event, use, err := s.accept(chunk)
-		if err != nil || use {
+		event, deliver, err := s.handleChunk(chunk)
+		if err != nil || deliver {
 			return event, err
 		}
 	}
@@ -138,8 +142,9 @@
 	return chunk, nil
 }
 
-// accept takes a chunk of this attempt.
-func (s *stream) accept(chunk upstreamapi.CompletionChunk) (port.TokenEvent, bool, error) {
+// handleChunk processes a chunk of this attempt. It returns true if the chunk holds a
+// token to deliver.
+func (s *stream) handleChunk(chunk upstreamapi.CompletionChunk) (port.TokenEvent, bool, error) {
 	if chunk.Error != nil {
 		return port.TokenEvent{}, false, &outcome.Failed{Reason: outcome.ReasonUpstreamError, Detail: chunk.Error.Message}
 	}
@@ -150,25 +155,25 @@
 	if choice.FinishReason != "" {
 		return port.TokenEvent{}, false, s.finish(chunk, choice)
 	}
-	return s.token(choice.TokenIndex, choice.Text)
+	return s.handleToken(choice.TokenIndex, choice.Text)
 }
 
-// token takes one token. Tokens must come in order: one that was delivered
-// already is dropped, one after a gap breaks the stream, since the caller would
-// otherwise get a short answer that looks whole.
-func (s *stream) token(index int, text string) (port.TokenEvent, bool, error) {
+// handleToken returns the event of a token and true, or false if the token was delivered
+// before. A token after a gap is an error: the caller would otherwise get a shortened
+// answer that looks complete.
+func (s *stream) handleToken(index int, text string) (port.TokenEvent, bool, error) {
 	if index < s.next {
 		s.counters.Duplicated.Add(1)
 		return port.TokenEvent{}, false, nil
 	}
-	if index > s.next || s.end != nil {
+	if index > s.next || s.finalEvent != nil {
 		return port.TokenEvent{}, false, fmt.Errorf("token %d came where %d was due", index, s.next)
 	}
 	s.next++
 	return port.TokenEvent{Index: index, Text: text}, true, nil
 }
 
-// finish keeps the last event until the end of the stream confirms it.
+// finish stores the final event until the end of the stream confirms it.
 func (s *stream) finish(chunk upstreamapi.CompletionChunk, choice upstreamapi.Choice) error {
 	if chunk.Usage == nil {
 		return errors.New("last event carries no usage")
@@ -176,7 +181,7 @@
 	if chunk.Usage.CompletionTokens != s.next {
 		return fmt.Errorf("engine counts %d tokens where %d came", chunk.Usage.CompletionTokens, s.next)
 	}
-	s.end = &port.TokenEvent{
+	s.finalEvent = &port.TokenEvent{
 		Index:        s.next,
 		Done:         true,
 		FinishReason: choice.FinishReason,
@@ -192,8 +197,8 @@
 	return nil
 }
 
-// broken classifies the error that ended the stream.
-func (s *stream) broken(ctx context.Context, err error) error {
+// classifyError returns the outcome of a stream that failed with err.
+func (s *stream) classifyError(ctx context.Context, err error) error {
 	var failed *outcome.Failed
 	if errors.As(err, &failed) {
 		return failed
@@ -204,7 +209,7 @@
 	case ctx.Err() != nil || s.ctx.Err() != nil:
 		return &outcome.Unknown{Reason: contextReason(ctx, s.ctx), Detail: detail}
 	case errors.Is(err, context.Canceled):
-		// Neither context ended, so the idle timer did it.
+		// Neither context is done, so the idle timer cancelled the stream.
 		return &outcome.Unknown{Reason: outcome.ReasonTimeout, Detail: detail}
 	default:
 		return &outcome.Unknown{Reason: outcome.ReasonStreamBroken, Detail: detail}
@@ -220,27 +225,28 @@
 	return outcome.ReasonTimeout
 }
 
-// drain reads the end of the body after the last event, so that the connection
-// can be used again. An engine that does not end the body soon loses the
-// connection, not the caller its answer.
+// drain reads the end of the body after the last event, so that the connection can be
+// reused. If the body doesn't end within drainTimeout, the connection is closed; the
+// caller still gets the complete answer.
 func (s *stream) drain() {
 	limit := time.AfterFunc(drainTimeout, s.control.cancel)
 	defer limit.Stop()
-	_, _ = s.events.Next() // only the end of the body may follow
+	_, _ = s.events.Next() // only the end of the body can follow
 }
 
-// Close implements port.TokenStream. Closing the connection before the end
-// cancels the request at the engine.
+// Close implements port.TokenStream. Before the end of the stream it closes the
+// connection, which cancels the request at the engine.
 func (s *stream) Close() error {
-	if s.over == nil {
-		s.over = errStreamOver
+	if s.closeErr == nil {
+		s.closeErr = errStreamEnded
 	}
 	s.release()
 	return nil
 }
 
+// release stops the idle timer and releases the connection.
 func (s *stream) release() {
 	s.control.idle.Stop()
 	s.control.cancel()
-	_ = s.body.Close() // an error here changes nothing: the stream is over
+	_ = s.body.Close() // an error is irrelevant: the stream has ended
 }
--- a/internal/adapter/engine/stream_test.go
+++ b/internal/adapter/engine/stream_test.go
@@ -18,7 +18,7 @@
 
 var testRequest = port.GenerateRequest{Request: ident.Request{7}, Attempt: 2, MaxTokens: 3}
 
-// testStream reads body as the answer to testRequest.
+// testStream returns a stream that reads body as the answer to testRequest.
 func testStream(ctx context.Context, body io.Reader, resumeAt int) (*stream, *Counters) {
 	req := testRequest
 	req.ResumeAt = resumeAt
@@ -28,12 +28,14 @@
 	return newStream(ctx, req, io.NopCloser(body), control, counters), counters
 }
 
-// token returns an event of the given request byte and attempt.
+// token returns a token event of the request with the given first ID byte and of the
+// given attempt.
 func token(request byte, attempt, index int) string {
 	return fmt.Sprintf("data: {\"id\":%q,\"attempt\":%d,\"choices\":[{\"token_index\":%d,\"text\":\"t%d\"}]}\n\n",
 		ident.Request{request}, attempt, index, index)
 }
 
+// last returns the final event of testRequest with the given token count.
 func last(tokens int) string {
 	return fmt.Sprintf("data: {\"id\":%q,\"attempt\":2,\"choices\":[{\"finish_reason\":\"length\"}],\"usage\":{\"completion_tokens\":%d}}\n\n",
 		ident.Request{7}, tokens)
@@ -52,9 +54,9 @@
 	}
 }
 
-// An engine sends events that are late, of another request or attempt, twice,
-// out of order or cut. The caller must get exactly its tokens in order, each
-// once, or an error; never a short answer that looks whole.
+// An engine sends events that are late, repeated, out of order, truncated, or that belong
+// to another request or attempt. The caller must get each of its tokens once and in order,
+// or an error, but never a shortened answer that looks complete.
 func TestStream(t *testing.T) {
 	own := func(index int) string { return token(7, 2, index) }
 	cases := map[string]struct {
@@ -96,14 +98,14 @@
 				t.Errorf("crossed %d, duplicated %d; want %d, %d", counters.Crossed.Load(), counters.Duplicated.Load(), c.crossed, c.duplicated)
 			}
 			if _, err := s.Next(t.Context()); err == nil {
-				t.Error("a stream that is over gave another event")
+				t.Error("a stream returned another event after its end")
 			}
 		})
 	}
 }
 
-// silentBody blocks until the stream's context is cancelled, as the body of a
-// connection does whose far side says nothing.
+// silentBody blocks until the stream's context is cancelled, like the body of a
+// connection on which no data arrives.
 type silentBody struct{ cancelled <-chan struct{} }
 
 func (b silentBody) Read([]byte) (int, error) {
@@ -111,10 +113,10 @@
 	return 0, context.Canceled
 }
 
-// An engine goes silent in the middle of an answer and keeps the connection
-// open. The caller must hear of it after the idle time or when its own wait
-// ends, whichever is first, and be told which it was.
-func TestStreamEndsWhenSilent(t *testing.T) {
+// An engine stops sending in the middle of an answer and keeps the connection open. Next
+// must fail after the idle timeout or when the caller's context is done, whichever is
+// first, with the matching reason.
+func TestStreamFailsOnIdleTimeout(t *testing.T) {
 	cases := map[string]struct {
 		own    time.Duration
 		cancel bool
@@ -128,11 +130,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				whole, stop := context.WithCancel(t.Context())
+				streamCtx, stop := context.WithCancel(t.Context())
 				defer stop()
-				bodyCtx, cancelBody := context.WithCancel(whole)
+				bodyCtx, cancelBody := context.WithCancel(streamCtx)
 				control := streamControl{cancel: cancelBody, idle: time.AfterFunc(time.Hour, cancelBody), idleTimeout: 5 * time.Second}
-				s := newStream(whole, testRequest, io.NopCloser(silentBody{bodyCtx.Done()}), control, &Counters{})
+				s := newStream(streamCtx, testRequest, io.NopCloser(silentBody{bodyCtx.Done()}), control, &Counters{})
 				own, cancelOwn := context.WithTimeout(t.Context(), c.own)
 				if c.cancel {
 					own, cancelOwn = context.WithCancel(t.Context())
@@ -153,9 +155,9 @@
 	}
 }
 
-// A request waits in an engine's queue for longer than any silence is borne.
-// As long as comments come it must not be given up, and once they stop it must.
-func TestStreamLivesOnComments(t *testing.T) {
+// A request waits in an engine's queue for longer than the idle timeout. The stream must
+// stay open as long as comments arrive, and fail once they stop.
+func TestCommentsResetIdleTimeout(t *testing.T) {
 	for name, answered := range map[string]bool{"then an answer": true, "then silence": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -187,12 +189,12 @@
 	}
 }
 
-// An engine that takes a request and never begins its answer is stalled; the
-// caller has not gone. An attempt that was never sent stays not run.
-func TestSilenceBeforeTheAnswer(t *testing.T) {
-	ended, end := context.WithCancel(context.Background())
-	end()
-	gone := &outcome.Unknown{Reason: outcome.ReasonCallerGone}
+// An engine accepts a request and never starts its answer. The error must be a timeout,
+// not a cancellation by the caller; an attempt that was never sent must stay not-run.
+func TestClassifyTimeout(t *testing.T) {
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	callerGone := &outcome.Unknown{Reason: outcome.ReasonCallerGone}
 	notRun := &outcome.NotRun{Reason: outcome.ReasonDial}
 	cases := map[string]struct {
 		ctx, streamCtx context.Context
@@ -200,13 +202,13 @@
 		kind           outcome.Kind
 		reason         outcome.Reason
 	}{
-		"idle time ran out": {context.Background(), ended, gone, outcome.KindUnknown, outcome.ReasonTimeout},
-		"caller has gone":   {ended, ended, gone, outcome.KindUnknown, outcome.ReasonCallerGone},
-		"connection lost":   {context.Background(), context.Background(), gone, outcome.KindUnknown, outcome.ReasonCallerGone},
-		"never sent":        {context.Background(), ended, notRun, outcome.KindNotRun, outcome.ReasonDial},
+		"idle time ran out": {context.Background(), cancelled, callerGone, outcome.KindUnknown, outcome.ReasonTimeout},
+		"caller has gone":   {cancelled, cancelled, callerGone, outcome.KindUnknown, outcome.ReasonCallerGone},
+		"connection lost":   {context.Background(), context.Background(), callerGone, outcome.KindUnknown, outcome.ReasonCallerGone},
+		"never sent":        {context.Background(), cancelled, notRun, outcome.KindNotRun, outcome.ReasonDial},
 	}
 	for name, c := range cases {
-		err := silence(c.ctx, c.streamCtx, c.err)
+		err := classifyTimeout(c.ctx, c.streamCtx, c.err)
 		var unknown *outcome.Unknown
 		if outcome.KindOf(err) != c.kind || (errors.As(err, &unknown) && unknown.Reason != c.reason) {
 			t.Errorf("%s: %v, want %v with %s", name, err, c.kind, c.reason)
@@ -225,11 +227,11 @@
 				return
 			}
 			if event.Index != index {
-				t.Fatalf("token %d came where %d was due", event.Index, index)
+				t.Fatalf("got token %d, want token %d", event.Index, index)
 			}
 			if event.Done {
 				if event.Usage.OutputTokens != index {
-					t.Fatalf("whole answer of %d tokens said to have %d", index, event.Usage.OutputTokens)
+					t.Fatalf("complete answer of %d tokens reports %d", index, event.Usage.OutputTokens)
 				}
 				return
 			}
--- a/internal/adapter/httpcall/httpcall.go
+++ b/internal/adapter/httpcall/httpcall.go
@@ -1,6 +1,6 @@
-// Package httpcall makes the short JSON calls of the engine and store
-// adapters: sent at most once, every error classified as an outcome, every
-// answer bounded and matched by the identity of its call.
+// Package httpcall makes the short JSON calls of the engine and store adapters. A call
+// is sent at most once, its errors are classified as outcomes, and its answer is limited
+// in size and matched by the request ID.
 package httpcall
 
 import (
@@ -19,22 +19,22 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Caller makes calls to one upstream.
+// Caller sends calls to one upstream.
 type Caller struct {
 	transport *httpsend.Transport
 	base      string
 }
 
-// NewCaller returns a caller of the upstream at address, an IP and port.
+// NewCaller returns a Caller for the upstream at address, an IP address and port.
 func NewCaller(transport *httpsend.Transport, address string) *Caller {
 	return &Caller{transport: transport, base: "http://" + address}
 }
 
-// Base returns the URL of the upstream without a path.
+// Base returns the URL of the upstream, without a path.
 func (c *Caller) Base() string { return c.base }
 
-// Post sends body as JSON and decodes at most limit bytes of answer; with a nil
-// answer only its status counts.
+// Post sends body as JSON and decodes a response of at most limit bytes into answer. If
+// answer is nil, only the status is checked.
 func (c *Caller) Post(ctx context.Context, path string, body any, limit int64, answer any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return c.do(ctx, builder, limit, answer)
 }
 
-// Get reads a path and decodes at most limit bytes of answer.
+// Get requests a path and decodes a response of at most limit bytes into answer.
 func (c *Caller) Get(ctx context.Context, path string, limit int64, answer any) error {
 	return c.do(ctx, sling.New().Base(c.base).Get(path), limit, answer)
 }
@@ -56,11 +56,11 @@
 	if err != nil {
 		return eris.Wrap(err, "build request")
 	}
-	// Each call has an identity of its own, so that an answer to another one
-	// is not taken for this one's.
+	// Each call has a request ID of its own, so that the answer to another call isn't
+	// accepted for this one.
 	id, err := ident.NewRequest(rand.Reader)
 	if err != nil {
-		return eris.Wrap(err, "draw call identity")
+		return eris.Wrap(err, "create request ID")
 	}
 	resp, err := c.transport.Do(req.WithContext(ctx), id, 1)
 	if err != nil {
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// read reads an answer to its end, also one of which only the status matters:
-// an answer that was cut proves nothing, and a connection whose answer was not
-// read can't be used again.
+// read reads a response completely, even if only the status is needed: a truncated
+// response proves nothing, and a connection can be reused only after its response was
+// read.
 func read(resp *http.Response, limit int64, answer any) error {
 	data, err := upstreamapi.ReadBounded(resp.Body, limit)
 	if err != nil || answer == nil || resp.StatusCode == http.StatusNoContent {
@@ -87,10 +87,10 @@
 	return json.Unmarshal(data, answer)
 }
 
-// Failure turns an error answer into *outcome.Failed, with the upstream's
-// message when it gave one in the JSON error shape. An error answer without
-// the attempt's identity may come from something between and says nothing
-// about the upstream: it is *outcome.Unknown.
+// Failure converts an error response into *outcome.Failed, with the upstream's message
+// if the body is an upstreamapi.ErrorBody. An error response without the request ID and
+// attempt may come from an intermediary instead of the upstream; for it, Failure returns
+// *outcome.Unknown.
 func Failure(resp *http.Response, request ident.Request, attempt uint32) error {
 	detail := http.StatusText(resp.StatusCode)
 	var body upstreamapi.ErrorBody
--- a/internal/adapter/httpsend/conn.go
+++ b/internal/adapter/httpsend/conn.go
@@ -6,47 +6,47 @@
 	"sync"
 )
 
-// errSealed reports a write to a connection after its request was declared
-// not sent.
-var errSealed = errors.New("httpsend: connection is sealed")
+// errClosedUnwritten is the error of a write to a connection whose request was reported
+// as not sent.
+var errClosedUnwritten = errors.New("httpsend: connection was closed before its request was written")
 
-// countedConn counts writes. HTTP/1.1 has one request at a time on a
-// connection, so a write after the connection was handed to a request is that
-// request's.
+// countedConn counts writes. HTTP/1.1 sends one request at a time on a connection, so a
+// write after a request got the connection belongs to that request.
 type countedConn struct {
 	net.Conn
 	mu     sync.Mutex
 	writes uint64
-	sealed bool
+	closed bool
 }
 
-// Write counts before the bytes leave: a write that fails may have sent some.
+// Write implements io.Writer. It counts the write before it sends the bytes, because a
+// failed write may have sent some of them.
 func (c *countedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.closed {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errClosedUnwritten
 	}
 	c.writes++
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
+// count returns the number of writes.
 func (c *countedConn) count() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// sealIfUnwritten reports whether nothing was written since the count was
-// start, and if so stops every later write. Without the seal the transport's
-// own goroutine could still write the request after its caller was told that
-// nothing was sent.
-func (c *countedConn) sealIfUnwritten(start uint64) bool {
+// closeIfUnwritten reports whether nothing was written since the count was start. If so,
+// it closes the connection and makes later writes fail. Otherwise the goroutine of
+// http.Transport could still write the request after Do reported it as not sent.
+func (c *countedConn) closeIfUnwritten(start uint64) bool {
 	c.mu.Lock()
 	unwritten := c.writes == start
 	if unwritten {
-		c.sealed = true
+		c.closed = true
 	}
 	c.mu.Unlock()
 	if unwritten {
--- a/internal/adapter/httpsend/doc.go
+++ b/internal/adapter/httpsend/doc.go
@@ -1,10 +1,8 @@
-// Package httpsend sends one HTTP request at most once and reports what is
-// certain about it.
+// Package httpsend sends an HTTP request at most once and reports whether it was sent.
 //
-// The standard library's http.Transport sends a request again by itself when
-// a reused connection turns out to be closed and the request looks repeatable
-// to it: its method is GET, HEAD, OPTIONS or TRACE, or it carries an
-// Idempotency-Key or X-Idempotency-Key header. That is just what the calls
-// that must not be repeated carry. NoRetryTransport makes every such retry
-// impossible.
+// The standard library's http.Transport retries a request by itself when a reused
+// connection turns out to be closed and it considers the request idempotent: the
+// method is GET, HEAD, OPTIONS or TRACE, or the request has an Idempotency-Key or
+// X-Idempotency-Key header. Calls that must not be repeated have exactly these
+// headers. NoRetryTransport prevents all such retries.
 package httpsend
--- a/internal/adapter/httpsend/ended.go
+++ b/internal/adapter/httpsend/ended.go
@@ -7,15 +7,15 @@
 	"syscall"
 )
 
-// Ended reports whether nothing listens at an address, as after the end of a process.
-// Without a clear answer it reports false.
+// Ended reports whether connections to address are refused, as after the end of the
+// listening process. After any other error, such as a timeout, it returns false.
 func Ended(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// Nothing was sent, and nothing can be done about a failure to close.
+	// Nothing was sent, so an error of Close is irrelevant.
 	_ = conn.Close()
 	return false
 }
--- a/internal/adapter/httpsend/ended_test.go
+++ b/internal/adapter/httpsend/ended_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Only an address that refuses connections tells of an end.
+// Only refused connections count as the end of a process; a cancelled dial does not.
 func TestEnded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -14,15 +14,15 @@
 	}
 	address := listener.Addr().String()
 	if Ended(context.Background(), address) {
-		t.Error("a process that listens counts as ended")
+		t.Error("a listening process is reported as ended")
 	}
 	_ = listener.Close()
 	if !Ended(context.Background(), address) {
-		t.Error("a process that refuses connections does not count as ended")
+		t.Error("an address that refuses connections is not reported as ended")
 	}
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if Ended(gone, address) {
-		t.Error("without an answer nothing is known")
+	if Ended(cancelled, address) {
+		t.Error("a cancelled dial is reported as the end of the process")
 	}
 }
--- a/internal/adapter/httpsend/kept_test.go
+++ b/internal/adapter/httpsend/kept_test.go
@@ -13,15 +13,14 @@
 	"time"
 )
 
-// A caller's call takes a kept connection just as bytes come on it that belong to no
-// request, such as a second answer to the one before, or its end. Go's transport gives
-// the connection up before a byte of the call has left, and the call ended as not run:
+// A call gets a reused connection at the moment at which the server closes it or sends a
+// second response to the previous request. http.Transport drops the connection before a
+// byte of the call was sent. The call must go out on another connection instead of
+// failing with
 //
 //	not run (connection-lost): no byte was sent: readLoopPeekFailLocked
-//
-// That was true, and yet a failure of a call that any new connection would have carried.
-func TestAKeptConnectionThatEndsUnderACallCostsNoAnswer(t *testing.T) {
-	for name, end := range map[string]func(net.Conn){
+func TestReusedConnectionClosedBeforeWriteIsReplaced(t *testing.T) {
+	for name, interfere := range map[string]func(net.Conn){
 		"closed":          func(c net.Conn) { _ = c.Close() },
 		"a second answer": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno") },
 	} {
@@ -33,7 +32,7 @@
 				}
 				defer listener.Close()
 				conns := make(chan net.Conn, 4)
-				var read atomic.Int64
+				var received atomic.Int64
 				go func() {
 					for {
 						conn, err := listener.Accept()
@@ -41,19 +40,19 @@
 							return
 						}
 						conns <- conn
-						go answerAll(conn, &read)
+						go answerAll(conn, &received)
 					}
 				}()
 				transport := NoRetryTransport()
 				defer transport.CloseIdleConnections()
-				call := func(taken func()) error {
+				call := func(onReuse func()) error {
 					req, err := http.NewRequest(method, "http://"+listener.Addr().String()+"/", strings.NewReader("bid"))
 					if err != nil {
 						t.Fatal(err)
 					}
 					ctx := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 						if info.Reused {
-							taken()
+							onReuse()
 						}
 					}})
 					resp, err := transport.Do(req.WithContext(ctx), testRequest, 1)
@@ -68,10 +67,10 @@
 					t.Fatal(err)
 				}
 				first := <-conns
-				if err := call(func() { end(first); time.Sleep(50 * time.Millisecond) }); err != nil {
-					t.Errorf("the call ends with %v", err)
+				if err := call(func() { interfere(first); time.Sleep(50 * time.Millisecond) }); err != nil {
+					t.Errorf("call: %v", err)
 				}
-				if n := read.Load(); n != 2 {
+				if n := received.Load(); n != 2 {
 					t.Errorf("%d calls reached the server, want 2", n)
 				}
 			})
@@ -79,8 +78,8 @@
 	}
 }
 
-// answerAll answers every request on a connection, and counts those that came whole.
-func answerAll(conn net.Conn, read *atomic.Int64) {
+// answerAll answers every request on a connection and counts the completely received ones.
+func answerAll(conn net.Conn, received *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -91,7 +90,7 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		read.Add(1)
+		received.Add(1)
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
 }
--- a/internal/adapter/httpsend/send.go
+++ b/internal/adapter/httpsend/send.go
@@ -13,50 +13,50 @@
 	"github.com/lovagereach/lovagereach/retry"
 )
 
-// Headers by which requests and answers are matched.
+// Headers that match answers to requests.
 const (
-	// HeaderRequest carries the request identity and HeaderAttempt the attempt;
-	// an upstream that knows them repeats both in its answer.
+	// HeaderRequest holds the request ID and HeaderAttempt the attempt number. An
+	// upstream that supports them repeats both in its answer.
 	HeaderRequest = "Lovage-Request-Id"
 	HeaderAttempt = "Lovage-Attempt"
-	// HeaderNotRun is an upstream's own statement that it did not run the
-	// request. Its value names the request and the attempt, so that a refusal
-	// made by something in between, or kept from another request, is not taken
-	// for one.
+	// HeaderNotRun is set by an upstream that did not run the request. Its value
+	// contains the request ID and the attempt, so that a refusal by an intermediary,
+	// or one for another request, isn't mistaken for it.
 	HeaderNotRun = "Lovage-Not-Run"
 )
 
-// RefusalValue is the value of HeaderNotRun for an attempt.
+// RefusalValue returns the value of HeaderNotRun for an attempt.
 func RefusalValue(request ident.Request, attempt uint32) string {
 	return request.String() + "/" + strconv.FormatUint(uint64(attempt), 10)
 }
 
-// Do sends one attempt at most once. An error is *outcome.NotRun when no byte
-// was written or the upstream states that it did not run the request, else
-// *outcome.Unknown. An answer with an error status is an answer; the caller
-// reads and closes its body.
+// Do sends one attempt at most once. The error is *outcome.NotRun if no byte was
+// written or the upstream reports that it did not run the request, otherwise
+// *outcome.Unknown. A response with an error status is returned without an error; the
+// caller reads and closes the body.
 //
-// A kept connection may end, or bytes of another answer come on it, just when it was
-// chosen. The caller would be told not-run for a call that any new connection carries;
-// while no byte has left, and none can any more, the call goes out on another.
+// A reused connection may be closed, or receive bytes of another answer, just when it is
+// chosen. If no byte of the request was written and none can be written any more, Do
+// sends the request on another connection instead of returning *outcome.NotRun.
 func (t *Transport) Do(req *http.Request, request ident.Request, attempt uint32) (*http.Response, error) {
 	for tries := 1; ; tries++ {
-		resp, ended, err := t.once(req, request, attempt)
-		if err == nil || !ended || tries == maxKeptEnded || req.Context().Err() != nil {
+		resp, unsent, err := t.sendOnce(req, request, attempt)
+		if err == nil || !unsent || tries == maxReusedClosed || req.Context().Err() != nil {
 			return resp, err
 		}
-		if req, err = again(req, err); err != nil {
+		if req, err = rewind(req, err); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// maxKeptEnded bounds the connections that one call is given. Where a server closes all
-// kept ones at once, the next may end alike.
-const maxKeptEnded = 3
+// maxReusedClosed is the maximum number of connections tried for one call. When a server
+// closes all idle connections at the same time, the next reused one may be closed as well.
+const maxReusedClosed = 3
 
-// again returns the request with its body from the start, or cause if that can't be had.
-func again(req *http.Request, cause error) (*http.Request, error) {
+// rewind returns the request with its body reset to the start, or cause if the body can't
+// be reset.
+func rewind(req *http.Request, cause error) (*http.Request, error) {
 	if req.Body == nil || req.Body == http.NoBody {
 		return req, nil
 	}
@@ -72,11 +72,11 @@
 	return next, nil
 }
 
-// once gives the call to one connection. ended tells that this was a kept one, which
-// took no byte of the call and takes none any more.
-func (t *Transport) once(req *http.Request, request ident.Request, attempt uint32) (resp *http.Response, ended bool, err error) {
-	watch := &connWatch{}
-	trace := &httptrace.ClientTrace{GotConn: watch.gotConn}
+// sendOnce sends the request on one connection. unsent is true if this was a reused one,
+// no byte of the request was written to it, and it is closed to later writes.
+func (t *Transport) sendOnce(req *http.Request, request ident.Request, attempt uint32) (resp *http.Response, unsent bool, err error) {
+	tracker := &connTracker{}
+	trace := &httptrace.ClientTrace{GotConn: tracker.gotConn}
 	traced := req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	traced.Header = req.Header.Clone()
 	if traced.Header == nil {
@@ -87,10 +87,10 @@
 
 	resp, err = t.RoundTrip(traced)
 	if err != nil {
-		evidence := watch.evidence(req.Context(), err)
-		return nil, watch.keptUnwritten(evidence), retry.Classify(evidence)
+		evidence := tracker.evidence(req.Context(), err)
+		return nil, tracker.reusedUnwritten(evidence), retry.Classify(evidence)
 	}
-	evidence := judge(resp.Header, request, attempt)
+	evidence := matchAnswer(resp.Header, request, attempt)
 	if evidence.Refused || evidence.Mismatched {
 		resp.Body.Close()
 		return nil, false, retry.Classify(evidence)
@@ -98,8 +98,8 @@
 	return resp, false, nil
 }
 
-// judge reads what an answer's header says about whose answer it is.
-func judge(header http.Header, request ident.Request, attempt uint32) retry.Evidence {
+// matchAnswer compares the headers of an answer with the request and attempt.
+func matchAnswer(header http.Header, request ident.Request, attempt uint32) retry.Evidence {
 	e := retry.Evidence{Wrote: true, Answered: true}
 	if id := header.Get(HeaderRequest); id != "" && id != request.String() {
 		e.Mismatched = true
@@ -111,39 +111,43 @@
 	return e
 }
 
-// connWatch learns which connection a request was given.
-type connWatch struct {
-	mu    sync.Mutex
-	conn  *countedConn
+// connTracker records the connection that http.Transport chose for a request.
+type connTracker struct {
+	mu   sync.Mutex
+	conn *countedConn
+	// start is the write count of conn when the request got it.
 	start uint64
-	// kept tells that the connection had carried a request before.
-	kept  bool
-	other bool
+	// reused is set if the connection was used by a previous request.
+	reused bool
+	// untracked is set if the request got a second connection or one that isn't a
+	// countedConn.
+	untracked bool
 }
 
-func (w *connWatch) gotConn(info httptrace.GotConnInfo) {
+func (w *connTracker) gotConn(info httptrace.GotConnInfo) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	conn, ok := info.Conn.(*countedConn)
 	if !ok || w.conn != nil {
-		w.other = true
+		w.untracked = true
 		return
 	}
 	w.conn = conn
 	w.start = conn.count()
-	w.kept = info.Reused
+	w.reused = info.Reused
 }
 
-// keptUnwritten reports whether the request was given a kept connection only, which is
-// sealed without a byte of it.
-func (w *connWatch) keptUnwritten(e retry.Evidence) bool {
+// reusedUnwritten reports whether the request got only a reused connection, which was
+// closed before a byte of the request was written.
+func (w *connTracker) reusedUnwritten(e retry.Evidence) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.kept && !w.other && !e.Wrote
+	return w.reused && !w.untracked && !e.Wrote
 }
 
-// evidence describes a request that ended with err and without an answer.
-func (w *connWatch) evidence(ctx context.Context, err error) retry.Evidence {
+// evidence returns the evidence for a request that failed with err and without an answer.
+// It closes the connection if nothing was written.
+func (w *connTracker) evidence(ctx context.Context, err error) retry.Evidence {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := retry.Evidence{
@@ -152,18 +156,18 @@
 		CallerGone: errors.Is(ctx.Err(), context.Canceled),
 	}
 	switch {
-	case w.other:
+	case w.untracked:
 		e.Wrote = true
 	case w.conn == nil:
 		var dial *net.OpError
 		e.DialFailed = errors.As(err, &dial) && dial.Op == "dial"
 	default:
-		e.Wrote = !w.conn.sealIfUnwritten(w.start)
+		e.Wrote = !w.conn.closeIfUnwritten(w.start)
 	}
 	return e
 }
 
-// Broken classifies an answer whose body ended with err before its end.
+// Broken classifies an answer whose body could not be read completely because of err.
 func Broken(err error) error {
 	var timeout interface{ Timeout() bool }
 	timedOut := errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/adapter/httpsend/send_test.go
+++ b/internal/adapter/httpsend/send_test.go
@@ -18,9 +18,9 @@
 
 var testRequest = ident.Request{1, 2, 3}
 
-// flakyServer answers the first request on each connection and reads every
-// later one in full before it closes the connection without an answer. It
-// counts the requests that it read: each of them may have run.
+// flakyServer answers the first request on each connection. It reads later ones
+// completely and closes the connection without an answer. It counts the requests that
+// it read: each of them may have run.
 type flakyServer struct {
 	listener net.Listener
 	read     atomic.Int64
@@ -89,12 +89,11 @@
 	resp.Body.Close()
 }
 
-// The caller of a bid would see it run twice. A bid goes out on a reused
-// connection; the replica reads it whole and dies before it answers; Go's
-// http.Transport takes the Idempotency-Key as leave to repeat and sends the
-// bid again on a new connection. The first half shows that it does, so that
-// the second half, on our transport, can fail.
-func TestStandardRetryIsOff(t *testing.T) {
+// Guards against a call that runs twice. A call is sent on a reused connection and the
+// replica reads it completely, but crashes before it answers; http.Transport repeats a
+// call with an Idempotency-Key on a new connection. The first half of the test shows that
+// it does, which proves that the check of NoRetryTransport in the second half can fail.
+func TestNoRetryOnReusedConnection(t *testing.T) {
 	cases := []struct{ name, method, body string }{
 		{"post with body", http.MethodPost, "amount=3"},
 		{"post without body", http.MethodPost, ""},
@@ -111,7 +110,7 @@
 				resp.Body.Close()
 			}
 			if got := std.read.Load(); got != 3 {
-				t.Fatalf("the standard transport sent %d requests, want 3: the test shows nothing", got)
+				t.Fatalf("the standard transport sent %d requests, want 3: the test can't detect a retry", got)
 			}
 
 			own := newFlakyServer(t)
@@ -124,7 +123,7 @@
 				resp.Body.Close()
 			}
 			if got := own.read.Load(); got != 2 {
-				t.Errorf("our transport sent %d requests, want 2", got)
+				t.Errorf("NoRetryTransport sent %d requests, want 2", got)
 			}
 			if kind := outcome.KindOf(err); kind != outcome.KindUnknown {
 				t.Errorf("outcome %v (%v), want unknown", kind, err)
@@ -133,9 +132,9 @@
 	}
 }
 
-// The connection is refused, or the caller is gone before it is opened. No byte
-// of the request has left, so the outcome is not-run with the reason, and the
-// call may be sent elsewhere.
+// The connection is refused, or the caller cancels before it is opened. No byte of the
+// request was sent, so the outcome must be not-run with the reason, and the call may be
+// sent to another upstream.
 func TestDoClassifiesUnsent(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -143,7 +142,7 @@
 	}
 	address := closed.Addr().String()
 	closed.Close()
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	cases := []struct {
 		name   string
@@ -151,7 +150,7 @@
 		reason outcome.Reason
 	}{
 		{"dial refused", context.Background(), outcome.ReasonDial},
-		{"caller gone before dial", gone, outcome.ReasonCallerGone},
+		{"caller gone before dial", cancelled, outcome.ReasonCallerGone},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -171,10 +170,10 @@
 	}
 }
 
-// Upstreams answer with the identity of this attempt, of another one or none. An
-// answer of another request or attempt is no answer to this one: its outcome is
-// unknown. A refusal counts only if it names this very attempt, or a crossed
-// one would declare a call not run that ran.
+// Upstreams answer with the IDs of this attempt, of another one or with none. After an
+// answer for another request or attempt, the outcome must be unknown. A refusal must
+// count only if it contains this request and attempt; otherwise a refusal of another call
+// would mark a call as not run that ran.
 func TestDoMatchesAnswers(t *testing.T) {
 	other := ident.Request{9}
 	cases := []struct {
@@ -219,26 +218,26 @@
 	}
 }
 
-// A request is cancelled between getting its connection and writing. The
-// caller is told not-run, so the transport's writer, which may wake later, must
-// find the connection sealed.
-func TestSealStopsLaterWrites(t *testing.T) {
+// A request is cancelled after it got its connection and before it was written. Do
+// returns not-run, so the writer goroutine of http.Transport, which may run later, must
+// not be able to write to the connection.
+func TestCloseIfUnwrittenPreventsLaterWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	conn := &countedConn{Conn: near}
 	start := conn.count()
-	if !conn.sealIfUnwritten(start) {
-		t.Fatal("nothing was written, yet the seal says otherwise")
+	if !conn.closeIfUnwritten(start) {
+		t.Fatal("closeIfUnwritten returned false although nothing was written")
 	}
-	if _, err := conn.Write([]byte("bid")); !errors.Is(err, errSealed) {
-		t.Fatalf("write after the seal: %v", err)
+	if _, err := conn.Write([]byte("bid")); !errors.Is(err, errClosedUnwritten) {
+		t.Fatalf("write after closeIfUnwritten: %v", err)
 	}
 	written := &countedConn{Conn: far}
 	start = written.count()
 	if _, err := written.Write([]byte("bid")); err == nil {
 		t.Fatal("write to a closed pipe succeeded")
 	}
-	if written.sealIfUnwritten(start) {
-		t.Fatal("a failed write counts as possibly sent")
+	if written.closeIfUnwritten(start) {
+		t.Fatal("closeIfUnwritten returned true after a failed write")
 	}
 }
--- a/internal/adapter/httpsend/transport.go
+++ b/internal/adapter/httpsend/transport.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Bounds on connections to upstreams.
+// Limits of connections to upstreams.
 const (
 	dialTimeout        = 2 * time.Second
 	keepAlive          = 15 * time.Second
@@ -20,7 +20,7 @@
 	maxHeaderBytes     = 64 << 10
 )
 
-// ErrSecondSend reports that the HTTP client tried to send a request again.
+// ErrSecondSend reports that http.Transport tried to send a request again.
 var ErrSecondSend = errors.New("httpsend: the HTTP client tried to send the request a second time")
 
 // Transport is an http.RoundTripper that writes each request to at most one
@@ -29,8 +29,8 @@
 	base *http.Transport
 }
 
-// NoRetryTransport returns a Transport that speaks HTTP/1.1 only, ignores proxy
-// settings and keeps idle connections.
+// NoRetryTransport returns a Transport that uses HTTP/1.1 only, ignores proxy settings
+// and reuses connections.
 func NoRetryTransport() *Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -40,7 +40,7 @@
 		}
 		return &countedConn{Conn: conn}, nil
 	}
-	// HTTP/2 repeats requests by rules of its own; it stays off.
+	// HTTP/2 is disabled because it has retry rules of its own.
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &Transport{base: &http.Transport{
@@ -56,11 +56,11 @@
 
 // RoundTrip implements http.RoundTripper.
 //
-// http.Transport repeats a request whose reused connection failed when the
-// request has no body, when its body was not read yet, or when GetBody makes a
-// new one. Here every request goes down with a body, without GetBody, that
-// can't be read again, so none of the three applies. A request without a body
-// is given an empty one for this; a POST then goes out in chunked coding.
+// http.Transport retries a request after the failure of a reused connection if the
+// request has no body, if its body was not read yet, or if GetBody returns a new one.
+// RoundTrip passes every request with a body that can't be read again after Close, and
+// without GetBody, so none of the three applies. A request without a body gets an empty
+// one for this purpose; a POST is then sent with chunked encoding.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	single := req.Clone(req.Context())
 	single.GetBody = nil
@@ -75,15 +75,15 @@
 // CloseIdleConnections closes the idle connections.
 func (t *Transport) CloseIdleConnections() { t.base.CloseIdleConnections() }
 
-// singleBody can't be read once it was closed.
+// singleBody is a request body that can't be read after it was closed.
 type singleBody struct {
-	inner io.ReadCloser
-	done  atomic.Bool
+	inner  io.ReadCloser
+	closed atomic.Bool
 }
 
 // Read implements io.Reader.
 func (b *singleBody) Read(p []byte) (int, error) {
-	if b.done.Load() {
+	if b.closed.Load() {
 		return 0, ErrSecondSend
 	}
 	return b.inner.Read(p)
@@ -91,6 +91,6 @@
 
 // Close implements io.Closer.
 func (b *singleBody) Close() error {
-	b.done.Store(true)
+	b.closed.Store(true)
 	return b.inner.Close()
 }
--- a/internal/adapter/service/service.go
+++ b/internal/adapter/service/service.go
@@ -1,5 +1,5 @@
-// Package service reaches plain services over HTTP: it implements
-// port.Service by forwarding one call to one replica, at most once.
+// Package service is the HTTP client of plain services. It implements port.Service by
+// forwarding a call to one replica, at most once.
 package service
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Client is one replica of a plain service.
+// Client is the client of one replica of a plain service.
 type Client struct {
 	transport *httpsend.Transport
 	base      string
@@ -24,8 +24,8 @@
 
 var _ port.Service = (*Client)(nil)
 
-// New returns the client of the replica at address, an IP and port. A nil
-// transport means one of its own.
+// New returns a client of the replica at address, an IP address and port. If transport is
+// nil, New creates one for the client.
 func New(address string, transport *httpsend.Transport) *Client {
 	if transport == nil {
 		transport = httpsend.NoRetryTransport()
@@ -33,9 +33,9 @@
 	return &Client{transport: transport, base: "http://" + address}
 }
 
-// Forward implements port.Service. An answer of any status that carries the
-// attempt's identity is the service's own. One with another identity belongs
-// to another call and is not given to this caller.
+// Forward implements port.Service. It returns any answer that has the request ID and
+// attempt of the call, whatever its status. An answer with other IDs belongs to another
+// call and is reported as an error.
 func (c *Client) Forward(ctx context.Context, call port.ServiceCall) (port.ServiceAnswer, error) {
 	req, err := c.request(ctx, call)
 	if err != nil {
@@ -49,8 +49,8 @@
 		resp.Body.Close()
 		return port.ServiceAnswer{}, err
 	}
-	// The attempt's identity has done its work; callers know the request by
-	// the entry's own headers.
+	// These headers are internal; callers identify the request by the headers of the
+	// entry.
 	resp.Header.Del(httpsend.HeaderRequest)
 	resp.Header.Del(httpsend.HeaderAttempt)
 	return port.ServiceAnswer{
@@ -79,8 +79,8 @@
 	return req, nil
 }
 
-// check requires the attempt's identity in the answer: without it an error page
-// of something in between could pass for the service's answer.
+// check verifies the request ID and attempt of an answer. Without them, an error page of
+// an intermediary could be mistaken for the answer of the service.
 func check(resp *http.Response, call port.ServiceCall) error {
 	request, attempt, err := upstreamapi.ReadAttempt(resp.Header)
 	if err != nil || request != call.Request || attempt != call.Attempt {
--- a/internal/adapter/store/store.go
+++ b/internal/adapter/store/store.go
@@ -1,5 +1,5 @@
-// Package store reaches store hosts over HTTP: it implements port.Store on the
-// interface of package upstreamapi.
+// Package store is the HTTP client of store hosts. It implements port.Store with the
+// protocol of package upstreamapi.
 package store
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Client is one store host.
+// Client is the client of one store host.
 type Client struct {
 	caller *httpcall.Caller
 }
 
 var _ port.Store = (*Client)(nil)
 
-// New returns the client of the store host at address, an IP and port. A
-// nil transport means one of its own.
+// New returns a client of the store host at address, an IP address and port. If transport
+// is nil, New creates one for the client.
 func New(address string, transport *httpsend.Transport) *Client {
 	if transport == nil {
 		transport = httpsend.NoRetryTransport()
--- a/internal/adapter/store/store_test.go
+++ b/internal/adapter/store/store_test.go
@@ -12,7 +12,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// bodyServer answers every call with the same bytes.
+// bodyServer answers every call with body.
 type bodyServer struct{ body []byte }
 
 func (s *bodyServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -29,10 +29,10 @@
 	return server, New(listener.Listener.Addr().String(), nil)
 }
 
-// A store host answers with another block's state, with fewer or more states
-// than asked for, or with bytes that are no answer. The entry must not take any
-// of it for the state of its block.
-func TestAnswersMustFit(t *testing.T) {
+// A store host answers with the state of another block, with fewer or more states than
+// requested, or with an invalid body. The client must not return any of these as the
+// state of the requested block.
+func TestMismatchedAnswersAreRejected(t *testing.T) {
 	const own, other = `{"block":"a","phase":"committed"}`, `{"block":"b","phase":"committed"}`
 	cases := map[string]struct {
 		body string
