--- a/internal/adapter/auditapi/handler.go
+++ b/internal/adapter/auditapi/handler.go
@@ -1,4 +1,4 @@
-// Package auditapi serves audit queries to operators over HTTP.
+// Package auditapi is the HTTP handler for audit queries of operators.
 package auditapi
 
 import (
@@ -14,18 +14,19 @@
 	"github.com/lovagereach/lovagereach/internal/adapter/operators/api"
 )
 
-// PathAudit is the path of the handler, the same on entries and control hosts.
+// PathAudit is the URL path of the handler, on entries and on control hosts.
 const PathAudit = api.PathAudit
 
-// queryTimeout bounds a query, which asks every ledger group on a control host.
+// queryTimeout is the timeout of a query, which on a control host includes requests to
+// every ledger group.
 const queryTimeout = 10 * time.Second
 
-// Auditor answers queries.
+// Auditor executes audit queries.
 type Auditor interface {
 	Audit(ctx context.Context, q audit.Query) (audit.Result, error)
 }
 
-// New returns the handler.
+// New returns a handler that passes queries to auditor.
 func New(auditor Auditor) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathAudit, func(w http.ResponseWriter, r *http.Request) { query(w, r, auditor) })
@@ -48,8 +49,7 @@
 	answer(w, http.StatusOK, result)
 }
 
-// ParseQuery reads a query from URL parameters: open, team, request, batch and
-// limit.
+// ParseQuery parses a query from the URL parameters open, team, request, batch and limit.
 func ParseQuery(values map[string][]string) (audit.Query, error) {
 	var q audit.Query
 	for name, given := range values {
@@ -90,7 +90,7 @@
 func answer(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the operator has gone.
+	// A write fails only if the operator has disconnected.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
--- a/internal/adapter/callers/address.go
+++ b/internal/adapter/callers/address.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// addressBody answers which entry to use.
+// addressBody is the answer to PathAddress.
 type addressBody struct {
 	Address    string   `json:"address"`
 	Alternates []string `json:"alternates"`
 	KeepMS     int64    `json:"keep_ms"`
 }
 
-// address answers which entry a caller should use and for how long.
+// address returns the entry that a caller should use and for how long.
 func (h *Handler) address(w http.ResponseWriter, r *http.Request) {
 	request, err := requestID(r)
 	if err != nil {
@@ -45,7 +45,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// remoteHost returns the caller's IP number.
+// remoteHost returns the caller's IP address.
 func remoteHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/adapter/callers/callers.go
+++ b/internal/adapter/callers/callers.go
@@ -1,10 +1,10 @@
-// Package callers is the HTTP listener for callers: completions and chat
-// completions in the widely used JSON shape, whole or as server-sent events,
-// calls of plain services, and the answer which entry to use.
+// Package callers is the HTTP listener for callers. It serves completions and chat
+// completions in the widely used JSON format, either complete or as server-sent events,
+// calls of plain services, and the address of the entry to use.
 //
-// Everything a caller sends is bounded, and each bound has an error of its own
-// in the usual JSON shape. The listener keeps no state beyond the number of
-// open requests of each team.
+// All input is limited in size, and a request over a limit gets an error in the usual
+// JSON format. The only state of the listener is the number of open requests of each
+// team.
 package callers
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/lovagereach/lovagereach/internal/httpbound"
 )
 
-// Paths of the listener.
+// URL paths of the listener.
 const (
 	PathCompletions = "/v1/completions"
 	PathChat        = "/v1/chat/completions"
@@ -49,26 +49,26 @@
 	headerCacheControl = "Cache-Control"
 )
 
-// Options bound what one listener takes. A zero field takes its default.
+// Options holds the limits of a listener. A zero field selects its default.
 type Options struct {
-	// MaxBody is the largest body in bytes.
+	// MaxBody is the maximum body size in bytes.
 	MaxBody int64
-	// MaxHeader is the largest header in bytes.
+	// MaxHeader is the maximum header size in bytes.
 	MaxHeader int
-	// MaxPromptTokens is the longest prompt, MaxAnswerTokens the longest
-	// answer a caller may ask for.
+	// MaxPromptTokens is the maximum length of a prompt, MaxAnswerTokens that of
+	// a requested answer.
 	MaxPromptTokens int
 	MaxAnswerTokens int
-	// MaxOpen bounds the open requests of all teams, MaxOpenPerTeam those of
-	// one.
+	// MaxOpen is the maximum number of open requests of all teams,
+	// MaxOpenPerTeam that of one team.
 	MaxOpen        int
 	MaxOpenPerTeam int
-	// ReadTimeout bounds the reading of one request.
+	// ReadTimeout is the timeout of reading a request.
 	ReadTimeout time.Duration
-	// WriteTimeout is how long a caller may take to accept one write; a
-	// slower one is cut off, so that it does not hold an upstream's slot.
+	// WriteTimeout is the time within which a caller has to accept a write. A
+	// slower caller is disconnected, so that it doesn't occupy an upstream's slot.
 	WriteTimeout time.Duration
-	// IdleTimeout bounds a silent connection between requests.
+	// IdleTimeout is the time after which a connection without a request is closed.
 	IdleTimeout time.Duration
 }
 
@@ -85,10 +85,10 @@
 	DefaultIdleTimeout     = 2 * time.Minute
 )
 
-// defaultAnswerTokens is the answer's bound when the caller states none.
+// defaultAnswerTokens is the maximum answer length if the request has none.
 const defaultAnswerTokens = 256
 
-// Validate reports the first field out of range.
+// Validate returns an error for the first negative field.
 func (o Options) Validate() error {
 	for _, field := range []struct {
 		name  string
@@ -131,7 +131,7 @@
 	}
 }
 
-// Handler serves callers.
+// Handler is the HTTP handler of the listener.
 type Handler struct {
 	options Options
 	entry   entry.Service
@@ -141,14 +141,14 @@
 }
 
 type handlerMetrics struct {
-	requests *metrics.Counter
-	refused  *metrics.Counter
-	slow     *metrics.Counter
-	tokens   *metrics.Counter
-	streams  *metrics.Counter
+	requests    *metrics.Counter
+	refused     *metrics.Counter
+	slowReaders *metrics.Counter
+	tokens      *metrics.Counter
+	streams     *metrics.Counter
 }
 
-// New returns the callers' handler over an entry.
+// New returns a handler that passes requests to service. It registers its metrics in set.
 func New(service entry.Service, options Options, set *metrics.Set) (*Handler, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -159,11 +159,11 @@
 		entry:   service,
 		open:    newOpenRequests(options.MaxOpen, options.MaxOpenPerTeam),
 		metrics: handlerMetrics{
-			requests: set.NewCounter("lovagereach_callers_requests_total"),
-			refused:  set.NewCounter("lovagereach_callers_refused_total"),
-			slow:     set.NewCounter("lovagereach_callers_slow_readers_total"),
-			tokens:   set.NewCounter("lovagereach_callers_tokens_total"),
-			streams:  set.NewCounter("lovagereach_callers_streams_total"),
+			requests:    set.NewCounter("lovagereach_callers_requests_total"),
+			refused:     set.NewCounter("lovagereach_callers_refused_total"),
+			slowReaders: set.NewCounter("lovagereach_callers_slow_readers_total"),
+			tokens:      set.NewCounter("lovagereach_callers_tokens_total"),
+			streams:     set.NewCounter("lovagereach_callers_streams_total"),
 		},
 		mux: http.NewServeMux(),
 	}
@@ -194,7 +194,7 @@
 	h.mux.ServeHTTP(w, r)
 }
 
-// headerBytes is about the length of a request's header as it was sent.
+// headerBytes returns the approximate size of a request's header as sent.
 func headerBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	total := len(r.Method) + len(r.RequestURI) + len(r.Proto) + len(r.Host)
@@ -206,20 +206,19 @@
 	return total
 }
 
-// headerSlack is how many times the largest header the server reads, so that
-// one that is somewhat larger is refused in the usual error shape. net/http
-// answers a still larger one itself, in plain text, and closes the connection.
-const headerSlack = 2
+// headerReadFactor is the header size that net/http accepts, as a multiple of MaxHeader.
+// Headers between the two sizes are refused with a JSON error; for larger ones, net/http
+// responds in plain text and closes the connection.
+const headerReadFactor = 2
 
-// Server returns the HTTP server of the listener; the caller serves and closes
-// it.
+// Server returns the HTTP server of the listener. The caller starts and closes it.
 func (h *Handler) Server() *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: h.options.ReadTimeout,
 		ReadTimeout:       h.options.ReadTimeout,
 		IdleTimeout:       h.options.IdleTimeout,
-		MaxHeaderBytes:    headerSlack * h.options.MaxHeader,
+		MaxHeaderBytes:    headerReadFactor * h.options.MaxHeader,
 	}
 }
 
--- a/internal/adapter/callers/callers_test.go
+++ b/internal/adapter/callers/callers_test.go
@@ -17,9 +17,9 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Every hostile request must end in one clear error in the usual shape that
-// says not-run, reach no upstream, and leave no request open.
-func TestHostileRequests(t *testing.T) {
+// Each invalid request must get one error in the usual JSON format with the outcome
+// not-run, must not reach the entry, and must leave no request open.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	small := Options{MaxBody: 300, MaxPromptTokens: 8, MaxAnswerTokens: 16}
 	cases := map[string]struct {
 		request request
@@ -81,12 +81,12 @@
 	}
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteAnswer(t *testing.T) {
 	fake := newFakeEntry(t)
 	got := request{path: PathCompletions, body: goodBody, header: map[string]string{
 		HeaderRequestID: "000102030405060708090a0b0c0d0e0f", HeaderClass: "clock", HeaderDeadline: "1.5s",
 	}}.do(newHandler(t, fake, Options{}))
-	var body wholeBody
+	var body completeBody
 	if err := json.Unmarshal(got.Body.Bytes(), &body); err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-// events returns the data of the events in a body.
+// events returns the data fields of the events in body.
 func events(body string) []string {
 	var out []string
 	for line := range strings.SplitSeq(body, "\n") {
@@ -154,10 +154,10 @@
 	}
 }
 
-// An answer breaks off after two tokens. A caller that streams must see an
-// error event and no [DONE]; one that waits for the whole must see an error
-// status and no text, since a short answer would pass for a whole one.
-func TestBrokenAnswerNeverLooksWhole(t *testing.T) {
+// An answer fails after two tokens. A streaming caller must get an error event and no
+// [DONE]; a caller without streaming must get an error status and no text. Otherwise a
+// shortened answer could be mistaken for a complete one.
+func TestBrokenAnswerNeverLooksComplete(t *testing.T) {
 	fake := newFakeEntry(t)
 	fake.err = &outcome.Unknown{Reason: outcome.ReasonStreamBroken, Detail: "the stream broke"}
 	h := newHandler(t, fake, Options{})
@@ -168,9 +168,9 @@
 		strings.Contains(streamed.Body.String(), "[DONE]") || !strings.Contains(streamed.Body.String(), "event: error") {
 		t.Errorf("got %s", streamed.Body)
 	}
-	whole := request{path: PathCompletions, body: goodBody}.do(h)
-	if whole.Code != http.StatusBadGateway || strings.Contains(whole.Body.String(), "choices") {
-		t.Errorf("got %d %s", whole.Code, whole.Body)
+	complete := request{path: PathCompletions, body: goodBody}.do(h)
+	if complete.Code != http.StatusBadGateway || strings.Contains(complete.Body.String(), "choices") {
+		t.Errorf("got %d %s", complete.Code, complete.Body)
 	}
 }
 
@@ -226,39 +226,39 @@
 	}
 	for _, name := range []string{"Authorization", "X-Private", "Connection", HeaderIdempotency} {
 		if call.Header.Get(name) != "" {
-			t.Errorf("%s travels on", name)
+			t.Errorf("header %s was forwarded", name)
 		}
 	}
 }
 
-// A team opens more requests than it may. The one over the bound must be told
-// so, truly not run, and others must not notice.
+// A team opens more requests than allowed. The request over the limit must be refused as
+// not-run, and other teams must not be affected.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	open := newOpenRequests(3, 2)
 	for range 2 {
-		if err := open.enter("florists"); err != nil {
+		if err := open.acquire("florists"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var refused *outcome.NotRun
-	if err := open.enter("florists"); !errors.As(err, &refused) || refused.Reason != outcome.ReasonTeamLimit {
+	if err := open.acquire("florists"); !errors.As(err, &refused) || refused.Reason != outcome.ReasonTeamLimit {
 		t.Errorf("got %v", err)
 	}
-	if err := open.enter("growers"); err != nil {
+	if err := open.acquire("growers"); err != nil {
 		t.Errorf("another team got %v", err)
 	}
-	if err := open.enter("others"); !errors.As(err, &refused) || refused.Reason != outcome.ReasonOverloaded {
+	if err := open.acquire("others"); !errors.As(err, &refused) || refused.Reason != outcome.ReasonOverloaded {
 		t.Errorf("got %v", err)
 	}
-	open.leave("growers")
+	open.release("growers")
 	if len(open.teams) != 1 {
-		t.Errorf("%d teams are kept", len(open.teams))
+		t.Errorf("%d teams in the map, want 1", len(open.teams))
 	}
 }
 
-// A caller opens a stream and stops reading. Without a bound it would hold its
-// place and an engine's slot for ever; the write deadline must end it.
-func TestSlowReaderIsCutOff(t *testing.T) {
+// A caller opens a stream and stops reading. Without a timeout it would keep its open
+// request and an engine's slot forever; the write deadline must end the request.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	fake := newFakeEntry(t)
 	fake.endless = true
 	h := newHandler(t, fake, Options{WriteTimeout: time.Second})
@@ -275,8 +275,8 @@
 	if _, err := bufio.NewReaderSize(conn, 16).ReadByte(); err != nil {
 		t.Fatal(err)
 	}
-	for h.metrics.slow.Get() == 0 {
-		time.Sleep(time.Millisecond) // ends with the test's own timeout if the bound is missing
+	for h.metrics.slowReaders.Get() == 0 {
+		time.Sleep(time.Millisecond) // without a write deadline, the test times out here
 	}
 	for h.open.total() != 0 {
 		time.Sleep(time.Millisecond)
@@ -288,11 +288,11 @@
 	}
 }
 
-// A token relayed in plain text must cost no allocation in the listener: at
-// the target size each would be paid 20 million times a second.
+// Encoding a plain-text token must not allocate: at the target size, an allocation would
+// happen 20 million times a second.
 func TestTokenEventCostsNoAllocation(t *testing.T) {
-	for _, form := range []shape{textShape, chatShape} {
-		events := newChunks(form, entry.Prompt{Model: "m"})
+	for _, form := range []answerFormat{textFormat, chatFormat} {
+		events := newChunkEncoder(form, entry.Prompt{Model: "m"})
 		events.token(entry.Token{Index: 1, Text: strings.Repeat("x", 64)})
 		count := testing.AllocsPerRun(100, func() { events.token(entry.Token{Index: 1, Text: " word"}) })
 		if count != 0 {
--- a/internal/adapter/callers/whole.go
+++ b/internal/adapter/callers/complete.go
@@ -11,32 +11,32 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// shape is one of the two widely used forms of an answer.
-type shape uint8
+// answerFormat is one of the two widely used formats of an answer.
+type answerFormat uint8
 
 const (
-	textShape shape = iota
-	chatShape
+	textFormat answerFormat = iota
+	chatFormat
 )
 
-// wholeBody is an answer in one piece.
-type wholeBody struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Created int64         `json:"created"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   usageBody     `json:"usage"`
+// completeBody is the JSON body of an answer that isn't streamed.
+type completeBody struct {
+	ID      string           `json:"id"`
+	Object  string           `json:"object"`
+	Created int64            `json:"created"`
+	Model   string           `json:"model"`
+	Choices []completeChoice `json:"choices"`
+	Usage   usageBody        `json:"usage"`
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Text         *string       `json:"text,omitempty"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	FinishReason string        `json:"finish_reason"`
+type completeChoice struct {
+	Index        int              `json:"index"`
+	Text         *string          `json:"text,omitempty"`
+	Message      *completeMessage `json:"message,omitempty"`
+	FinishReason string           `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completeMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -52,7 +52,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// provenanceBody is the last event's account of what answered.
+// provenanceBody is the provenance in the last event of a stream.
 type provenanceBody struct {
 	RequestID    string `json:"request_id"`
 	Outcome      string `json:"outcome"`
@@ -88,6 +88,7 @@
 	}
 }
 
+// keptPrompt returns the ID of the kept prompt, empty if there is none.
 func keptPrompt(from entry.Provenance) string {
 	if from.KeptPrompt == (prefix.BlockID{}) {
 		return ""
@@ -95,10 +96,10 @@
 	return from.KeptPrompt.String()
 }
 
-// whole collects the answer and sends it in one piece. Nothing is written
-// before the answer is complete, so that a broken one is an error status and
-// never a short answer.
-func (h *Handler) whole(w http.ResponseWriter, answer entry.Answer, form shape, prompt entry.Prompt) {
+// sendComplete collects an answer and sends it as one JSON body. Nothing is written before
+// the answer is complete, so that a failed answer becomes an error status and never a
+// shortened answer.
+func (h *Handler) sendComplete(w http.ResponseWriter, answer entry.Answer, form answerFormat, prompt entry.Prompt) {
 	var text strings.Builder
 	finish := ""
 	for {
@@ -117,22 +118,22 @@
 	from := answer.Provenance()
 	header := w.Header()
 	setProvenance(header, from)
-	setFinished(header, from)
+	setCompleted(header, from)
 	header.Set(headerContentType, contentTypeJSON)
-	body := wholeBody{
+	body := completeBody{
 		ID:      from.Request.String(),
 		Object:  form.object(),
 		Created: time.Now().Unix(),
 		Model:   modelName(prompt),
-		Choices: []wholeChoice{form.choice(text.String(), finish)},
+		Choices: []completeChoice{form.choice(text.String(), finish)},
 		Usage:   usageOf(from),
 	}
 	h.extendWrite(w)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// setFinished writes the headers that are known once the answer is whole.
-func setFinished(header http.Header, from entry.Provenance) {
+// setCompleted sets the headers that are known once the answer is complete.
+func setCompleted(header http.Header, from entry.Provenance) {
 	header.Set(HeaderOutcome, from.Outcome.String())
 	header.Set(HeaderReused, strconv.Itoa(from.ReusedTokens))
 	if kept := keptPrompt(from); kept != "" {
@@ -141,17 +142,17 @@
 	}
 }
 
-func (s shape) object() string {
-	if s == chatShape {
+func (s answerFormat) object() string {
+	if s == chatFormat {
 		return "chat.completion"
 	}
 	return "text_completion"
 }
 
-func (s shape) choice(text, finish string) wholeChoice {
-	choice := wholeChoice{FinishReason: finish}
-	if s == chatShape {
-		choice.Message = &wholeMessage{Role: "assistant", Content: text}
+func (s answerFormat) choice(text, finish string) completeChoice {
+	choice := completeChoice{FinishReason: finish}
+	if s == chatFormat {
+		choice.Message = &completeMessage{Role: "assistant", Content: text}
 		return choice
 	}
 	choice.Text = &text
@@ -165,8 +166,8 @@
 	return string(prompt.Model) + string(adapterSeparator) + string(prompt.Adapter)
 }
 
-// extendWrite gives the caller WriteTimeout from now to accept what is written.
+// extendWrite sets the write deadline to WriteTimeout from now.
 func (h *Handler) extendWrite(w http.ResponseWriter) {
-	// A writer without deadlines, as in tests, has no slow reader either.
+	// Writers without deadline support, as in tests, have no slow readers.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.options.WriteTimeout))
 }
--- a/internal/adapter/callers/decode.go
+++ b/internal/adapter/callers/decode.go
@@ -14,24 +14,24 @@
 	"github.com/lovagereach/lovagereach/internal/tokenize"
 )
 
-// Bounds on parts of a body.
+// Limits of parts of a body.
 const (
 	maxModelName = 256
 	maxMessages  = 4096
 	maxParts     = 1024
 )
 
-// adapterSeparator parts a model's name from an adapter's: "model:adapter".
+// adapterSeparator separates the names of model and adapter: "model:adapter".
 const adapterSeparator = ':'
 
-// completionBody holds the fields that completions and chat share. Fields of
-// the widely used shape that do not concern the system are ignored.
+// completionBody holds the fields common to completions and chat requests. Other fields
+// of the widely used format are ignored.
 type completionBody struct {
 	Model     string `json:"model"`
 	MaxTokens *int   `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 	Seed      uint64 `json:"seed"`
-	// N is the number of answers; the system gives one.
+	// N is the requested number of answers; only 1 is supported.
 	N *int `json:"n"`
 }
 
@@ -56,14 +56,14 @@
 	Text string `json:"text"`
 }
 
-// limits are the bounds on one prompt.
+// limits holds the maximum token counts of one request.
 type limits struct {
 	promptTokens int
 	answerTokens int
 }
 
-// decoded is a prompt as the caller sent it.
-type decoded struct {
+// decodedRequest is a decoded completions or chat request.
+type decodedRequest struct {
 	prompt entry.Prompt
 	stream bool
 }
@@ -76,8 +76,8 @@
 	}
 }
 
-// decodeBody names a field at fault as the caller wrote it, without the name of
-// the struct that both shapes embed.
+// decodeBody decodes a JSON body. It removes the name of the embedded struct from the
+// field of an error, so that the field is named as in the request.
 func decodeBody(body []byte, into any) error {
 	err := httpbound.DecodeJSON(body, into, true)
 	var bad *httpbound.BodyError
@@ -87,58 +87,60 @@
 	return err
 }
 
-// decodeText reads the body of a completions request.
-func decodeText(body []byte, bound limits) (decoded, error) {
+// decodeText decodes the body of a completions request.
+func decodeText(body []byte, bound limits) (decodedRequest, error) {
 	var in textBody
 	if err := decodeBody(body, &in); err != nil {
-		return decoded{}, err
+		return decodedRequest{}, err
 	}
 	out, err := decodeShared(in.completionBody, bound)
 	if err != nil {
-		return decoded{}, err
+		return decodedRequest{}, err
 	}
 	out.prompt.Tokens, err = promptTokens(in.Prompt, bound.promptTokens)
 	return out, err
 }
 
-// decodeChat reads the body of a chat request.
-func decodeChat(body []byte, bound limits) (decoded, error) {
+// decodeChat decodes the body of a chat request.
+func decodeChat(body []byte, bound limits) (decodedRequest, error) {
 	var in chatBody
 	if err := decodeBody(body, &in); err != nil {
-		return decoded{}, err
+		return decodedRequest{}, err
 	}
 	if in.MaxCompletionTokens != nil {
 		in.MaxTokens = in.MaxCompletionTokens
 	}
 	out, err := decodeShared(in.completionBody, bound)
 	if err != nil {
-		return decoded{}, err
+		return decodedRequest{}, err
 	}
 	out.prompt.Tokens, err = chatTokens(in.Messages, bound.promptTokens)
 	return out, err
 }
 
-func decodeShared(in completionBody, bound limits) (decoded, error) {
+// decodeShared validates the common fields. It doesn't set the tokens.
+func decodeShared(in completionBody, bound limits) (decodedRequest, error) {
 	if in.Model == "" || len(in.Model) > maxModelName {
-		return decoded{}, invalid("model", "must have 1 to %d bytes, has %d", maxModelName, len(in.Model))
+		return decodedRequest{}, invalid("model", "must have 1 to %d bytes, has %d", maxModelName, len(in.Model))
 	}
 	if in.N != nil && *in.N != 1 {
-		return decoded{}, invalid("n", "%d answers asked for, only 1 is given", *in.N)
+		return decodedRequest{}, invalid("n", "%d answers asked for, only 1 is given", *in.N)
 	}
 	maxTokens := min(defaultAnswerTokens, bound.answerTokens)
 	if in.MaxTokens != nil {
 		maxTokens = *in.MaxTokens
 	}
 	if maxTokens < 1 || maxTokens > bound.answerTokens {
-		return decoded{}, invalid("max_tokens", "%d is not between 1 and %d", maxTokens, bound.answerTokens)
+		return decodedRequest{}, invalid("max_tokens", "%d is not between 1 and %d", maxTokens, bound.answerTokens)
 	}
 	model, adapter := splitModel(in.Model)
-	return decoded{
+	return decodedRequest{
 		prompt: entry.Prompt{Model: model, Adapter: adapter, MaxTokens: maxTokens, Seed: in.Seed},
 		stream: in.Stream,
 	}, nil
 }
 
+// splitModel splits a model name into model and adapter.
 func splitModel(name string) (ident.Model, ident.Adapter) {
 	if at := bytes.IndexByte([]byte(name), adapterSeparator); at > 0 {
 		return ident.Model(name[:at]), ident.Adapter(name[at+1:])
@@ -146,7 +148,8 @@
 	return ident.Model(name), ""
 }
 
-// promptTokens accepts a text, an array with one text, or an array of tokens.
+// promptTokens returns the tokens of a prompt, which is a text, an array of one text, or
+// an array of tokens.
 func promptTokens(raw json.RawMessage, limit int) ([]uint32, error) {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 {
@@ -173,6 +176,7 @@
 	return textTokens("prompt", nil, texts[0], limit)
 }
 
+// textTokens appends the tokens of text to tokens.
 func textTokens(field string, tokens []uint32, text string, limit int) ([]uint32, error) {
 	tokens, err := tokenize.Words(tokens, text, limit)
 	if errors.Is(err, tokenize.ErrTooManyTokens) {
@@ -184,10 +188,11 @@
 	return tokens, nil
 }
 
-// roleMark precedes the tokens of a message. No text can contain it, as a word
-// never holds a control character, so that a message can't pretend to be two.
-const roleMark = "\x00role:"
+// roleMarker precedes the tokens of a message. Words of a text never contain control
+// characters, so the content of a message can't imitate the start of another one.
+const roleMarker = "\x00role:"
 
+// chatTokens returns the tokens of a list of messages.
 func chatTokens(messages []chatMessage, limit int) ([]uint32, error) {
 	if len(messages) == 0 || len(messages) > maxMessages {
 		return nil, invalid("messages", "must have 1 to %d messages, has %d", maxMessages, len(messages))
@@ -201,7 +206,7 @@
 		if len(tokens) >= limit {
 			return nil, invalid(field, "the messages have more than %d tokens", limit)
 		}
-		tokens = append(tokens, tokenize.Token(roleMark+message.Role))
+		tokens = append(tokens, tokenize.Token(roleMarker+message.Role))
 		texts, err := contentTexts(message.Content)
 		if err != nil {
 			return nil, invalid(field+".content", "%s", err.Error())
@@ -221,7 +226,8 @@
 	errParts   = fmt.Errorf("has more than %d parts", maxParts)
 )
 
-// contentTexts accepts a text or an array of text parts.
+// contentTexts returns the texts of a message's content, which is a text or an array of
+// text parts.
 func contentTexts(raw json.RawMessage) ([]string, error) {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
--- a/internal/adapter/callers/errors.go
+++ b/internal/adapter/callers/errors.go
@@ -13,7 +13,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// errorBody is the usual JSON error shape with the outcome added.
+// errorBody is the usual JSON error format, extended by the outcome.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -23,13 +23,13 @@
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 	Param   string `json:"param,omitempty"`
-	// Outcome tells whether the request ran; see outcome.Kind.
+	// Outcome indicates whether the request ran; see outcome.Kind.
 	Outcome      string `json:"outcome"`
 	RequestID    string `json:"request_id"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// The types of error that callers' libraries know.
+// Error types of the widely used format, known to client libraries.
 const (
 	typeInvalid  = "invalid_request_error"
 	typeAuth     = "authentication_error"
@@ -38,7 +38,7 @@
 	typeServer   = "server_error"
 )
 
-// reasonStatus gives status and type of the reasons that have their own.
+// reasonStatus maps reasons to status and error type where these differ from the defaults.
 var reasonStatus = map[outcome.Reason]struct {
 	status int
 	kind   string
@@ -49,13 +49,13 @@
 	outcome.ReasonKeyConflict:  {http.StatusUnprocessableEntity, typeConflict},
 	outcome.ReasonKeyExpired:   {http.StatusConflict, typeConflict},
 	outcome.ReasonTeamLimit:    {http.StatusTooManyRequests, typeRate},
-	// No promise that it has not run; callers repeat nothing after this status.
+	// The request may have run; clients don't retry after this status.
 	outcome.ReasonCrashesUpstreams: {http.StatusBadRequest, typeInvalid},
 	outcome.ReasonTimeout:          {http.StatusGatewayTimeout, typeServer},
 	outcome.ReasonDeadline:         {http.StatusServiceUnavailable, typeServer},
 }
 
-// describe turns an error into a status and the body's detail.
+// describe returns the HTTP status and the error detail for err.
 func describe(err error, request ident.Request) (int, errorDetail) {
 	detail := errorDetail{
 		Type:      typeServer,
@@ -68,7 +68,7 @@
 	var unknown *outcome.Unknown
 	switch {
 	case errors.As(err, &bad):
-		// Nothing of a request that was not understood has been sent on.
+		// An invalid request is never forwarded, so it has not run.
 		detail.Type, detail.Code, detail.Param = typeInvalid, string(outcome.ReasonBadRequest), bad.Field
 		detail.Message, detail.Outcome = bad.Error(), outcome.KindNotRun.String()
 		return bad.Status, detail
@@ -83,21 +83,23 @@
 		detail.Code, detail.Message = string(unknown.Reason), unknown.Detail
 		return statusOf(unknown.Reason, http.StatusBadGateway, &detail), detail
 	default:
-		// The text of an unclassified error may name addresses; it goes to
-		// the log, not to the caller.
+		// The text of an unclassified error may contain internal addresses, so
+		// it isn't sent to the caller.
 		detail.Code, detail.Message = "internal", "the request's outcome is not known"
 		return http.StatusBadGateway, detail
 	}
 }
 
-func statusOf(reason outcome.Reason, usual int, detail *errorDetail) int {
+// statusOf returns the status of a reason, or fallback, and sets the error type.
+func statusOf(reason outcome.Reason, fallback int, detail *errorDetail) int {
 	if known, ok := reasonStatus[reason]; ok {
 		detail.Type = known.kind
 		return known.status
 	}
-	return usual
+	return fallback
 }
 
+// failedStatus returns the upstream's status if it is an error status, otherwise 502.
 func failedStatus(failed *outcome.Failed) int {
 	if failed.Status >= http.StatusBadRequest && failed.Status <= 599 {
 		return failed.Status
@@ -105,16 +107,16 @@
 	return http.StatusBadGateway
 }
 
-// refuse answers with an error before anything else was written.
+// refuse sends an error response. Nothing may have been written before.
 func (h *Handler) refuse(w http.ResponseWriter, request ident.Request, err error) {
 	h.metrics.refused.Inc()
 	status, detail := describe(err, request)
 	writeError(w, status, detail)
 }
 
-// WriteError answers with an error in the shape of this listener, for handlers
-// that stand before it and have sent nothing yet. A status of zero means the
-// one that belongs to err.
+// WriteError sends an error response in the format of this listener. It is used by
+// handlers that wrap Handler and have written nothing yet. If status is zero, the status
+// is derived from err.
 func WriteError(w http.ResponseWriter, r *http.Request, status int, err error) {
 	request, malformed := requestID(r)
 	if malformed != nil {
@@ -130,7 +132,7 @@
 	header.Set(HeaderOutcome, detail.Outcome)
 	header.Set(headerContentType, contentTypeJSON)
 	if detail.RetryAfterMS > 0 {
-		header.Set(headerRetryAfter, strconv.FormatInt(wholeSeconds(detail.RetryAfterMS), 10))
+		header.Set(headerRetryAfter, strconv.FormatInt(ceilSeconds(detail.RetryAfterMS), 10))
 	}
 	if status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
@@ -139,8 +141,8 @@
 	_ = json.NewEncoder(w).Encode(errorBody{Error: detail})
 }
 
-// wholeSeconds rounds up, as Retry-After has no smaller unit.
-func wholeSeconds(milliseconds int64) int64 {
+// ceilSeconds converts milliseconds to seconds, rounded up: Retry-After is in seconds.
+func ceilSeconds(milliseconds int64) int64 {
 	const second = int64(time.Second / time.Millisecond)
 	return (milliseconds + second - 1) / second
 }
@@ -149,14 +151,15 @@
 	request, _ := requestID(r)
 	h.refuse(w, request, &httpbound.BodyError{
 		Status:  http.StatusNotFound,
-		Message: "no such path or method: " + r.Method + " " + limited(r.URL.Path, maxNameEcho),
+		Message: "no such path or method: " + r.Method + " " + truncate(r.URL.Path, maxEchoBytes),
 	})
 }
 
-// maxNameEcho bounds how much of a caller's own text an error repeats.
-const maxNameEcho = 100
+// maxEchoBytes is the maximum length of caller input repeated in an error message.
+const maxEchoBytes = 100
 
-func limited(text string, limit int) string {
+// truncate cuts text to limit bytes and marks the cut.
+func truncate(text string, limit int) string {
 	if len(text) <= limit {
 		return text
 	}
--- a/internal/adapter/callers/fakes_test.go
+++ b/internal/adapter/callers/fakes_test.go
@@ -21,7 +21,8 @@
 
 const goodToken = "florist-secret"
 
-// fakeEntry answers each prompt with the tokens set, then with err or the end.
+// fakeEntry answers each prompt with the given number of tokens, followed by err or the
+// end of the answer.
 type fakeEntry struct {
 	mu       sync.Mutex
 	tokens   int
@@ -124,7 +125,7 @@
 	return h
 }
 
-// request is one caller's request; the zero value of a field is the good one.
+// request is a caller's request. The zero value of method and token is a valid one.
 type request struct {
 	method, path, body string
 	token              string
--- a/internal/adapter/callers/fuzz_test.go
+++ b/internal/adapter/callers/fuzz_test.go
@@ -14,7 +14,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) { checkDecoded(t, body, decodeText) })
 }
 
-// FuzzParseTokens compares with the JSON library.
+// FuzzParseTokens compares parseTokens with encoding/json.
 func FuzzParseTokens(f *testing.F) {
 	f.Add([]byte(`[1, 2,4294967295]`))
 	f.Add([]byte(`[01,1.5,-2,4294967296,null,[1]]`))
@@ -26,7 +26,7 @@
 		var want []uint32
 		wantErr := json.Unmarshal(raw, &want)
 		if bytes.Contains(raw, []byte("null")) {
-			wantErr = errors.New("the library takes null for nothing")
+			wantErr = errors.New("encoding/json ignores null")
 		}
 		if len(want) == 0 && wantErr == nil {
 			wantErr = errors.New("no tokens")
@@ -42,7 +42,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) { checkDecoded(t, body, decodeChat) })
 }
 
-func checkDecoded(t *testing.T, body []byte, decode func([]byte, limits) (decoded, error)) {
+func checkDecoded(t *testing.T, body []byte, decode func([]byte, limits) (decodedRequest, error)) {
 	t.Helper()
 	bound := limits{promptTokens: 32, answerTokens: 16}
 	got, err := decode(body, bound)
--- a/internal/adapter/callers/open.go
+++ b/internal/adapter/callers/open.go
@@ -9,11 +9,11 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// retryOpen is when a caller over its bound of open requests may come back.
-const retryOpen = time.Second
+// openRetryAfter is the Retry-After of requests refused because of too many open ones.
+const openRetryAfter = time.Second
 
-// openRequests bounds the requests that are open at once. A team leaves the
-// map with its last request, so that the map is bounded too.
+// openRequests limits the number of open requests, in total and per team. A team is
+// removed from the map with its last request, so that the map is bounded too.
 type openRequests struct {
 	max, maxPerTeam int
 
@@ -26,22 +26,23 @@
 	return &openRequests{max: maxAll, maxPerTeam: maxPerTeam, teams: make(map[ident.Team]int)}
 }
 
-// enter takes a place for a request of team; leave gives it back.
-func (o *openRequests) enter(team ident.Team) error {
+// acquire counts a request of team as open, or returns an error if a limit is reached.
+// Each successful call must be followed by release.
+func (o *openRequests) acquire(team ident.Team) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.teams[team] >= o.maxPerTeam {
 		return &outcome.NotRun{
 			Reason:     outcome.ReasonTeamLimit,
 			Detail:     fmt.Sprintf("the team has %d requests open at this entry, the most it may have", o.maxPerTeam),
-			RetryAfter: retryOpen,
+			RetryAfter: openRetryAfter,
 		}
 	}
 	if o.all >= o.max {
 		return &outcome.NotRun{
 			Reason:     outcome.ReasonOverloaded,
 			Detail:     fmt.Sprintf("this entry has %d requests open, the most it takes", o.max),
-			RetryAfter: retryOpen,
+			RetryAfter: openRetryAfter,
 		}
 	}
 	o.all++
@@ -49,7 +50,7 @@
 	return nil
 }
 
-func (o *openRequests) leave(team ident.Team) {
+func (o *openRequests) release(team ident.Team) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.all--
@@ -58,6 +59,7 @@
 	}
 }
 
+// total returns the number of open requests of all teams.
 func (o *openRequests) total() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/adapter/callers/prompts.go
+++ b/internal/adapter/callers/prompts.go
@@ -8,20 +8,20 @@
 )
 
 func (h *Handler) completions(w http.ResponseWriter, r *http.Request) {
-	h.prompt(w, r, textShape, decodeText)
+	h.prompt(w, r, textFormat, decodeText)
 }
 
 func (h *Handler) chat(w http.ResponseWriter, r *http.Request) {
-	h.prompt(w, r, chatShape, decodeChat)
+	h.prompt(w, r, chatFormat, decodeChat)
 }
 
-// prompt runs one request to a model in either shape.
-func (h *Handler) prompt(w http.ResponseWriter, r *http.Request, form shape, decode func([]byte, limits) (decoded, error)) {
-	in, end := h.begin(w, r)
-	if end == nil {
+// prompt handles a model request in either format.
+func (h *Handler) prompt(w http.ResponseWriter, r *http.Request, form answerFormat, decode func([]byte, limits) (decodedRequest, error)) {
+	in, release := h.admit(w, r)
+	if release == nil {
 		return
 	}
-	defer end()
+	defer release()
 	body, err := httpbound.ReadBody(w, r, h.options.MaxBody)
 	if err != nil {
 		h.refuse(w, in.request, err)
@@ -43,13 +43,13 @@
 	}
 	defer answer.Close()
 	if call.stream {
-		h.stream(w, answer, newChunks(form, call.prompt))
+		h.stream(w, answer, newChunkEncoder(form, call.prompt))
 		return
 	}
-	h.whole(w, answer, form, call.prompt)
+	h.sendComplete(w, answer, form, call.prompt)
 }
 
-// setProvenance writes what is known of the answer into its headers.
+// setProvenance sets the headers that are known before the answer is complete.
 func setProvenance(header http.Header, from entry.Provenance) {
 	header.Set(HeaderRequestID, from.Request.String())
 	header.Set(HeaderClass, string(from.Class))
--- a/internal/adapter/callers/request.go
+++ b/internal/adapter/callers/request.go
@@ -15,26 +15,26 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// maxBearer is the longest bearer token in bytes.
+// maxBearer is the maximum length of a bearer token in bytes.
 const maxBearer = 512
 
-// maxDeadline is the longest deadline a caller may ask for.
+// maxDeadline is the maximum deadline that a caller may request.
 const maxDeadline = 24 * time.Hour
 
-// requestID takes the caller's request identity or draws one. A malformed one
-// is an error: a caller that can't find its request later must hear of it now.
+// requestID returns the caller's request ID, or a new one if the request has none. A
+// malformed ID is an error, because the caller could not find its request by it later.
 func requestID(r *http.Request) (ident.Request, error) {
-	fresh, err := ident.NewRequest(rand.Reader)
+	generated, err := ident.NewRequest(rand.Reader)
 	if err != nil {
-		return fresh, &outcome.NotRun{Reason: outcome.ReasonOverloaded, Detail: "no randomness for a request id"}
+		return generated, &outcome.NotRun{Reason: outcome.ReasonOverloaded, Detail: "no randomness for a request id"}
 	}
 	text := r.Header.Get(HeaderRequestID)
 	if text == "" {
-		return fresh, nil
+		return generated, nil
 	}
 	given, err := ident.ParseRequest(text)
 	if err != nil {
-		return fresh, badHeader(HeaderRequestID, err.Error())
+		return generated, badHeader(HeaderRequestID, err.Error())
 	}
 	return given, nil
 }
@@ -43,8 +43,8 @@
 	return &httpbound.BodyError{Status: http.StatusBadRequest, Field: name, Message: reason}
 }
 
-// authorize finds the caller's team. It runs before the body is read, so that
-// a stranger can't make the entry read or parse anything.
+// authorize returns the caller that the bearer token belongs to. It runs before the body
+// is read, so that an unauthenticated client can't make the entry read or parse a body.
 func (h *Handler) authorize(r *http.Request) (entry.Caller, error) {
 	scheme, token, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") || token == "" || len(token) > maxBearer {
@@ -56,7 +56,7 @@
 	return h.entry.Authorize(config.TokenDigest(sha256.Sum256([]byte(token))))
 }
 
-// deadline reads how long the caller waits, zero if it does not say.
+// deadline returns the caller's deadline from the header, zero if there is none.
 func deadline(r *http.Request) (time.Duration, error) {
 	text := r.Header.Get(HeaderDeadline)
 	if text == "" {
@@ -65,12 +65,12 @@
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait <= 0 || wait > maxDeadline {
 		return 0, badHeader(HeaderDeadline,
-			fmt.Sprintf("%q is not a duration between 1ms and %v, such as 1.5s", limited(text, maxNameEcho), maxDeadline))
+			fmt.Sprintf("%q is not a duration between 1ms and %v, such as 1.5s", truncate(text, maxEchoBytes), maxDeadline))
 	}
 	return wait, nil
 }
 
-// admitted is a request that passed the checks made before its body is read.
+// admitted is a request that has passed the checks before its body is read.
 type admitted struct {
 	request  ident.Request
 	caller   entry.Caller
@@ -78,9 +78,10 @@
 	deadline time.Duration
 }
 
-// begin checks identity, team, deadline and the bounds of open requests. The
-// returned function ends the request; it is nil if the request was refused.
-func (h *Handler) begin(w http.ResponseWriter, r *http.Request) (admitted, func()) {
+// admit checks request ID, token, deadline and the limits of open requests. The returned
+// function must be called at the end of the request. It is nil if the request was refused,
+// in which case the response has been sent.
+func (h *Handler) admit(w http.ResponseWriter, r *http.Request) (admitted, func()) {
 	var in admitted
 	var err error
 	if in.request, err = requestID(r); err != nil {
@@ -97,9 +98,9 @@
 	}
 	in.class = ident.Class(r.Header.Get(HeaderClass))
 	team := in.caller.Team()
-	if err = h.open.enter(team); err != nil {
+	if err = h.open.acquire(team); err != nil {
 		h.refuse(w, in.request, err)
 		return in, nil
 	}
-	return in, func() { h.open.leave(team) }
+	return in, func() { h.open.release(team) }
 }
--- a/internal/adapter/callers/server_test.go
+++ b/internal/adapter/callers/server_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// exchange serves a handler with small bounds, sends raw bytes and returns all
-// that the server answers before it closes the connection.
+// exchange serves a handler with small limits, sends raw and returns all that the server
+// sends before it closes the connection.
 func exchange(t *testing.T, raw string) string {
 	t.Helper()
 	h := newHandler(t, newFakeEntry(t), Options{
-		// Long enough for a good request on a busy machine, so that the
-		// verdict does not hang on how busy it is.
+		// ReadTimeout is long enough for a valid request on a busy machine, so
+		// that the result doesn't depend on the machine's load.
 		MaxHeader: 4 << 10, ReadTimeout: 2 * time.Second, IdleTimeout: 100 * time.Millisecond,
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,9 +45,8 @@
 	return string(answer)
 }
 
-// A stranger holds connections open with half a request, or sends more than is
-// allowed. Each connection must be closed by the server itself; the test would
-// hang if one were not.
+// Unauthenticated clients keep connections open with half a request or send too much. The
+// server must close each connection; otherwise the test hangs.
 func TestConnectionsAreBounded(t *testing.T) {
 	head := "POST " + PathCompletions + " HTTP/1.1\r\nHost: x\r\n"
 	auth := "Authorization: Bearer " + goodToken + "\r\n"
@@ -75,19 +74,18 @@
 	}
 }
 
-// A caller's library sends a header somewhat above the bound. It must be told in
-// the shape that it can read, and that nothing was run.
-func TestLargeHeaderIsRefusedInTheUsualShape(t *testing.T) {
+// A client sends a header somewhat above the limit. It must get a JSON error with the
+// outcome not-run.
+func TestLargeHeaderIsRefusedAsJSON(t *testing.T) {
 	answer := exchange(t, "GET "+PathAddress+" HTTP/1.1\r\nHost: x\r\nX: "+strings.Repeat("x", 6<<10)+"\r\n\r\n")
 	for _, want := range []string{"431 Request Header Fields Too Large", "Lovage-Outcome: not-run", `"message":"the header is larger than 4096 bytes"`} {
 		if !strings.Contains(answer, want) {
-			t.Errorf("%q lacks %q", answer, want)
+			t.Errorf("%q does not contain %q", answer, want)
 		}
 	}
 }
 
-// The whole header of an answer is formed by the server's own words, whatever
-// the caller put into its request.
+// A line break in a field of the request must not add a header to the answer.
 func TestNoHeaderInjection(t *testing.T) {
 	fake := newFakeEntry(t)
 	got := request{path: PathCompletions, body: `{"model":"m\r\nX-Evil: 1","prompt":"a"}`}.do(newHandler(t, fake, Options{}))
--- a/internal/adapter/callers/services.go
+++ b/internal/adapter/callers/services.go
@@ -11,19 +11,19 @@
 	"github.com/lovagereach/lovagereach/internal/httpbound"
 )
 
-// maxKey is the longest idempotency key in bytes.
+// maxKey is the maximum length of an idempotency key in bytes.
 const maxKey = 256
 
-// copyBuffer is the size of the buffer through which an answer is relayed.
+// copyBuffer is the size of the buffer for copying an answer, in bytes.
 const copyBuffer = 16 << 10
 
 // services forwards a call to a plain service.
 func (h *Handler) services(w http.ResponseWriter, r *http.Request) {
-	in, end := h.begin(w, r)
-	if end == nil {
+	in, release := h.admit(w, r)
+	if release == nil {
 		return
 	}
-	defer end()
+	defer release()
 	service, path, err := splitService(r)
 	if err != nil {
 		h.refuse(w, in.request, err)
@@ -45,7 +45,7 @@
 		Service:  service,
 		Method:   r.Method,
 		Path:     path,
-		Header:   forwarded(r.Header),
+		Header:   forwardedHeader(r.Header),
 		Body:     body,
 		Key:      key,
 		Deadline: in.deadline,
@@ -58,7 +58,7 @@
 	h.relay(w, answer)
 }
 
-// splitService parts /v1/services/{service}/{path}?{query}.
+// splitService splits /v1/services/{service}/{path}?{query} into the service and the rest.
 func splitService(r *http.Request) (ident.Service, string, error) {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), PathServices)
 	service, path, _ := strings.Cut(rest, "/")
@@ -66,8 +66,8 @@
 		return "", "", invalid("service", "the path must name a service of 1 to %d bytes", maxModelName)
 	}
 	path = "/" + path
-	// A path with dot segments could reach above the part that was meant and
-	// be matched as another, repeatable one.
+	// A path with dot segments could resolve to another path than the one that was
+	// checked, and be treated as a repeatable call by mistake.
 	for segment := range strings.SplitSeq(r.URL.Path, "/") {
 		if segment == "." || segment == ".." {
 			return "", "", invalid("path", "must not hold . or .. segments")
@@ -79,6 +79,7 @@
 	return ident.Service(service), path, nil
 }
 
+// idempotencyKey returns the idempotency key, empty if there is none.
 func idempotencyKey(r *http.Request) (string, error) {
 	keys := r.Header.Values(HeaderIdempotency)
 	if len(keys) == 0 {
@@ -93,34 +94,35 @@
 	return keys[0], nil
 }
 
-// hopHeaders concern one connection only, or are the system's own.
-var hopHeaders = []string{
+// droppedHeaders lists the headers that aren't forwarded in either direction: hop-by-hop
+// headers and headers of this system.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	"Content-Length", "Authorization", HeaderRequestID, HeaderClass, HeaderDeadline,
 	HeaderIdempotency, headerXRequestID, "Accept-Encoding",
 }
 
-// forwarded returns the headers that travel on. The caller's token stays here:
-// no upstream learns it.
-func forwarded(header http.Header) http.Header {
+// forwardedHeader returns the headers to forward to the service. The caller's token is not
+// among them.
+func forwardedHeader(header http.Header) http.Header {
 	out := header.Clone()
 	for listed := range strings.SplitSeq(strings.Join(header.Values("Connection"), ","), ",") {
 		out.Del(strings.TrimSpace(listed))
 	}
-	for _, name := range hopHeaders {
+	for _, name := range droppedHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// relay sends a service's answer on.
+// relay sends a service's answer to the caller.
 func (h *Handler) relay(w http.ResponseWriter, answer entry.ServiceAnswer) {
 	header := w.Header()
 	for name, values := range answer.Header {
 		header[name] = values
 	}
-	for _, name := range hopHeaders {
+	for _, name := range droppedHeaders {
 		header.Del(name)
 	}
 	setProvenance(header, answer.Provenance)
@@ -135,12 +137,13 @@
 	w.WriteHeader(answer.Status)
 	if err := h.copyBody(w, answer.Body); err != nil {
 		h.writeFailed(err)
-		// The status is sent; only a broken connection tells the caller that
-		// the answer is not whole.
+		// The status has been sent, so aborting the connection is the only way to
+		// signal that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
+// copyBody copies body to w and extends the write deadline before each write.
 func (h *Handler) copyBody(w http.ResponseWriter, body io.Reader) error {
 	buffer := make([]byte, copyBuffer)
 	for {
--- a/internal/adapter/callers/stream.go
+++ b/internal/adapter/callers/stream.go
@@ -11,19 +11,19 @@
 	"github.com/lovagereach/lovagereach/internal/entry"
 )
 
-// chunks encodes the events of one stream. What is the same in each event is
-// encoded once; a token costs no allocation.
-type chunks struct {
-	form   shape
+// chunkEncoder encodes the events of one stream. The part common to all events is encoded
+// once, and encoding a token needs no allocation.
+type chunkEncoder struct {
+	form   answerFormat
 	head   []byte
 	buffer []byte
 }
 
-func newChunks(form shape, prompt entry.Prompt) *chunks {
+func newChunkEncoder(form answerFormat, prompt entry.Prompt) *chunkEncoder {
 	head := []byte(`data: {"id":"`)
 	head = append(head, prompt.Request.String()...)
 	head = append(head, `","object":"`...)
-	if form == chatShape {
+	if form == chatFormat {
 		head = append(head, "chat.completion.chunk"...)
 	} else {
 		head = append(head, "text_completion"...)
@@ -33,14 +33,14 @@
 	head = append(head, `,"model":`...)
 	head = appendString(head, modelName(prompt))
 	head = append(head, `,"choices":[{"index":0,`...)
-	return &chunks{form: form, head: head}
+	return &chunkEncoder{form: form, head: head}
 }
 
-// token returns the event of one token, valid until the next call.
-func (c *chunks) token(token entry.Token) []byte {
+// token returns the event of a token. The slice is valid until the next call.
+func (c *chunkEncoder) token(token entry.Token) []byte {
 	out := append(c.buffer[:0], c.head...)
 	switch {
-	case c.form == textShape:
+	case c.form == textFormat:
 		out = append(out, `"text":`...)
 		out = appendString(out, token.Text)
 	case token.Index == 0:
@@ -57,8 +57,8 @@
 	return c.buffer
 }
 
-// last returns the final events of a whole answer.
-func (c *chunks) last(finish string, from entry.Provenance) ([]byte, error) {
+// finalEvents returns the final events of a complete answer.
+func (c *chunkEncoder) finalEvents(finish string, from entry.Provenance) ([]byte, error) {
 	usage, err := json.Marshal(usageOf(from))
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	out := append(c.buffer[:0], c.head...)
-	if c.form == textShape {
+	if c.form == textFormat {
 		out = append(out, `"text":"",`...)
 	} else {
 		out = append(out, `"delta":{},`...)
@@ -82,9 +82,9 @@
 	return append(out, "}\n\ndata: [DONE]\n\n"...), nil
 }
 
-// failure returns the event that ends a broken answer. There is no [DONE]
-// after it, so that no caller takes the answer for a whole one.
-func failure(err error, from entry.Provenance) []byte {
+// errorEvent returns the last event of an answer that failed. No [DONE] follows it, so
+// that clients don't mistake the answer for a complete one.
+func errorEvent(err error, from entry.Provenance) []byte {
 	_, detail := describe(err, from.Request)
 	body, encodeErr := json.Marshal(errorBody{Error: detail})
 	if encodeErr != nil {
@@ -94,10 +94,10 @@
 	return append(out, '\n', '\n')
 }
 
-// stream relays an answer as server-sent events.
-func (h *Handler) stream(w http.ResponseWriter, answer entry.Answer, events *chunks) {
+// stream sends an answer as server-sent events.
+func (h *Handler) stream(w http.ResponseWriter, answer entry.Answer, events *chunkEncoder) {
 	h.metrics.streams.Inc()
-	// The first token decides between an error status and a stream.
+	// If the first token fails, an error status can still be sent.
 	token, err := answer.Next()
 	if err != nil {
 		h.refuse(w, answer.Provenance().Request, err)
@@ -115,39 +115,40 @@
 		}
 		h.metrics.tokens.Inc()
 		if token, err = answer.Next(); err != nil {
-			h.writeFailed(out.write(failure(err, answer.Provenance())))
+			h.writeFailed(out.write(errorEvent(err, answer.Provenance())))
 			return
 		}
 	}
-	final, err := events.last(token.FinishReason, answer.Provenance())
+	final, err := events.finalEvents(token.FinishReason, answer.Provenance())
 	if err != nil {
-		final = failure(err, answer.Provenance())
+		final = errorEvent(err, answer.Provenance())
 	}
-	// The server flushes when the handler returns, together with the end of
-	// the body; a flush here would cost one more system call.
+	// The server flushes the last event together with the end of the body when the
+	// handler returns; a flush here would cost an additional system call.
 	h.writeFailed(out.append(final))
 }
 
+// writeFailed counts a write that failed because the caller read too slowly.
 func (h *Handler) writeFailed(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		h.metrics.slow.Inc()
+		h.metrics.slowReaders.Inc()
 	}
 }
 
-// eventWriter writes and flushes events under a deadline.
+// eventWriter writes and flushes events with a write deadline.
 type eventWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	timeout time.Duration
-	// extended is when the deadline was last set.
-	extended time.Time
+	// deadlineSetAt is the time at which the deadline was last set.
+	deadlineSetAt time.Time
 }
 
-// deadlineSlack is the part of the timeout that may pass before the deadline
-// is set again; setting it for each token would double a token's cost.
-const deadlineSlack = 8
+// deadlineRefreshDivisor divides the timeout to get the minimum interval between updates
+// of the deadline. An update for each token would double the cost of a token.
+const deadlineRefreshDivisor = 8
 
-// write sends an event at once.
+// write writes and flushes an event.
 func (e *eventWriter) write(event []byte) error {
 	if err := e.append(event); err != nil {
 		return err
@@ -158,17 +159,17 @@
 // append writes an event without flushing it.
 func (e *eventWriter) append(event []byte) error {
 	now := time.Now()
-	if now.Sub(e.extended) > e.timeout/deadlineSlack {
-		e.extended = now
-		// A writer without deadlines has no slow reader either.
+	if now.Sub(e.deadlineSetAt) > e.timeout/deadlineRefreshDivisor {
+		e.deadlineSetAt = now
+		// Writers without deadline support, as in tests, have no slow readers.
 		_ = e.control.SetWriteDeadline(now.Add(e.timeout))
 	}
 	_, err := e.w.Write(event)
 	return err
 }
 
-// appendString appends text as a JSON string. Plain ASCII, the usual case, is
-// copied; anything else goes through the JSON encoder.
+// appendString appends text as a JSON string. Printable ASCII without characters to
+// escape, the usual case, is copied; other text is encoded by encoding/json.
 func appendString(out []byte, text string) []byte {
 	for i := range len(text) {
 		char := text[i]
@@ -184,7 +185,7 @@
 func appendEscaped(out []byte, text string) []byte {
 	escaped, err := json.Marshal(text)
 	if err != nil {
-		panic("callers: a string does not encode: " + err.Error())
+		panic("callers: encode string: " + err.Error())
 	}
 	return append(out, escaped...)
 }
--- a/internal/adapter/callers/tokens.go
+++ b/internal/adapter/callers/tokens.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// parseTokens reads a JSON array of tokens. Prompts of many thousand tokens
-// are the usual case here, and the JSON library, which looks at the type of
-// each element anew, takes ten times as long for them. raw is valid JSON.
+// parseTokens parses a JSON array of tokens; raw must be valid JSON. Such prompts usually
+// have many thousand tokens. encoding/json takes ten times as long for them, because it
+// determines the type of each element by reflection.
 func parseTokens(raw json.RawMessage, limit int) ([]uint32, error) {
 	tokens := make([]uint32, 0, min(limit, len(raw)/2))
 	value, digits := uint64(0), 0
--- a/internal/adapter/operators/api/api.go
+++ b/internal/adapter/operators/api/api.go
@@ -1,5 +1,5 @@
-// Package api defines what operators and a control host say to each other over
-// HTTP, in JSON or CBOR.
+// Package api defines the requests and responses of the operators' API of control hosts,
+// encoded as JSON or CBOR.
 package api
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Paths of the operators' listener.
+// URL paths of the operators' listener.
 const (
 	PathConfig  = "/v1/config"
 	PathHistory = "/v1/history"
@@ -20,7 +20,7 @@
 	PathAudit   = "/v1/audit"
 )
 
-// MaxWait is the longest that an apply waits for its change to be in force.
+// MaxWait is the maximum time for which an apply waits until its change is in force.
 const MaxWait = 60 * time.Second
 
 // Content types.
@@ -29,7 +29,7 @@
 	TypeCBOR = "application/cbor"
 )
 
-// Code is a stable cause of an error.
+// Code identifies the cause of an error. Codes are stable across versions.
 type Code string
 
 // The error codes.
@@ -47,16 +47,16 @@
 	CodeRefused     Code = "refused"
 )
 
-// Error answers a request that failed.
+// Error is the response to a request that failed.
 type Error struct {
 	Code    Code   `json:"code" cbor:"1,keyasint"`
 	Message string `json:"message" cbor:"2,keyasint"`
-	// Next says what to do.
+	// Next is the recommended next step for the operator.
 	Next     string           `json:"next,omitempty" cbor:"3,keyasint,omitempty"`
 	Problems []config.Problem `json:"problems,omitempty" cbor:"4,keyasint,omitempty"`
-	// Winner is the revision that a conflicting change lost to.
+	// Winner is the revision that was committed instead of a conflicting change.
 	Winner *config.RevisionMeta `json:"winner,omitempty" cbor:"5,keyasint,omitempty"`
-	// Revision is the latest committed one, where known.
+	// Revision is the latest committed revision, zero if unknown.
 	Revision config.Revision `json:"revision,omitempty" cbor:"6,keyasint,omitempty"`
 	// Leader is the URL of the leader's operators' listener.
 	Leader string `json:"leader,omitempty" cbor:"7,keyasint,omitempty"`
@@ -65,37 +65,40 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// ApplyRequest asks for a configuration.
+// ApplyRequest is a request to change the configuration.
 type ApplyRequest struct {
-	// RequestID identifies the change: the same request sent again is applied
-	// at most once.
+	// RequestID identifies the change: a request that is sent repeatedly is
+	// applied at most once.
 	RequestID string `json:"request_id" cbor:"1,keyasint"`
-	// Base is the revision that the change was made on. If it is no longer the
-	// latest, another change won and this one is a conflict.
+	// Base is the revision on which the change is based. If it isn't the latest
+	// one, another change was committed first and this one is refused as a
+	// conflict.
 	Base   config.Revision `json:"base" cbor:"2,keyasint"`
 	Note   string          `json:"note,omitempty" cbor:"3,keyasint,omitempty"`
 	DryRun bool            `json:"dry_run,omitempty" cbor:"4,keyasint,omitempty"`
-	// File names the document in errors.
+	// File is the name of the document in error messages.
 	File string `json:"file,omitempty" cbor:"5,keyasint,omitempty"`
-	// YAML is the whole document as text; errors name its lines.
+	// YAML is the complete document as text; error messages refer to its lines.
 	YAML string `json:"yaml,omitempty" cbor:"6,keyasint,omitempty"`
-	// WaitMillis is how long to wait for the change to be in force.
+	// WaitMillis is the maximum time to wait until the change is in force.
 	WaitMillis int64 `json:"wait_ms,omitempty" cbor:"7,keyasint,omitempty"`
-	// Delta stands in place of YAML: the changes that lead from Base to the
-	// document, empty when Base is not the latest revision. Content is the
-	// SHA-256 of the document in hexadecimal; a resend repeats it.
+	// Delta is used instead of YAML. It holds the changes from Base to the
+	// document and is empty if Base isn't the latest revision. Content is the
+	// SHA-256 of the document in hexadecimal; a repeated request has the same
+	// value.
 	Delta   *config.Delta       `json:"delta,omitempty" cbor:"8,keyasint,omitempty"`
 	Content *config.TokenDigest `json:"content,omitempty" cbor:"9,keyasint,omitempty"`
 }
 
-// ApplyAnswer tells what became of it.
+// ApplyAnswer is the response to an ApplyRequest.
 type ApplyAnswer struct {
 	RequestID string          `json:"request_id" cbor:"1,keyasint"`
 	Verdict   config.Verdict  `json:"verdict" cbor:"2,keyasint"`
 	Revision  config.Revision `json:"revision" cbor:"3,keyasint"`
-	// Repeated tells that this is the first answer to the request id again.
+	// Repeated is true if the request ID was used before; the result is that of
+	// the first request.
 	Repeated bool `json:"repeated,omitempty" cbor:"4,keyasint,omitempty"`
-	// InForce tells that every entry that may serve has the revision.
+	// InForce is true if every entry that may serve has the revision.
 	InForce bool         `json:"in_force" cbor:"5,keyasint"`
 	DryRun  bool         `json:"dry_run,omitempty" cbor:"6,keyasint,omitempty"`
 	Delta   config.Delta `json:"delta" cbor:"7,keyasint"`
@@ -107,17 +110,17 @@
 	Document config.Document `json:"document" cbor:"2,keyasint"`
 }
 
-// HistoryAnswer lists revisions, newest first.
+// HistoryAnswer holds revisions, newest first.
 type HistoryAnswer struct {
 	Revisions []config.RevisionMeta `json:"revisions" cbor:"1,keyasint"`
 }
 
-// DiffAnswer is what changed between two revisions.
+// DiffAnswer holds the changes between two revisions.
 type DiffAnswer struct {
 	Delta config.Delta `json:"delta" cbor:"1,keyasint"`
 }
 
-// Member is one control host.
+// Member is a control host in the control group.
 type Member struct {
 	Host    ident.Host `json:"host" cbor:"1,keyasint"`
 	Address string     `json:"address" cbor:"2,keyasint"`
@@ -126,24 +129,24 @@
 	Leader bool   `json:"leader,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// MembersAnswer lists the control hosts.
+// MembersAnswer holds the members of the control group.
 type MembersAnswer struct {
 	Members []Member `json:"members" cbor:"1,keyasint"`
 }
 
-// MemberAction is a change of the control group.
+// MemberAction is a kind of membership change.
 type MemberAction string
 
-// The changes of the control group, one at a time.
+// The membership changes. Only one can be in progress.
 const (
 	ActionAddLearner MemberAction = "add-learner"
 	ActionPromote    MemberAction = "promote"
 	ActionRemove     MemberAction = "remove"
-	// ActionReplace takes a host with a new or wiped disk in again.
+	// ActionReplace adds a host again after its disk was replaced or wiped.
 	ActionReplace MemberAction = "replace"
 )
 
-// MemberRequest asks for one change of the control group.
+// MemberRequest is a request for one membership change.
 type MemberRequest struct {
 	Action MemberAction `json:"action" cbor:"1,keyasint"`
 	Host   ident.Host   `json:"host" cbor:"2,keyasint"`
--- a/internal/adapter/operators/apiclient/client.go
+++ b/internal/adapter/operators/apiclient/client.go
@@ -1,4 +1,4 @@
-// Package apiclient calls the operators' listeners of the control hosts.
+// Package apiclient is the HTTP client of the operators' API of control hosts.
 package apiclient
 
 import (
@@ -18,16 +18,16 @@
 )
 
 const (
-	// maxAnswer bounds what is read of one answer.
+	// maxAnswer is the maximum number of bytes read of a response.
 	maxAnswer = 256 << 20
-	// retryEvery is the pause before the control hosts are tried again.
-	retryEvery = 200 * time.Millisecond
-	// attemptTimeout bounds the wait for the first byte of an answer beyond
-	// what the request itself asks to wait.
+	// retryInterval is the pause before all control hosts are tried again.
+	retryInterval = 200 * time.Millisecond
+	// attemptTimeout is the timeout of an attempt, in addition to the maximum wait
+	// of a request.
 	attemptTimeout = 15 * time.Second
 )
 
-// Client calls the control hosts in turn until one answers. It is safe for
+// Client sends requests to the control hosts in turn until one answers. It is safe for
 // concurrent use.
 type Client struct {
 	servers []string
@@ -35,7 +35,8 @@
 	http    *http.Client
 }
 
-// New returns a client for the given base URLs. transport may be nil.
+// New returns a client for the given base URLs. If transport is nil,
+// http.DefaultTransport is used.
 func New(servers []string, token string, transport http.RoundTripper) (*Client, error) {
 	if len(servers) == 0 {
 		return nil, eris.New("no control host is named")
@@ -46,10 +47,10 @@
 	return &Client{servers: servers, token: token, http: &http.Client{Transport: boundedTransport{transport}}}, nil
 }
 
-// Servers returns the base URLs.
+// Servers returns the base URLs of the control hosts.
 func (c *Client) Servers() []string { return slices.Clone(c.servers) }
 
-// boundedTransport bounds the size of answers.
+// boundedTransport limits the size of responses.
 type boundedTransport struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
@@ -65,43 +66,43 @@
 	return response, nil
 }
 
-// Request is one call.
+// Request is a request to the API.
 type Request struct {
 	Method string
 	Path   string
-	// Query is a struct with url tags, or nil.
+	// Query is a struct with url tags for the URL query, or nil.
 	Query any
-	// Body is sent as JSON, or nil.
+	// Body is the request body, sent as JSON, or nil.
 	Body any
-	// Into receives the answer.
+	// Into is the value into which the response is decoded.
 	Into any
-	// Repeatable tells that sending the request twice does no harm. Without
-	// it an attempt whose outcome is unknown is not followed by another.
+	// Repeatable is true if the request may safely be sent twice. Otherwise it is
+	// not retried after an attempt with an unknown outcome.
 	Repeatable bool
 }
 
-// Call tries the control hosts, the leader first once it is known, until one
-// answers or ctx ends. The error is an *api.Error where a host gave one.
+// Call tries the control hosts in turn until one answers or ctx is done. If a host names
+// the leader, the leader is tried next. The error is an *api.Error if a host returned one.
 func (c *Client) Call(ctx context.Context, request Request) error {
 	targets := slices.Clone(c.servers)
 	var last error
 	for {
 		for i := 0; i < len(targets); i++ {
 			err := c.CallOne(ctx, targets[i], request)
-			if err == nil || !c.tryNext(request, err) {
+			if err == nil || !c.shouldTryNext(request, err) {
 				return err
 			}
 			last = err
 			targets = leaderNext(targets, i, err)
 		}
 		targets = slices.Clone(c.servers)
-		if !wait.For(ctx, retryEvery) {
+		if !wait.For(ctx, retryInterval) {
 			return last
 		}
 	}
 }
 
-// leaderNext puts the leader that an answer names behind the host just tried.
+// leaderNext moves the leader that an answer names directly behind the host tried last.
 func leaderNext(targets []string, tried int, err error) []string {
 	var failure *api.Error
 	if !errors.As(err, &failure) || failure.Leader == "" || slices.Contains(targets[:tried+1], failure.Leader) {
@@ -111,8 +112,8 @@
 	return slices.Concat(targets[:tried+1], []string{failure.Leader}, rest)
 }
 
-// tryNext tells whether another host may be asked after this error.
-func (c *Client) tryNext(request Request, err error) bool {
+// shouldTryNext reports whether another host may be tried after err.
+func (c *Client) shouldTryNext(request Request, err error) bool {
 	var failure *api.Error
 	if !errors.As(err, &failure) {
 		return request.Repeatable || isNotSent(err)
@@ -127,14 +128,14 @@
 	}
 }
 
-// isNotSent reports that the system call connect failed, so that no byte of the
-// request can have left. Other failures count as possibly sent.
+// isNotSent reports whether the system call connect failed, so that no byte of the
+// request was sent. After other errors the request may have been sent.
 func isNotSent(err error) bool {
 	var call *os.SyscallError
 	return errors.As(err, &call) && call.Syscall == "connect"
 }
 
-// CallOne asks one control host.
+// CallOne sends the request to one control host.
 func (c *Client) CallOne(ctx context.Context, server string, request Request) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+api.MaxWait)
 	defer cancel()
@@ -154,7 +155,7 @@
 	}
 	var failure struct {
 		api.Error
-		// Plain is how other handlers than the control part's say it.
+		// Plain is the error message of handlers that don't use api.Error.
 		Plain string `json:"error"`
 	}
 	response, err := builder.Do(httpRequest.WithContext(ctx), request.Into, &failure)
@@ -173,8 +174,8 @@
 	return nil
 }
 
-// attemptError classifies an attempt without an answer. A change whose request
-// may have left this process may have been made.
+// attemptError classifies an attempt without an answer. A change whose request may have
+// been sent may have been made, so its outcome is uncertain.
 func attemptError(request Request, server string, err error) error {
 	if request.Method != http.MethodPost || isNotSent(err) {
 		return eris.Wrapf(err, "ask %s", server)
--- a/internal/adapter/operators/apiclient/client_test.go
+++ b/internal/adapter/operators/apiclient/client_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// A change gets no answer. Only if the connection was refused is it certain
-// that nothing was sent, and another host may be asked. Were that read from the
-// error's text, a server's name could make a change that was sent count as not
-// sent, and it could be made twice.
+// A change gets no answer. Only after a refused connection is it certain that nothing was
+// sent and that another host may be tried. If isNotSent matched the error's text, the name
+// of a server could make a change that was sent count as not sent, and the change could be
+// made twice.
 func TestIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,7 +26,7 @@
 		want bool
 	}{
 		{"connection refused", refused, true},
-		{"connection lost, with a telling name", &url.Error{Op: "Post", URL: "http://connect: 1/", Err: errors.New("EOF")}, false},
+		{"connection lost, with connect in the URL", &url.Error{Op: "Post", URL: "http://connect: 1/", Err: errors.New("EOF")}, false},
 		{"connection lost", &url.Error{Op: "Post", URL: closed, Err: net.ErrClosed}, false},
 	}
 	for _, c := range cases {
--- a/internal/adapter/operators/config.go
+++ b/internal/adapter/operators/config.go
@@ -34,12 +34,12 @@
 		s.fail(w, r, http.StatusBadRequest, badRequest(err))
 		return
 	}
-	wanted, failure := s.wanted(r, request)
+	wanted, failure := s.controlRequest(r, request)
 	if failure != nil {
 		s.fail(w, r, http.StatusUnprocessableEntity, failure)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), waitOf(request))
+	ctx, cancel := context.WithTimeout(r.Context(), waitTime(request))
 	defer cancel()
 	answer, err := s.opts.Control.Apply(ctx, wanted)
 	if err != nil {
@@ -49,8 +49,8 @@
 	s.answerApply(w, r, request, answer)
 }
 
-// wanted turns a request into the control process's terms.
-func (s *server) wanted(r *http.Request, request api.ApplyRequest) (control.ApplyRequest, *api.Error) {
+// controlRequest converts an API request into a request to the control process.
+func (s *server) controlRequest(r *http.Request, request api.ApplyRequest) (control.ApplyRequest, *api.Error) {
 	wanted := control.ApplyRequest{
 		RequestID: request.RequestID,
 		Author:    operatorOf(r),
@@ -74,7 +74,8 @@
 	return wanted, nil
 }
 
-func waitOf(request api.ApplyRequest) time.Duration {
+// waitTime returns the requested wait, limited to api.MaxWait, or the default.
+func waitTime(request api.ApplyRequest) time.Duration {
 	wait := time.Duration(request.WaitMillis) * time.Millisecond
 	return min(cmp.Or(max(wait, 0), DefaultWait), api.MaxWait)
 }
@@ -103,12 +104,12 @@
 }
 
 func (s *server) history(w http.ResponseWriter, r *http.Request) {
-	before, err := numberIn(r, "before", 0)
+	before, err := queryNumber(r, "before", 0)
 	if err != nil {
 		s.fail(w, r, http.StatusBadRequest, badRequest(err))
 		return
 	}
-	limit, err := numberIn(r, "limit", DefaultHistory)
+	limit, err := queryNumber(r, "limit", DefaultHistory)
 	if err != nil || limit > MaxHistory {
 		s.fail(w, r, http.StatusBadRequest, badRequest(fmt.Errorf("limit: must be a number up to %d", MaxHistory)))
 		return
@@ -122,12 +123,12 @@
 }
 
 func (s *server) diff(w http.ResponseWriter, r *http.Request) {
-	from, err := numberIn(r, "from", 0)
+	from, err := queryNumber(r, "from", 0)
 	if err != nil {
 		s.fail(w, r, http.StatusBadRequest, badRequest(err))
 		return
 	}
-	to, err := numberIn(r, "to", uint64(s.opts.Control.Status().Revision))
+	to, err := queryNumber(r, "to", uint64(s.opts.Control.Status().Revision))
 	if err != nil {
 		s.fail(w, r, http.StatusBadRequest, badRequest(err))
 		return
@@ -140,8 +141,8 @@
 	s.answer(w, r, http.StatusOK, api.DiffAnswer{Delta: delta})
 }
 
-// numberIn reads a number from the query.
-func numberIn(r *http.Request, key string, missing uint64) (uint64, error) {
+// queryNumber returns a number from the URL query, or missing if it is absent.
+func queryNumber(r *http.Request, key string, missing uint64) (uint64, error) {
 	text := r.URL.Query().Get(key)
 	if text == "" {
 		return missing, nil
--- a/internal/adapter/operators/failure.go
+++ b/internal/adapter/operators/failure.go
@@ -13,12 +13,13 @@
 	"github.com/lovagereach/lovagereach/internal/settings"
 )
 
-// failWith answers an error of the control process.
+// failWith sends an error of the control process.
 func (s *server) failWith(w http.ResponseWriter, r *http.Request, err error) {
 	status, failure := s.failureOf(err)
 	s.fail(w, r, status, failure)
 }
 
+// failureOf returns the HTTP status and the API error for err.
 func (s *server) failureOf(err error) (int, *api.Error) {
 	var notLeader *port.NotLeaderError
 	var outside *config.RangeError
@@ -52,7 +53,7 @@
 	}
 }
 
-// unavailable answers an error of a group without a leader or a quorum.
+// unavailable returns the API error for a control group without a leader or quorum.
 func unavailable(err error) *api.Error {
 	switch {
 	case errors.Is(err, port.ErrUncertain):
@@ -76,7 +77,7 @@
 	}
 }
 
-// documentFailure answers a document that can't be read or accepted.
+// documentFailure returns the API error for a document that is malformed or invalid.
 func documentFailure(err error) *api.Error {
 	failure := &api.Error{
 		Code:    api.CodeInvalid,
@@ -96,7 +97,8 @@
 	return failure
 }
 
-// refusal turns a result that changed nothing into an error, nil for others.
+// refusal returns the HTTP status and the API error for a refused change. The error is
+// nil for other results.
 func refusal(result config.Result, base config.Revision) (int, *api.Error) {
 	switch result.Verdict {
 	case config.VerdictConflict:
--- a/internal/adapter/operators/group.go
+++ b/internal/adapter/operators/group.go
@@ -41,6 +41,7 @@
 	s.members(w, r)
 }
 
+// failFixedGroup refuses a request about members of a control group that can't change.
 func (s *server) failFixedGroup(w http.ResponseWriter, r *http.Request) {
 	s.fail(w, r, http.StatusNotFound, &api.Error{
 		Code:    api.CodeNotFound,
--- a/internal/adapter/operators/options.go
+++ b/internal/adapter/operators/options.go
@@ -1,5 +1,5 @@
-// Package operators is the HTTP interface for operators on control hosts: the
-// configuration, its history, the state of the control group and its members.
+// Package operators is the HTTP API for operators on control hosts. It serves the
+// configuration and its history, and the state and members of the control group.
 package operators
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/lovagereach/lovagereach/internal/control"
 )
 
-// Bounds of requests.
+// Limits and defaults of requests.
 const (
 	MaxBody        = 32 << 20
 	DefaultWait    = 10 * time.Second
@@ -24,7 +24,7 @@
 	MaxHistory     = 1000
 )
 
-// Control is what the listener needs of the control process.
+// Control is the interface of the control process used by the API.
 type Control interface {
 	Apply(ctx context.Context, request control.ApplyRequest) (control.ApplyAnswer, error)
 	Get(ctx context.Context) (*config.Snapshot, error)
@@ -39,23 +39,23 @@
 	Change(ctx context.Context, request api.MemberRequest) error
 }
 
-// Options configure a Server.
+// Options configures a handler.
 type Options struct {
 	Control Control
-	// Members may be nil, as on a group of one host that never changes.
+	// Members is nil if the group's members are fixed, as in a group of one host.
 	Members Membership
-	// Operators name who may call, by the digest of their bearer token.
+	// Operators maps the digests of bearer tokens to the names of operators.
 	Operators map[config.TokenDigest]string
-	// Leaders are the URLs of the control hosts' operators' listeners.
+	// Leaders maps control hosts to the URLs of their operators' listeners.
 	Leaders map[ident.Host]string
-	// Dump answers api.PathDump and Audit what lies under api.PathAudit; each
-	// may be nil.
+	// Dump serves api.PathDump, Audit serves api.PathAudit and the paths below it.
+	// Each may be nil.
 	Dump  http.Handler
 	Audit http.Handler
 	Log   *log.Logger
 }
 
-// Validate reports the first option that cannot work.
+// Validate returns an error for the first missing option.
 func (o Options) Validate() error {
 	switch {
 	case o.Control == nil:
--- a/internal/adapter/operators/server.go
+++ b/internal/adapter/operators/server.go
@@ -9,7 +9,7 @@
 	"github.com/lovagereach/lovagereach/internal/adapter/operators/api"
 )
 
-// Handler returns the routes, all of which require an operator's token.
+// Handler returns the HTTP handler of the API. All paths require an operator's token.
 func Handler(opts Options) (http.Handler, error) {
 	if err := opts.Validate(); err != nil {
 		return nil, err
@@ -23,9 +23,9 @@
 	mux.HandleFunc("GET "+api.PathStatus, s.status)
 	mux.HandleFunc("GET "+api.PathMembers, s.members)
 	mux.HandleFunc("POST "+api.PathMembers, s.changeMembers)
-	mux.HandleFunc("GET "+api.PathDump, s.passOn(opts.Dump))
-	mux.HandleFunc("GET "+api.PathAudit, s.passOn(opts.Audit))
-	mux.HandleFunc(api.PathAudit+"/", s.passOn(opts.Audit))
+	mux.HandleFunc("GET "+api.PathDump, s.delegate(opts.Dump))
+	mux.HandleFunc("GET "+api.PathAudit, s.delegate(opts.Audit))
+	mux.HandleFunc(api.PathAudit+"/", s.delegate(opts.Audit))
 	return s.authenticate(mux), nil
 }
 
@@ -35,8 +35,8 @@
 
 type operatorKey struct{}
 
-// authenticate names the operator by the token. A digest is looked up, so the
-// time taken tells nothing about how much of a guessed token is right.
+// authenticate identifies the operator by the bearer token. It looks up the digest of the
+// token, so that response times don't reveal how much of a guessed token is correct.
 func (s *server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -56,12 +56,14 @@
 	})
 }
 
+// operatorOf returns the name of the authenticated operator, empty if there is none.
 func operatorOf(r *http.Request) string {
 	name, _ := r.Context().Value(operatorKey{}).(string)
 	return name
 }
 
-func (s *server) passOn(to http.Handler) http.HandlerFunc {
+// delegate returns a handler that calls to, or responds with 404 if to is nil.
+func (s *server) delegate(to http.Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if to == nil {
 			s.fail(w, r, http.StatusNotFound, &api.Error{
--- a/internal/adapter/telemetry/doc.go
+++ b/internal/adapter/telemetry/doc.go
@@ -1,4 +1,4 @@
-// Package telemetry serves what operators see of one process: metrics, health,
-// readiness, profiles and a dump of the process's state. It listens on an
-// address of its own, which callers never reach.
+// Package telemetry is the HTTP listener for operators of one process. It serves metrics,
+// health, readiness, profiles and a dump of the process's state, on an address that is
+// separate from that of callers.
 package telemetry
--- a/internal/adapter/telemetry/dump.go
+++ b/internal/adapter/telemetry/dump.go
@@ -10,33 +10,34 @@
 	"github.com/lovagereach/lovagereach/internal/wire"
 )
 
-// Secret is a text that dumps show only as present or absent.
+// Secret is a string that is redacted in dumps and logs: only its presence is shown.
 type Secret string
 
-// RedactedText stands for a secret in a dump.
+// RedactedText replaces a secret in dumps and logs.
 const RedactedText = "[redacted]"
 
-func (s Secret) shown() string {
+// redacted returns RedactedText, or an empty string for an empty secret.
+func (s Secret) redacted() string {
 	if s == "" {
 		return ""
 	}
 	return RedactedText
 }
 
-// String implements fmt.Stringer, so that logs don't show the secret either.
-func (s Secret) String() string { return s.shown() }
+// String implements fmt.Stringer, so that the secret is redacted in logs too.
+func (s Secret) String() string { return s.redacted() }
 
 // GoString implements fmt.GoStringer for the %#v verb.
-func (s Secret) GoString() string { return s.shown() }
+func (s Secret) GoString() string { return s.redacted() }
 
 // MarshalJSON implements json.Marshaler.
-func (s Secret) MarshalJSON() ([]byte, error) { return json.Marshal(s.shown()) }
+func (s Secret) MarshalJSON() ([]byte, error) { return json.Marshal(s.redacted()) }
 
 // MarshalCBOR implements cbor.Marshaler.
-func (s Secret) MarshalCBOR() ([]byte, error) { return wire.Marshal(s.shown()) }
+func (s Secret) MarshalCBOR() ([]byte, error) { return wire.Marshal(s.redacted()) }
 
-// Registry collects the parts of a process's dump. It is safe for concurrent
-// use.
+// Registry holds the functions that return the parts of a process's dump. It is safe for
+// concurrent use.
 type Registry struct {
 	mu    sync.Mutex
 	parts map[string]func() any
@@ -47,9 +48,9 @@
 	return &Registry{parts: make(map[string]func() any)}
 }
 
-// Register adds a part. The function returns a value that encodes as JSON and
-// CBOR and shares no memory with state that may change meanwhile. A name
-// registered twice is a broken invariant.
+// Register adds a part. The dump function must return a value that can be encoded as JSON
+// and CBOR and shares no memory with state that changes concurrently. Register panics if
+// the name is already registered.
 func (r *Registry) Register(name string, dump func() any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +60,7 @@
 	r.parts[name] = dump
 }
 
-// Collect returns every part by name.
+// Collect returns all parts by name.
 func (r *Registry) Collect() map[string]any {
 	r.mu.Lock()
 	parts := make(map[string]func() any, len(r.parts))
@@ -79,8 +80,8 @@
 	typeCBOR = "application/cbor"
 )
 
-// ServeHTTP answers with JSON, or with CBOR when the Accept header or the
-// query format=cbor asks for it.
+// ServeHTTP sends the dump as JSON, or as CBOR if the Accept header or the query
+// format=cbor requests it.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	asCBOR := req.URL.Query().Get("format") == "cbor" || strings.Contains(req.Header.Get("Accept"), typeCBOR)
 	encode, contentType := marshalIndented, typeJSON
--- a/internal/adapter/telemetry/server.go
+++ b/internal/adapter/telemetry/server.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Bounds of the listener.
+// Limits of the listener.
 const (
 	readHeaderTimeout = 5 * time.Second
 	writeTimeout      = 60 * time.Second
@@ -21,18 +21,18 @@
 	shutdownTimeout   = 2 * time.Second
 )
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
-	// Address is an IP and port to listen on; port 0 picks a free one.
+	// Address is the IP address and port to listen on; port 0 selects a free port.
 	Address string
-	// Dump answers /debug/dump.
+	// Dump serves /debug/dump; the path isn't served if it is nil.
 	Dump *Registry
-	// Ready answers /readyz: nil when the process can do its work, otherwise
-	// the reason it can't.
+	// Ready is called for /readyz. It returns nil if the process is ready, otherwise
+	// the reason why it isn't.
 	Ready func() error
 }
 
-// Server is the operators' listener of one process.
+// Server is the telemetry listener of a process.
 type Server struct {
 	listener net.Listener
 	server   *http.Server
@@ -54,10 +54,10 @@
 	return &Server{listener: listener, server: server}, nil
 }
 
-// Address returns the address listened on.
+// Address returns the address of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done, and then shuts the server down.
 func (s *Server) Run(ctx context.Context) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.server.Serve(s.listener) }()
@@ -66,15 +66,15 @@
 		return eris.Wrap(err, "telemetry: serve")
 	case <-ctx.Done():
 	}
-	stopping, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := s.server.Shutdown(stopping); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+	if err := s.server.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return eris.Wrap(err, "telemetry: shut down")
 	}
 	return s.server.Close()
 }
 
-// Handler returns the routes without a listener.
+// Handler returns the HTTP handler of the telemetry paths.
 func Handler(opts Options) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -108,6 +108,6 @@
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	// A write fails only when the reader has gone; nobody is left to tell.
+	// A write fails only if the client has disconnected.
 	_, _ = w.Write([]byte(text + "\n"))
 }
--- a/internal/adapter/telemetry/telemetry_test.go
+++ b/internal/adapter/telemetry/telemetry_test.go
@@ -28,23 +28,23 @@
 	for _, path := range []string{"/debug/dump", "/debug/dump?format=cbor"} {
 		body := get(t, Options{Dump: registry}, path).Body.String()
 		if strings.Contains(body, "hunter2") || !strings.Contains(body, RedactedText) {
-			t.Errorf("%s gives %q", path, body)
+			t.Errorf("%s: secret not redacted in %q", path, body)
 		}
 	}
 	var decoded map[string]samplePart
 	body := get(t, Options{Dump: registry}, "/debug/dump?format=cbor").Body.Bytes()
 	if err := wire.Unmarshal(body, &decoded); err != nil || decoded["entry"].Open != 3 {
-		t.Errorf("CBOR dump decodes to %+v, %v", decoded, err)
+		t.Errorf("decode CBOR dump: got %+v, %v", decoded, err)
 	}
 }
 
-func TestReadyTellsTheReason(t *testing.T) {
+func TestReadyReportsReason(t *testing.T) {
 	opts := Options{Ready: func() error { return errors.New("no serving lease") }}
 	answer := get(t, opts, "/readyz")
 	if answer.Code != http.StatusServiceUnavailable || !strings.Contains(answer.Body.String(), "no serving lease") {
 		t.Errorf("answer %d %q", answer.Code, answer.Body)
 	}
 	if code := get(t, opts, "/healthz").Code; code != http.StatusOK {
-		t.Errorf("a process that is not ready is still healthy; got %d", code)
+		t.Errorf("/healthz of a process that is not ready: got %d, want 200", code)
 	}
 }
