--- a/internal/adapter/announce/announce_test.go
+++ b/internal/adapter/announce/announce_test.go
@@ -118,8 +118,8 @@
 }
 
 func TestSinkErrorIsReturnedToSender(t *testing.T) {
-	got := post(&fakeSink{err: errors.New("an earlier life")}, PathAnnouncement, engine)
-	if got.Code != http.StatusBadRequest || !strings.Contains(got.Body.String(), "an earlier life") {
+	got := post(&fakeSink{err: errors.New("an earlier incarnation")}, PathAnnouncement, engine)
+	if got.Code != http.StatusBadRequest || !strings.Contains(got.Body.String(), "an earlier incarnation") {
 		t.Errorf("got %d %s", got.Code, got.Body)
 	}
 }
--- a/internal/adapter/disk/folder.go
+++ b/internal/adapter/disk/folder.go
@@ -65,7 +65,7 @@
 	Group port.GroupID
 	Hard  *quorum.HardState
 	// Snapshot replaces the log up to its index; with ReplaceLog it replaces
-	// the whole log.
+	// the complete log.
 	Snapshot   *quorum.Snapshot
 	ReplaceLog bool
 	// Entries replace all stored entries from the index of the first one on.
--- a/internal/adapter/engine/stream_test.go
+++ b/internal/adapter/engine/stream_test.go
@@ -67,7 +67,7 @@
 		crossed    uint64
 		duplicated uint64
 	}{
-		"whole":                  {body: own(0) + own(1) + last(2) + done, want: "t0t1", kind: outcome.KindDone},
+		"complete":               {body: own(0) + own(1) + last(2) + done, want: "t0t1", kind: outcome.KindDone},
 		"resumed":                {body: own(1) + last(2) + done, resumeAt: 1, want: "t1", kind: outcome.KindDone},
 		"resumed from the start": {body: own(0) + own(1) + last(2) + done, resumeAt: 1, want: "t1", kind: outcome.KindDone, duplicated: 1},
 		"other request":          {body: token(8, 2, 0) + own(0) + last(1) + done, want: "t0", kind: outcome.KindDone, crossed: 1},
--- a/internal/adapter/peer/conn.go
+++ b/internal/adapter/peer/conn.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// readAnswer returns the body of an answer, or the error that its status stands for.
+// readAnswer returns the body of an answer, or the error for its status.
 func readAnswer(answer frame) ([]byte, error) {
 	switch answer.Status {
 	case answerNotRun:
--- a/internal/adapter/peer/transport_test.go
+++ b/internal/adapter/peer/transport_test.go
@@ -179,11 +179,11 @@
 		body    int
 		before  func(a *Transport)
 	}{
-		"nobody listens":   {address: "nowhere", method: methodEcho},
-		"body too large":   {address: "b", method: methodEcho, body: DefaultMaxFrame},
-		"unknown method":   {address: "b", method: "unheard"},
-		"far side is busy": {address: "b", method: methodEcho, before: func(a *Transport) { go a.Call(within(time.Second), "b", methodEcho, nil) }},
-		"closing":          {address: "b", method: methodEcho, before: func(a *Transport) { go a.Close(within(time.Second)) }},
+		"no listener":    {address: "nowhere", method: methodEcho},
+		"body too large": {address: "b", method: methodEcho, body: DefaultMaxFrame},
+		"unknown method": {address: "b", method: "unheard"},
+		"remote is busy": {address: "b", method: methodEcho, before: func(a *Transport) { go a.Call(within(time.Second), "b", methodEcho, nil) }},
+		"closing":        {address: "b", method: methodEcho, before: func(a *Transport) { go a.Close(within(time.Second)) }},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
