--- a/internal/adapter/callers/tokens.go
+++ b/internal/adapter/callers/tokens.go
@@ -7,7 +7,7 @@
 
 // parseTokens parses a JSON array of tokens; raw must be valid JSON. Such prompts usually
 // have many thousand tokens. encoding/json takes ten times as long for them, because it
-// determines the type of each element by reflection.
+// checks the type of each element.
 func parseTokens(raw json.RawMessage, limit int) ([]uint32, error) {
 	tokens := make([]uint32, 0, min(limit, len(raw)/2))
 	value, digits := uint64(0), 0
--- a/internal/adapter/operators/api/api.go
+++ b/internal/adapter/operators/api/api.go
@@ -29,7 +29,7 @@
 	TypeCBOR = "application/cbor"
 )
 
-// Code identifies the cause of an error. Codes are stable across versions.
+// Code is a stable identifier of the cause of an error.
 type Code string
 
 // The error codes.
