--- a/internal/steward/contacts_test.go
+++ b/internal/steward/contacts_test.go
@@ -12,8 +12,9 @@
 
 // Guards against a runner that gets no more requests because the leader considers it silent. It
 // announces itself to a control host near it, which forwards only the contact if nothing
-// changed. A departure is acknowledged only once a quorum has it, and a host that is cut off
-// from the leader acknowledges nothing.
+// changed. The acknowledgement of a departure promises the runner that entries will stop sending
+// it work, so it is sent only once a quorum has the departure; and a host that is cut off from
+// the leader acknowledges nothing.
 func TestUnchangedAnnouncementsAreAbsorbed(t *testing.T) {
 	f := newTestGroup(t)
 	f.startThree()
--- a/internal/steward/evacuate.go
+++ b/internal/steward/evacuate.go
@@ -64,7 +64,8 @@
 }
 
 // evacuationState returns the current revision of the evacuations, and whether an order is
-// already applied.
+// already applied. If it is, it is in force at every entry that has this revision or a later
+// one, unless a later order reverses it.
 func (m *Machine) evacuationState(o evacuation.Order) (uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/steward/follower.go
+++ b/internal/steward/follower.go
@@ -165,8 +165,8 @@
 func (f *Follower) SetSeeds(seeds []ident.Host) { f.seeds.Store(&seeds) }
 
 // Run watches until ctx ends. next returns the request to send, nil to pause; deliver receives
-// each answer and the time at which its inventories were current at the latest. Both are called
-// from one goroutine.
+// each answer and a time as of which its inventories are current: they may be newer, and are
+// not older. Both are called from one goroutine.
 func (f *Follower) Run(ctx context.Context, next func() *WatchRequest, deliver func(*WatchAnswer, time.Time)) {
 	for ctx.Err() == nil {
 		request := next()
--- a/internal/steward/follower_test.go
+++ b/internal/steward/follower_test.go
@@ -229,8 +229,9 @@
 // The relays answer immediately, but only redirect: their logs are behind, or the leader's
 // answers reach them too late, while the leader lists them all the same. Guards against an
 // entry that keeps an old configuration in this cycle: it must query the leader before that,
-// but rarely, since all other entries do too. An entry that has just started serves nothing by
-// an old configuration: it leaves the relays the time that they need after an election.
+// but no more often than this requires (at most 10 answers in 8 s), since all other entries
+// query it too. An entry that has just started serves nothing by an old configuration: it
+// leaves the relays the time that they need after an election.
 func TestFollowerQueriesLeaderWhenOverdue(t *testing.T) {
 	testOverdueFollower(t, 1, overdueAfter, 8)
 	testOverdueFollower(t, 0, relaysWithin+startSpread, 3)
--- a/internal/steward/reports_test.go
+++ b/internal/steward/reports_test.go
@@ -16,7 +16,7 @@
 )
 
 // quarantinedWithin is the time within which all entries must know a request that has crashed
-// its third upstream.
+// its third upstream: from then on they are required to send it to no upstream.
 const quarantinedWithin = 3 * time.Second
 
 // reportingEntry follows a control group and reports to it.
--- a/internal/steward/watchers.go
+++ b/internal/steward/watchers.go
@@ -184,8 +184,8 @@
 }
 
 // list lists the recent entries, by host. An entry that two watchers report, as after it turned
-// from one to the other, is ready if both report so, and has the lower of the two revisions.
-// The caller holds the lock.
+// from one to the other, is ready if both report so, and has the lower reported revision of the
+// evacuations and the lower reported version of the configuration. The caller holds the lock.
 func (w *watchers) list(now time.Time) []EntryView {
 	w.expire(now)
 	var views []EntryView
--- a/quorum/check_test.go
+++ b/quorum/check_test.go
@@ -125,7 +125,8 @@
 }
 
 // checkLogs checks that two logs that have the same term at an index are
-// identical up to it. It compares the last window entries.
+// identical up to it. It compares the last window entries: a few of them at
+// each simTick, and all of them at the end of a test.
 func (s *sim) checkLogs(window uint64) {
 	for i, a := range s.hosts {
 		for _, b := range s.hosts[i+1:] {
--- a/quorum/doc.go
+++ b/quorum/doc.go
@@ -13,9 +13,9 @@
 // After every event, and after every Advance, the runtime calls Ready until the
 // result is Empty, and performs each result in this order:
 //
-//  1. Send Ready.Immediate. These messages (appends, heartbeats, snapshot
-//     chunks and read replies of a leader) don't depend on a sync of this
-//     host's disk.
+//  1. Send Ready.Immediate at once, without waiting for the disk. These
+//     messages (appends, heartbeats, snapshot chunks and read replies of a
+//     leader) don't depend on a sync of this host's disk.
 //  2. If Ready.MustSync: write Ready.Snapshot, then Ready.HardState and
 //     Ready.Entries (replacing Entries[0].Index and everything after it in the
 //     stored log), then sync everything, including directory entries.
