--- a/internal/adapter/callers/server_test.go
+++ b/internal/adapter/callers/server_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// A line break in a field of the request must not add a header to the answer.
+// The server itself forms every header of the answer to a prompt, whatever the caller put
+// into its request: a line break in a field must not add a header.
 func TestNoHeaderInjection(t *testing.T) {
 	fake := newFakeEntry(t)
 	got := request{path: PathCompletions, body: `{"model":"m\r\nX-Evil: 1","prompt":"a"}`}.do(newHandler(t, fake, Options{}))
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -22,9 +22,9 @@
 const maxCrashes, maxSends = 3, 3
 
 // A prompt crashes each engine that starts to run it, and its caller sends it
-// to alternating entries. Without quarantine, each entry blames the engine and
-// sends the prompt to the next one with every attempt: 16 attempts at two
-// entries crashed 36 engines.
+// to alternating entries. Without quarantine, each attempt is new to its entry,
+// which blames the engine and repeats the prompt on the next engine within the
+// same attempt: 16 attempts at two entries crashed 36 engines.
 func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, two := newTestEntry(t), newTestEntry(t)
--- a/internal/entryhost/options.go
+++ b/internal/entryhost/options.go
@@ -62,7 +62,8 @@
 	Keep keep.Options
 	// KeepAddress is how long callers may use an address answer.
 	KeepAddress time.Duration
-	// TokenGap is the maximum time between tokens of an engine's stream.
+	// TokenGap is the maximum time without data from an engine, before and
+	// between tokens; comments of the event stream count as data.
 	TokenGap time.Duration
 	// DrainTimeout bounds a graceful shutdown.
 	DrainTimeout time.Duration
