--- a/cmd/lovage-fleet/control.go
+++ b/cmd/lovage-fleet/control.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	// loadsAtOnce is how many runners load weights at the same time at most in
-	// a small fleet: beyond two to three, the weight store makes each load take
-	// longer.
-	loadsAtOnce = 3
-	// diskRetry is how long after a failure of its disk a control host reads
+	// maxConcurrentLoads is the maximum number of runners that load weights
+	// concurrently in a small fleet. Beyond two to three concurrent loads, the
+	// weight store slows each of them down.
+	maxConcurrentLoads = 3
+	// diskRetryDelay is the delay after a disk failure before a control host reads
 	// the data folder again. A full or faulty disk may stay so for seconds.
-	diskRetry = 500 * time.Millisecond
+	diskRetryDelay = 500 * time.Millisecond
 )
 
 func runControl(ctx context.Context, env *process.Env, s *platform.Settings) error {
@@ -43,7 +43,7 @@
 	c := &controlHost{env: env, settings: s}
 	dump := telemetry.NewRegistry()
 	dump.Register("control", c.dump)
-	observed, err := listenTelemetry(s, dump, c.ready)
+	telemetryServer, err := listenTelemetry(s, dump, c.ready)
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	defer stop()
 	tasks.Go(func() error { return serve(operatorsServer, operators) })
 	tasks.Go(func() error { return serve(directoryServer, directory) })
-	tasks.Go(func() error { runTelemetry(ctx, env, observed); return nil })
+	tasks.Go(func() error { runTelemetry(ctx, env, telemetryServer); return nil })
 	tasks.Go(func() error { watchSettings(ctx, env, c.setSeeds); return nil })
 	tasks.Go(func() error {
 		defer stop()
@@ -70,9 +70,10 @@
 	return tasks.Wait()
 }
 
-// controlHost runs one steward after the other: when its disk fails, what the
-// disk holds of the last writes is unknown, and only reading it again, as after
-// a crash, tells. The listeners stay, and answer that the host is starting.
+// controlHost runs a steward and replaces it by a new one after a disk failure.
+// Which of the last writes reached the disk is then unknown, and the new steward
+// recovers the state from the data folder as it does after a crash. The listeners
+// stay open meanwhile and answer that the host is starting.
 type controlHost struct {
 	env      *process.Env
 	settings *platform.Settings
@@ -80,7 +81,7 @@
 	current  atomic.Pointer[steward.Steward]
 }
 
-// dump is the state for operators, empty while the disk is read again.
+// dump returns the state for operators, nil while the data folder is read again.
 func (c *controlHost) dump() any {
 	if s := c.current.Load(); s != nil {
 		return s.Dump()
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// ready reports why this host can't be asked.
+// ready returns an error while this host knows no leader and can't serve requests.
 func (c *controlHost) ready() error {
 	if s := c.current.Load(); s == nil || s.Leader() == "" {
 		return eris.New("no leader is known here")
@@ -105,28 +106,29 @@
 
 func (c *controlHost) run(ctx context.Context) error {
 	for {
-		err := c.once(ctx)
-		if err == nil || !diskFailed(err) {
+		err := c.runSteward(ctx)
+		if err == nil || !isDiskFailure(err) {
 			return err
 		}
-		c.env.Log.Error("disk failed, reading it again", "err", err)
+		c.env.Log.Error("disk failed; reading the data folder again", "err", err)
 		select {
 		case <-c.env.Drain:
 			return nil
 		default:
 		}
-		if !wait.For(ctx, diskRetry) {
+		if !wait.For(ctx, diskRetryDelay) {
 			return nil
 		}
 	}
 }
 
-// diskFailed tells a disk that failed from settings that can't work.
-func diskFailed(err error) bool {
+// isDiskFailure reports whether err is a disk failure, which is retried; other
+// errors, such as settings that can't work, end the process.
+func isDiskFailure(err error) bool {
 	return errors.Is(err, steward.ErrDisk)
 }
 
-func (c *controlHost) once(ctx context.Context) error {
+func (c *controlHost) runSteward(ctx context.Context) error {
 	s := c.settings
 	peers, err := net.Listen("tcp", s.PeerAddress())
 	if err != nil {
@@ -137,7 +139,7 @@
 		Self: ident.Host(s.Host), DataCentre: s.DataCentre, PeerPort: s.PeerPorts[0], Listener: peers,
 		Seeds: *c.seeds.Load(), Bootstrap: s.Bootstrap, Tolerated: s.ToleratedDisks,
 		Cluster: cluster, Key: []byte(peerKey), Data: s.Data,
-		LoadsAtOnce: loadsAtOnce, VersionTime: s.VersionTime(), HolderLease: s.HolderLease(),
+		LoadsAtOnce: maxConcurrentLoads, VersionTime: s.VersionTime(), HolderLease: s.HolderLease(),
 		AnnounceEvery: s.AnnounceEvery(),
 		DataCentres:   slices.Sorted(maps.Keys(s.DataCentres)),
 		Stores:        management, Runners: management, Log: c.env.Log,
--- a/cmd/lovage-fleet/entry.go
+++ b/cmd/lovage-fleet/entry.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	// stopReserve is kept of the time to stop: the process must have ended by
-	// itself before it is ended by force.
+	// stopReserve is the part of the stop timeout that is left unused, so that
+	// the process exits by itself before it is killed.
 	stopReserve = 700 * time.Millisecond
-	// takesFor is how long a leaving entry takes further requests: most callers
-	// hold an answer of the directory for 2 s. A request that it takes later
-	// might not end before the process must; its caller finds another entry
+	// acceptWindow is how long a leaving entry accepts further requests: most callers
+	// cache an answer of the directory for 2 s. A request accepted later might not
+	// complete before the process has to exit; its caller finds another entry
 	// sooner if the listener is closed.
-	takesFor = 2700 * time.Millisecond
+	acceptWindow = 2700 * time.Millisecond
 )
 
 func runEntry(ctx context.Context, env *process.Env, s *platform.Settings) error {
@@ -63,7 +63,7 @@
 	}
 	dump := telemetry.NewRegistry()
 	dump.Register("entry", func() any { return g.Dump() })
-	observed, err := listenTelemetry(s, dump, func() error { return readyError(g.Ready()) })
+	telemetryServer, err := listenTelemetry(s, dump, func() error { return readyError(g.Ready()) })
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	tasks.Go(func() error { upstreams.Run(ctx); return nil })
 	tasks.Go(func() error { follower.Run(ctx, g.NextRequest, g.ApplyAnswer); return nil })
 	tasks.Go(func() error { g.Report(ctx, follower.Report); return nil })
-	tasks.Go(func() error { runTelemetry(ctx, env, observed); return nil })
+	tasks.Go(func() error { runTelemetry(ctx, env, telemetryServer); return nil })
 	tasks.Go(func() error { watchSettings(ctx, env, follower.SetSeeds); return nil })
 	tasks.Go(func() error {
 		defer stop()
@@ -92,7 +92,7 @@
 	return tasks.Wait()
 }
 
-// readyError words why a process takes no callers.
+// readyError returns the reason why an entry that isn't ready accepts no callers.
 func readyError(ready bool) error {
 	if ready {
 		return nil
@@ -108,20 +108,21 @@
 	stopWithin time.Duration
 }
 
-// awaitStop leaves gracefully: out of the directory first, then out of the
-// listener, then out of the last request.
+// awaitStop waits for the drain signal and stops gracefully: it withdraws the
+// entry from the directory, closes the listener and then waits for the requests
+// in progress.
 func (e *entry) awaitStop(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-e.env.Drain:
 		e.gateway.Leave()
 		e.env.Log.Info("leaving", "open", e.gateway.Open())
-		wait.For(ctx, min(takesFor, e.stopWithin/3))
+		wait.For(ctx, min(acceptWindow, e.stopWithin/3))
 	}
-	bound, cancel := context.WithTimeout(context.Background(), e.stopWithin-stopReserve-min(takesFor, e.stopWithin/3))
+	bound, cancel := context.WithTimeout(context.Background(), e.stopWithin-stopReserve-min(acceptWindow, e.stopWithin/3))
 	defer cancel()
 	if err := e.callers.Stop(bound); err != nil {
-		e.env.Log.Warn("requests cut off", "open", e.gateway.Open(), "err", err)
+		e.env.Log.Warn("requests in progress aborted at the stop timeout", "open", e.gateway.Open(), "err", err)
 	}
 	_ = e.readiness.Close()
 	e.env.Log.Info("stopped")
--- a/cmd/lovage-fleet/main.go
+++ b/cmd/lovage-fleet/main.go
@@ -1,9 +1,9 @@
 // Command lovage-fleet is one process of a routed deployment: an entry, which
-// takes callers' requests, or a control host, which keeps the configuration and
-// knows the upstreams.
+// serves callers' requests, or a control host, which stores the configuration and
+// tracks the upstreams.
 package main
 
-import "C" // The machines want programs that are linked to the C library.
+import "C" // The target machines require binaries linked to the C library.
 
 import (
 	"context"
@@ -18,16 +18,18 @@
 )
 
 const (
-	// cluster and peerKey tell the processes of one deployment from strangers.
-	// The machines form a network of their own and are given no secret.
+	// cluster and peerKey distinguish the processes of one deployment from
+	// foreign ones. peerKey is no secret: the machines form a network of their
+	// own and are provisioned with none.
 	cluster = "lovagereach"
 	peerKey = "lovagereach processes of one fleet"
-	// memoryShare is the part of a machine's memory at which the collector
-	// works harder; the rest is for what it does not count.
+	// memoryShare is the share of a machine's memory that is set as the soft
+	// memory limit of the garbage collector; the rest is for memory outside the
+	// Go heap.
 	memoryShare = 0.7
 	mebibyte    = 1 << 20
-	// lastLines bounds the writing of the log's last lines at the end.
-	lastLines = 300 * time.Millisecond
+	// logFlushTimeout bounds the writing of the remaining log lines at the exit.
+	logFlushTimeout = 300 * time.Millisecond
 )
 
 func main() {
@@ -42,10 +44,11 @@
 	os.Exit(execute(os.Args[1], args))
 }
 
-// execute runs the process with a log that never blocks it.
+// execute runs the process with a log writer that never blocks it and returns the
+// exit code.
 func execute(role string, args []string) int {
 	lines := decision.NewWriter(os.Stderr)
-	countLines(lines)
+	registerDroppedLines(lines)
 	ctx, cancel := context.WithCancel(context.Background())
 	written := make(chan struct{})
 	go func() {
@@ -56,8 +59,8 @@
 	cancel()
 	select {
 	case <-written:
-	case <-time.After(lastLines):
-		// Nobody reads the log; the end of the process does not wait for it.
+	case <-time.After(logFlushTimeout):
+		// The reader of standard error has stalled; the exit does not wait for it.
 	}
 	return code
 }
--- a/cmd/lovage-fleet/reload.go
+++ b/cmd/lovage-fleet/reload.go
@@ -12,18 +12,18 @@
 	"github.com/lovagereach/lovagereach/platform"
 )
 
-// reloadEvery is how often the settings file is looked at. It may change
-// without a signal.
-const reloadEvery = 2 * time.Second
+// reloadInterval is the interval at which the settings file is checked for changes
+// that come without a SIGHUP.
+const reloadInterval = 2 * time.Second
 
-// watchSettings takes over new seeds when the settings change. The rest of the
-// settings is in force from the next start.
+// watchSettings applies new seeds when the settings file changes, until ctx ends.
+// The other settings take effect at the next start.
 func watchSettings(ctx context.Context, env *process.Env, setSeeds func([]ident.Host)) {
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
 	defer signal.Stop(changed)
 	file := platform.NewSettingsFile(env.ConfigFile)
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -35,7 +35,7 @@
 		s, err := file.Changed()
 		switch {
 		case err != nil:
-			env.Log.Warn("settings not reloaded, the former ones stay in force", "err", err)
+			env.Log.Warn("settings not reloaded; the previous ones stay in force", "err", err)
 		case s != nil:
 			env.Log.Info("settings reloaded", "seeds", s.Seeds)
 			setSeeds(s.SeedHosts())
--- a/cmd/lovage-fleet/telemetry.go
+++ b/cmd/lovage-fleet/telemetry.go
@@ -12,15 +12,16 @@
 	"github.com/lovagereach/lovagereach/platform"
 )
 
-// countLines shows among the metrics how many lines of the log found no room.
-func countLines(lines *decision.Writer) {
+// registerDroppedLines registers the metric of log lines that were dropped because
+// the buffer was full.
+func registerDroppedLines(lines *decision.Writer) {
 	set := metrics.NewSet()
 	set.NewGauge("lovagereach_log_lines_dropped", func() float64 { return float64(lines.Dropped()) })
 	metrics.RegisterSet(set)
 }
 
-// listenTelemetry opens the listener for metrics and state dumps, nil when the
-// settings name no port.
+// listenTelemetry opens the listener for metrics and state dumps. It returns nil
+// when the settings have no telemetry port.
 func listenTelemetry(s *platform.Settings, dump *telemetry.Registry, ready func() error) (*telemetry.Server, error) {
 	if s.TelemetryPort == 0 {
 		return nil, nil
@@ -32,13 +33,13 @@
 	return server, nil
 }
 
-// runTelemetry serves until ctx ends. A failure is logged, not passed on: a
-// process that nobody can look at still does its work.
+// runTelemetry serves metrics and state dumps until ctx ends. A failure is only
+// logged: the process can do its work without telemetry.
 func runTelemetry(ctx context.Context, env *process.Env, server *telemetry.Server) {
 	if server == nil {
 		return
 	}
 	if err := server.Run(ctx); err != nil {
-		env.Log.Warn("no metrics", "err", err)
+		env.Log.Warn("telemetry server failed; metrics and state dumps are unavailable", "err", err)
 	}
 }
