--- a/cmd/lovage-control/main.go
+++ b/cmd/lovage-control/main.go
@@ -1,5 +1,6 @@
-// Command lovage-control is a control host: it keeps configuration, epochs and
-// the at-most-once ledger on its disk, together with the other control hosts.
+// Command lovage-control is a control host: together with the other control
+// hosts it replicates the configuration, the epochs and the at-most-once ledger
+// and stores them on its disk.
 package main
 
 import (
--- a/cmd/lovage-control/settings.go
+++ b/cmd/lovage-control/settings.go
@@ -12,7 +12,7 @@
 	"github.com/lovagereach/lovagereach/internal/settings"
 )
 
-// minPeerKey is the least length of the shared key in bytes.
+// minPeerKey is the minimum length of the shared key in bytes.
 const minPeerKey = 32
 
 // Settings are the contents of the settings file.
@@ -25,16 +25,17 @@
 	Listen Listen `yaml:"listen"`
 	// Control lists all control hosts, this one too.
 	Control []Member `yaml:"control"`
-	// Operators are those who may use the operators' listener.
+	// Operators lists the accounts that may use the operators' listener.
 	Operators []Operator `yaml:"operators"`
-	// LedgerGroups is the number of groups of the at-most-once ledger; the
-	// same on every control host.
+	// LedgerGroups is the number of groups of the at-most-once ledger. It has
+	// to be equal on all control hosts.
 	LedgerGroups int `yaml:"ledger_groups"`
-	// PeerKeyFile holds the secret shared by all processes, without TLS.
+	// PeerKeyFile is the path of the secret shared by all processes; it is used
+	// instead of PeerTLS.
 	PeerKeyFile  string       `yaml:"peer_key_file"`
 	PeerTLS      TLS          `yaml:"peer_tls"`
 	OperatorsTLS Certificates `yaml:"operators_tls"`
-	// StopTimeout bounds a graceful stop.
+	// StopTimeout is the maximum duration of a graceful stop.
 	StopTimeout settings.Duration `yaml:"stop_timeout"`
 }
 
@@ -53,13 +54,13 @@
 	Operators string `yaml:"operators"`
 }
 
-// Operator is someone who may use the operators' listener.
+// Operator is an account that may use the operators' listener.
 type Operator struct {
 	Name        string `yaml:"name"`
 	TokenDigest digest `yaml:"token_digest"`
 }
 
-// digest is a token's digest that names its line when it can't be read.
+// digest is a token's digest whose decoding error contains the line in the file.
 type digest config.TokenDigest
 
 // UnmarshalYAML implements yaml.NodeUnmarshaler.
@@ -129,7 +130,7 @@
 	r.Require((s.OperatorsTLS.Certificate == "") == (s.OperatorsTLS.Key == ""), "operators_tls", "needs certificate and key", "both or neither")
 }
 
-// options turns the settings into those of the host; listeners are left out.
+// options returns the options of the control host without its listeners and log.
 func (s *Settings) options() (controlhost.Options, error) {
 	options := controlhost.Options{
 		Host:             s.Host,
--- a/cmd/lovage-control/settings_test.go
+++ b/cmd/lovage-control/settings_test.go
@@ -14,13 +14,13 @@
 const examples = "examples/"
 
 func TestSettings(t *testing.T) {
-	// Paths in the examples begin at the root of the repository.
+	// Paths in the examples are relative to the root of the repository.
 	t.Chdir("../..")
 	data, err := os.ReadFile(examples + "control.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := string(data)
+	example := string(data)
 	cases := []struct {
 		name, old, new string
 		code           int
@@ -39,7 +39,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(whole, c.old, c.new, 1)
+			text := strings.Replace(example, c.old, c.new, 1)
 			file := filepath.Join(t.TempDir(), "control.yaml")
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
