--- a/cmd/lovage-entry/main.go
+++ b/cmd/lovage-entry/main.go
@@ -1,6 +1,6 @@
 // Command lovage-entry serves callers: it answers prompts and service calls,
-// follows the upstreams that announce themselves, and keeps prompts on store
-// hosts.
+// tracks the upstreams that announce themselves, and stores the KV of kept prompts
+// on store hosts.
 package main
 
 import (
--- a/cmd/lovage-entry/settings.go
+++ b/cmd/lovage-entry/settings.go
@@ -15,10 +15,10 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// minKey is the least length of a secret in bytes.
+// minKey is the minimum length of a secret in bytes.
 const minKey = prefix.KeySize
 
-// Defaults of the times.
+// Default durations.
 const (
 	defaultKeepAddress = 10 * time.Second
 	defaultTokenGap    = 30 * time.Second
@@ -32,18 +32,20 @@
 	Listen     Listen           `yaml:"listen"`
 	// Control lists the control hosts.
 	Control []Member `yaml:"control"`
-	// PeerKeyFile holds the secret shared by all processes, without TLS.
+	// PeerKeyFile is the path of the secret shared by all processes; it is used
+	// instead of PeerTLS.
 	PeerKeyFile string `yaml:"peer_key_file"`
 	PeerTLS     TLS    `yaml:"peer_tls"`
-	// BlockKeyFile holds the secret under which kept blocks are named, the
-	// same at every entry.
+	// BlockKeyFile is the path of the secret from which the names of kept
+	// blocks are derived. It has to be equal at all entries.
 	BlockKeyFile string `yaml:"block_key_file"`
 	Limits       Limits `yaml:"limits"`
-	// KeepAddress is how long callers may keep an address answer.
+	// KeepAddress is how long callers may cache an address answer.
 	KeepAddress settings.Duration `yaml:"keep_address"`
-	// TokenGap is how long an engine's stream may stay silent.
+	// TokenGap is the longest allowed pause between two tokens of an engine's
+	// stream.
 	TokenGap settings.Duration `yaml:"token_gap"`
-	// DrainTimeout bounds a graceful stop.
+	// DrainTimeout is the maximum duration of a graceful stop.
 	DrainTimeout settings.Duration `yaml:"drain_timeout"`
 }
 
@@ -55,7 +57,7 @@
 	Telemetry settings.Address `yaml:"telemetry"`
 }
 
-// Member is another process.
+// Member is the name and peer address of another process.
 type Member struct {
 	Host ident.Host       `yaml:"host"`
 	Peer settings.Address `yaml:"peer"`
@@ -68,7 +70,7 @@
 	Authority   string `yaml:"authority"`
 }
 
-// Limits bound what callers may ask for.
+// Limits are the bounds on callers' requests and connections.
 type Limits struct {
 	Body         settings.Bytes    `yaml:"body"`
 	Header       settings.Bytes    `yaml:"header"`
@@ -167,8 +169,7 @@
 	r.Positive("limits.idle_timeout", int64(l.Idle))
 }
 
-// options turns the settings into those of the host; listeners and log are
-// left out.
+// options returns the options of the entry host without its listeners and log.
 func (s *Settings) options() (entryhost.Options, error) {
 	options := entryhost.Options{
 		Host:         s.Host,
@@ -212,7 +213,7 @@
 	return out
 }
 
-// listen opens the listeners; on an error none is left open.
+// listen opens the listeners. On an error it closes the ones already open.
 func (s *Settings) listen() (entryhost.Listeners, error) {
 	var out entryhost.Listeners
 	for _, open := range []struct {
--- a/cmd/lovage-entry/settings_test.go
+++ b/cmd/lovage-entry/settings_test.go
@@ -10,10 +10,11 @@
 	"github.com/lovagereach/lovagereach/internal/process"
 )
 
-// check runs lovage-entry -check on a changed copy of the example.
+// check runs lovage-entry -check on a copy of the example in which old is replaced
+// by new, and returns the exit code and the output.
 func check(t *testing.T, old, new string) (int, string) {
 	t.Helper()
-	// Paths in the examples begin at the root of the repository.
+	// Paths in the examples are relative to the root of the repository.
 	t.Chdir("../..")
 	data, err := os.ReadFile("examples/entry.yaml")
 	if err != nil {
