--- a/cmd/lovagectl/apply.go
+++ b/cmd/lovagectl/apply.go
@@ -18,7 +18,7 @@
 	"github.com/lovagereach/lovagereach/internal/configdoc"
 )
 
-// noRevision marks that -expect was not given.
+// noRevision is the value of -expect when the flag is not given.
 const noRevision = -1
 
 type applyFlags struct {
@@ -56,8 +56,8 @@
 		return err
 	}
 	if !f.dryRun {
-		// Printed before the request is sent: whoever loses the answer can
-		// resend by hand with -request-id and -expect.
+		// Printed before the request is sent, so that an operator whose answer
+		// is lost can resend by hand with -request-id and -expect.
 		fmt.Fprintf(t.streams.err, "request id %s on revision %d\n", request.RequestID, request.Base)
 	}
 	var answer api.ApplyAnswer
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// applyRequest reads the document and works out the change.
+// applyRequest reads the document and computes the change to the base revision.
 func (t *tool) applyRequest(ctx context.Context, f applyFlags) (api.ApplyRequest, error) {
 	text, err := t.readDocument(f.file)
 	if err != nil {
@@ -114,7 +114,8 @@
 	return data, nil
 }
 
-// documentError gives a document's faults the form of a control host's answer.
+// documentError returns a document's faults as the error that a control host would
+// answer.
 func documentError(err error) error {
 	return &api.Error{
 		Code:    api.CodeInvalid,
@@ -123,9 +124,9 @@
 	}
 }
 
-// changeTo works out what leads from the base revision to the document. When
-// the base is not the latest revision the change is left out: the answer can
-// only be a conflict, or the first answer to a resend.
+// changeTo returns the base revision and the delta from it to the document. If the
+// base is not the latest revision, the delta is empty: the answer can only be a
+// conflict, or the first answer to a resend.
 func (t *tool) changeTo(ctx context.Context, document config.Document, expect int64) (config.Revision, config.Delta, error) {
 	var latest api.ConfigAnswer
 	err := t.client.Call(ctx, apiclient.Request{Path: api.PathConfig, Into: &latest, Repeatable: true})
@@ -144,11 +145,12 @@
 	return latest.Revision, config.Diff(current, &document), nil
 }
 
-// requestIDBytes is the length of a derived request id before encoding.
+// requestIDBytes is the length in bytes of a derived request id before encoding.
 const requestIDBytes = 16
 
-// deriveRequestID gives the same id to the same change, so that running the
-// command again after a lost answer is a resend and not a second change.
+// deriveRequestID returns a request id that is equal for equal token, base and
+// document, so that running the command again after a lost answer is a resend and
+// not a second change.
 func deriveRequestID(token string, base config.Revision, document []byte) string {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%x\n%d\n", sha256.Sum256([]byte(token)), base)
--- a/cmd/lovagectl/audit.go
+++ b/cmd/lovagectl/audit.go
@@ -15,7 +15,8 @@
 	"github.com/lovagereach/lovagereach/internal/adapter/operators/apiclient"
 )
 
-// auditFlags narrow an audit query; the same may be given as KEY=VALUE.
+// auditFlags filter an audit query. The filters can also be given as KEY=VALUE
+// arguments.
 type auditFlags struct {
 	open    bool
 	team    string
@@ -38,7 +39,7 @@
 	}
 }
 
-// values are the query parameters of the flags that were given.
+// values returns the query parameters of the flags that are set.
 func (f auditFlags) values() url.Values {
 	values := make(url.Values)
 	for name, value := range map[string]string{"team": f.team, "request": f.request, "batch": f.batch} {
@@ -79,7 +80,8 @@
 	return t.print(answer, answer.rows)
 }
 
-// auditAnswer is the part of an answer that fits a table; -o json shows all.
+// auditAnswer is the part of an answer that the table shows; -o json and -o yaml
+// show the complete answer.
 type auditAnswer struct {
 	Records []auditRecord `json:"records"`
 	Batches []auditBatch  `json:"batches"`
@@ -112,8 +114,8 @@
 	Deadline  time.Time `json:"deadline"`
 }
 
-// keptShown is how much of a kept prompt's name a table shows.
-const keptShown = 12
+// keptNameWidth is the number of bytes of a kept prompt's name that the table shows.
+const keptNameWidth = 12
 
 func (a auditAnswer) rows(r *rows) {
 	r.add("REQUEST", "ACCEPTED", "TEAM", "CLASS", "ENTRY", "OUTCOME", "REASON", "UPSTREAM", "VERSION", "REUSED", "KEPT PROMPT")
@@ -121,7 +123,7 @@
 		kept := record.KeptPrompt
 		r.add(record.Request, record.Accepted.UTC().Format(time.RFC3339), record.Team, record.Class, record.Entry, record.Outcome,
 			cmp.Or(record.Reason, "-"), cmp.Or(record.Upstream, "-"), cmp.Or(record.Version, "-"), record.ReusedTokens,
-			cmp.Or(kept[:min(len(kept), keptShown)], "-"))
+			cmp.Or(kept[:min(len(kept), keptNameWidth)], "-"))
 	}
 	if a.More {
 		r.add("more requests match; narrow the query")
--- a/cmd/lovagectl/explain.go
+++ b/cmd/lovagectl/explain.go
@@ -13,7 +13,8 @@
 	"github.com/lovagereach/lovagereach/internal/explain"
 )
 
-// newExplain reads logs and asks no deployment.
+// newExplain returns the explain command, which reads log files and contacts no
+// deployment.
 func newExplain() command {
 	var request string
 	return command{
@@ -38,7 +39,8 @@
 	}
 }
 
-// readLog reads one log; its process is the file's name without its ending.
+// readLog passes the log at path to read, with the file's name without its
+// extension as the name of the process.
 func readLog(path string, read func(string, io.Reader) error) error {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/lovagectl/group.go
+++ b/cmd/lovagectl/group.go
@@ -12,11 +12,11 @@
 	"github.com/lovagereach/lovagereach/internal/control"
 )
 
-// hostTimeout bounds the wait for one control host's status, so that one that
-// is down doesn't hide the others.
+// hostTimeout bounds the wait for one control host's status, so that a host that is
+// down leaves time to query the others.
 const hostTimeout = 3 * time.Second
 
-// hostStatus is one control host's answer or why there is none.
+// hostStatus is one control host's status, or the error of the query.
 type hostStatus struct {
 	Server string          `json:"server"`
 	Status *control.Status `json:"status,omitempty"`
@@ -86,7 +86,8 @@
 	}
 	call := apiclient.Request{Path: api.PathMembers, Repeatable: true}
 	if request != nil {
-		// A repeated change could undo what another operator did in between.
+		// Not repeatable: a repeated change could undo another operator's change
+		// made in between.
 		call = apiclient.Request{Method: http.MethodPost, Path: api.PathMembers, Body: request}
 	}
 	var answer api.MembersAnswer
@@ -102,7 +103,7 @@
 	})
 }
 
-// memberRequest reads the arguments; nil means to list.
+// memberRequest parses the arguments. It returns nil if the members are to be listed.
 func memberRequest(args []string) (*api.MemberRequest, error) {
 	if len(args) == 0 || args[0] == "list" {
 		return nil, nil
--- a/cmd/lovagectl/losses.go
+++ b/cmd/lovagectl/losses.go
@@ -7,7 +7,8 @@
 	"github.com/lovagereach/lovagereach/internal/explain"
 )
 
-// newLosses reads logs and asks no deployment.
+// newLosses returns the losses command, which reads log files and contacts no
+// deployment.
 func newLosses() command {
 	return command{
 		offline: true,
--- a/cmd/lovagectl/lovagectl_test.go
+++ b/cmd/lovagectl/lovagectl_test.go
@@ -23,16 +23,17 @@
 
 const testToken = "operator-secret"
 
-// stubControl decides on a real config.State without a group behind it.
+// stubControl implements the control port on a real config.State without a
+// replicated group.
 type stubControl struct {
 	state *config.State
-	// fail is returned by the next Apply calls, after the change is committed
-	// where lost is set.
+	// fail holds the errors that the next Apply calls return. If lost is set,
+	// the change is committed before the error is returned.
 	fail  []error
 	lost  bool
 	force bool
 	calls int
-	// hang, if set, keeps applies without an answer until it is closed.
+	// hang, if set, blocks Apply calls until it is closed.
 	hang chan struct{}
 }
 
@@ -78,7 +79,8 @@
 	}
 }
 
-// bench is a control host's listener and the files lovagectl reads.
+// bench is a control host's operator listener and a folder with the files that
+// lovagectl reads.
 type bench struct {
 	t       *testing.T
 	control *stubControl
@@ -125,7 +127,8 @@
 	return path
 }
 
-// run replaces @name by the path of a file.
+// run runs lovagectl and returns its exit code and output. An argument @name is
+// replaced by the path of that file in the bench's folder.
 func (b *bench) run(args ...string) (code int, out, errors string) {
 	b.t.Helper()
 	for i, arg := range args {
@@ -142,7 +145,7 @@
 func TestCommands(t *testing.T) {
 	cases := []struct {
 		name string
-		// before are commands that must succeed first.
+		// before lists commands that run first and must succeed.
 		before [][]string
 		args   []string
 		code   int
@@ -183,7 +186,7 @@
 			b := newBench(t)
 			for _, args := range c.before {
 				if code, _, errors := b.run(args...); code != exitOK {
-					t.Fatalf("%v ends with %d: %s", args, code, errors)
+					t.Fatalf("%v exited with %d: %s", args, code, errors)
 				}
 			}
 			code, out, errors := b.run(c.args...)
@@ -194,9 +197,9 @@
 	}
 }
 
-// The change is committed and the answer lost. lovagectl sends the same
-// request again by itself; the operator sees one revision and the first answer.
-func TestApplyResendsAfterALostAnswer(t *testing.T) {
+// The change is committed and the answer is lost. lovagectl resends the same request
+// automatically; the operator gets one revision and the first answer.
+func TestApplyResendsAfterLostAnswer(t *testing.T) {
 	b := newBench(t)
 	b.control.fail, b.control.lost = []error{port.ErrUncertain}, true
 	code, out, errors := b.run("apply", "-f", "@one.yaml")
@@ -208,10 +211,10 @@
 	}
 }
 
-// Every control host answers that the change may or may not be committed, until
-// the time is up. The operator gets the exit code for uncertain and the advice
-// to resend under the same request id, at which it is applied at most once.
-func TestApplyTellsWhenTheOutcomeStaysUncertain(t *testing.T) {
+// Until the timeout, every control host answers that the change may or may not be
+// committed. The operator gets the exit code for an uncertain outcome and the advice
+// to resend with the same request id, with which it is applied at most once.
+func TestApplyReportsUncertainOutcome(t *testing.T) {
 	b := newBench(t)
 	for range 100 {
 		b.control.fail = append(b.control.fail, port.ErrUncertain)
@@ -222,8 +225,8 @@
 	}
 }
 
-// The control host takes the change and its answer never comes. lovagectl must
-// not say that nothing has changed.
+// The control host accepts the request and never answers. lovagectl must not report
+// that nothing has changed.
 func TestApplyWithoutAnyAnswerIsUncertain(t *testing.T) {
 	b := newBench(t)
 	b.control.hang = make(chan struct{})
@@ -234,10 +237,10 @@
 	}
 }
 
-// A change is committed, but an entry has neither acknowledged it nor lost its
-// lease when the time is up. The operator gets an exit code of its own: nothing
-// is lost, and status shows when the change is in force.
-func TestApplyTellsWhenNotYetInForce(t *testing.T) {
+// A change is committed, but at the timeout an entry has neither acknowledged it nor
+// lost its lease. The operator gets a separate exit code: nothing is lost, and the
+// status command shows when the change is in force.
+func TestApplyReportsChangeNotYetInForce(t *testing.T) {
 	b := newBench(t)
 	b.control.force = false
 	if code, _, errors := b.run("apply", "-f", "@one.yaml"); code != exitNotInForce || !strings.Contains(errors, "lovagectl status") {
@@ -245,10 +248,10 @@
 	}
 }
 
-// An operator runs the same apply again after a lost answer and gives no request
-// id. Both runs derive the same one, so the change is applied at most once;
-// another operator's token, base or document gives another id.
-func TestRequestIDFollowsTheChange(t *testing.T) {
+// An operator repeats an apply without a request id after a lost answer. Both runs
+// derive the same id, so the change is applied at most once; a different operator's
+// token, base or document yields a different id.
+func TestDerivedRequestID(t *testing.T) {
 	same := deriveRequestID("t", 1, []byte("d"))
 	if same != deriveRequestID("t", 1, []byte("d")) {
 		t.Error("the same change got two ids")
--- a/cmd/lovagectl/output.go
+++ b/cmd/lovagectl/output.go
@@ -8,14 +8,14 @@
 	"github.com/goccy/go-yaml"
 )
 
-// The forms of output.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 	outputYAML  = "yaml"
 )
 
-// print writes value as JSON or YAML, or as the rows that table gives.
+// print writes value as JSON or YAML, or as the rows that table adds.
 func (t *tool) print(value any, table func(*rows)) error {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// rows writes aligned columns.
+// rows writes a table with aligned columns.
 type rows struct{ writer *tabwriter.Writer }
 
 func (r *rows) add(cells ...any) {
--- a/cmd/lovagectl/run.go
+++ b/cmd/lovagectl/run.go
@@ -78,22 +78,24 @@
   lovagectl audit -open
 `
 
-// errUsage marks errors that are the caller's to mend.
+// errUsage marks errors in the flags or arguments.
 var errUsage = errors.New("see lovagectl -help")
 
 func usageError(format string, args ...any) error {
 	return fmt.Errorf("%s; %w", fmt.Sprintf(format, args...), errUsage)
 }
 
-// command is one subcommand. run gets the arguments behind the flags.
+// command is one subcommand. run receives the arguments after the flags.
 type command struct {
 	flags func(*flag.FlagSet)
 	run   func(ctx context.Context, tool *tool, args []string) error
-	// offline commands ask no control host; their tool has no client.
+	// offline is set for commands that contact no control host; their tool has
+	// no client.
 	offline bool
 }
 
-// tool is what every subcommand needs.
+// tool is the state that the subcommands share: streams, API client, operator's token
+// and output format.
 type tool struct {
 	streams streams
 	client  *apiclient.Client
@@ -101,7 +103,7 @@
 	output  string
 }
 
-// common are the flags of every subcommand.
+// common holds the flags that all subcommands have.
 type common struct {
 	servers   string
 	tokenFile string
@@ -221,7 +223,7 @@
 	return &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}}, nil
 }
 
-// errNotInForce tells that a change is committed and not yet in force.
+// errNotInForce reports that a change is committed and not yet in force.
 var errNotInForce = errors.New("committed, but not yet in force everywhere")
 
 func exitCodeOf(err error) int {
@@ -248,7 +250,7 @@
 	}
 }
 
-// report tells what went wrong and what to do next.
+// report writes the error and, if known, the next action for the operator.
 func report(out interface{ Write([]byte) (int, error) }, err error) {
 	var failure *api.Error
 	if !errors.As(err, &failure) {
--- a/cmd/lovagectl/show.go
+++ b/cmd/lovagectl/show.go
@@ -24,7 +24,7 @@
 	if t.output == outputJSON {
 		return t.print(answer, nil)
 	}
-	// The document as YAML is what apply takes; the revision is a comment.
+	// The output is YAML that apply accepts; the revision is a YAML comment.
 	text, err := configdoc.Format(answer.Document)
 	if err != nil {
 		return err
@@ -123,7 +123,8 @@
 	})
 }
 
-// versionNames lists versions, each with its adapters behind plus signs.
+// versionNames returns the model's versions separated by commas, each followed by
+// its adapters, which are prefixed with plus signs.
 func versionNames(m config.Model) string {
 	names := make([]string, 0, len(m.Versions))
 	for _, wanted := range m.Versions {
@@ -150,7 +151,8 @@
 	return t.passThrough(ctx, api.PathDump)
 }
 
-// passThrough prints an answer as it is; a table would hide parts of it.
+// passThrough prints a complete answer, as YAML instead of a table, which would
+// omit parts of it.
 func (t *tool) passThrough(ctx context.Context, path string) error {
 	var answer any
 	err := t.client.Call(ctx, apiclient.Request{Method: http.MethodGet, Path: path, Into: &answer, Repeatable: true})
