--- a/cmd/lovage-standin/main.go
+++ b/cmd/lovage-standin/main.go
@@ -1,6 +1,6 @@
 // Command lovage-standin runs stand-in engines, store hosts, plain services
-// and a weight store for development: small fakes that announce themselves to
-// the entries and fail on demand.
+// and a weight store for development. The engines, store hosts and services
+// announce themselves to the entries, and faults can be injected into them.
 package main
 
 import "github.com/lovagereach/lovagereach/internal/process"
--- a/cmd/lovage-standin/run.go
+++ b/cmd/lovage-standin/run.go
@@ -57,7 +57,8 @@
 	return group.Wait()
 }
 
-// open creates all stand-ins and their listeners; on an error none is left.
+// open creates all stand-ins and their listeners. On an error it closes the
+// listeners already open.
 func open(s *Settings, runs *standin.RunLog) ([]member, error) {
 	var members []member
 	add := func(kind string, common Common, upstream standin.Upstream) error {
@@ -87,7 +88,8 @@
 	return members, nil
 }
 
-// openRunLog opens the run log at path; an empty path means none.
+// openRunLog opens the run log at path and returns it with the function that closes
+// it. An empty path yields no run log.
 func openRunLog(path string) (*standin.RunLog, func(), error) {
 	if path == "" {
 		return nil, func() {}, nil
@@ -134,8 +136,8 @@
 	return nil
 }
 
-// leave announces the departure of all stand-ins and gives requests in
-// progress time to end.
+// leave announces the departure of all stand-ins and waits for linger, or until ctx
+// ends, so that requests in progress can complete.
 func leave(ctx context.Context, members []member, linger time.Duration) {
 	for _, m := range members {
 		m.upstream.Leave()
--- a/cmd/lovage-standin/run_test.go
+++ b/cmd/lovage-standin/run_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// lockedBuffer is a buffer that a running process logs to.
+// lockedBuffer is a buffer for the log of a running process that is safe for
+// concurrent use.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -73,9 +74,9 @@
 
 var listening = regexp.MustCompile(`kind=service upstream=\S+ address=(\S+)`)
 
-// The account of a service that is killed must outlive it: each run stands in
-// the run log before it is answered.
-func TestRunLogsBeforeItAnswers(t *testing.T) {
+// A service may be killed after it has answered, and its runs must still be counted.
+// Each run is therefore in the run log before its answer is sent.
+func TestRunIsLoggedBeforeAnswer(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "runs")
 	s := &Settings{RunLog: file, DataCentre: "hall-north", Services: []ServiceSettings{{
 		Common:  Common{Name: "clock-1", Listen: address(t, "127.0.0.1:0")},
@@ -83,13 +84,13 @@
 	}}}
 	var output lockedBuffer
 	drain := make(chan struct{})
-	ended := make(chan error, 1)
+	runErr := make(chan error, 1)
 	env := &process.Env{Log: log.NewWithOptions(&output, log.Options{Formatter: log.LogfmtFormatter}), Drain: drain, Stdout: io.Discard}
-	go func() { ended <- run(context.Background(), env, s) }()
+	go func() { runErr <- run(context.Background(), env, s) }()
 	limit := time.Now().Add(20 * time.Second)
 	for !listening.MatchString(output.String()) {
 		if time.Now().After(limit) {
-			t.Fatalf("never listened: %s", output.String())
+			t.Fatalf("service isn't listening after 20 s: %s", output.String())
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -114,7 +115,7 @@
 		t.Errorf("run log %q, %v", runs, err)
 	}
 	close(drain)
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/lovage-standin/settings.go
+++ b/cmd/lovage-standin/settings.go
@@ -10,19 +10,22 @@
 	"github.com/lovagereach/lovagereach/internal/standin"
 )
 
-// defaultLinger is how long a leaving process finishes its requests.
+// defaultLinger is the default time that a leaving process gives its requests in
+// progress to complete.
 const defaultLinger = settings.Duration(10 * time.Second)
 
 // Settings are the contents of the settings file.
 type Settings struct {
-	// Entries are the announcement addresses to begin with.
+	// Entries lists the announcement addresses of entries that the stand-ins
+	// contact first.
 	Entries    []settings.Address `yaml:"entries"`
 	DataCentre string             `yaml:"data_centre"`
 	Reports    ReportSettings     `yaml:"reports"`
-	// Linger bounds how long requests in progress may go on after SIGTERM.
+	// Linger is how long requests in progress may continue after SIGTERM.
 	Linger settings.Duration `yaml:"linger"`
-	// RunLog is a file to which each run is appended, so that a check can
-	// count runs over the lives of a process; empty means none.
+	// RunLog is the path of a file to which each run is appended, so that a
+	// check can count runs across the incarnations of a process. If it is
+	// empty, runs are not logged.
 	RunLog   string            `yaml:"run_log"`
 	Weights  *WeightSettings   `yaml:"weights"`
 	Engines  []EngineSettings  `yaml:"engines"`
@@ -30,7 +33,7 @@
 	Services []ServiceSettings `yaml:"services"`
 }
 
-// ReportSettings say how often the stand-ins report, and how late.
+// ReportSettings are the intervals and the delay of the stand-ins' reports.
 type ReportSettings struct {
 	Lease  settings.Duration `yaml:"lease"`
 	Load   settings.Duration `yaml:"load"`
@@ -38,11 +41,11 @@
 	Events settings.Duration `yaml:"events"`
 }
 
-// Common is what every announced stand-in has.
+// Common holds the settings that all announced stand-ins share.
 type Common struct {
 	Name   string           `yaml:"name"`
 	Listen settings.Address `yaml:"listen"`
-	// DataCentre overrides that of the process.
+	// DataCentre overrides the data centre of the process.
 	DataCentre string `yaml:"data_centre"`
 }
 
