--- a/cmd/lovage-load/capacity.go
+++ b/cmd/lovage-load/capacity.go
@@ -10,7 +10,8 @@
 	"github.com/lovagereach/lovagereach/internal/process"
 )
 
-// capacityCommand measures the slopes behind docs/CAPACITY.md and prints them.
+// capacityCommand measures the costs from which docs/CAPACITY.md is calculated and
+// prints them as a table.
 func capacityCommand(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("lovage-load capacity", flag.ContinueOnError)
 	flags.SetOutput(stderr)
--- a/cmd/lovage-load/capacity_test.go
+++ b/cmd/lovage-load/capacity_test.go
@@ -8,7 +8,7 @@
 	"github.com/lovagereach/lovagereach/internal/process"
 )
 
-func TestCapacityPrintsTheChosenRows(t *testing.T) {
+func TestCapacityPrintsSelectedRows(t *testing.T) {
 	var out, log bytes.Buffer
 	if code := capacityCommand([]string{"-only", "message for a change"}, &out, &log); code != process.ExitOK {
 		t.Fatalf("exit %d: %s", code, log.String())
@@ -19,8 +19,9 @@
 	}
 }
 
-// A word that no probe has must not pass for a table without rows.
-func TestCapacityRefusesAnUnknownProbe(t *testing.T) {
+// A -only text that matches no probe is refused instead of printing a table without
+// rows.
+func TestCapacityRefusesUnknownProbe(t *testing.T) {
 	var out, log bytes.Buffer
 	if code := capacityCommand([]string{"-only", "no such probe"}, &out, &log); code != process.ExitUsage {
 		t.Errorf("exit %d, printed %q", code, out.String())
--- a/cmd/lovage-load/main.go
+++ b/cmd/lovage-load/main.go
@@ -1,5 +1,5 @@
 // Command lovage-load drives a running system with load and checks every
-// answer; its other subcommands measure parts of the system by themselves.
+// answer; its other subcommands measure parts of the system in isolation.
 package main
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/lovagereach/lovagereach/internal/process"
 )
 
-// command runs one subcommand and returns the exit code.
+// command is one subcommand; run returns the exit code.
 type command struct {
 	summary string
 	run     func(args []string, stdout, stderr io.Writer) int
 }
 
-// commands are the subcommands by name.
+// commands maps names to subcommands.
 var commands = map[string]command{
 	"capacity": {"the slopes behind docs/CAPACITY.md, measured", capacityCommand},
 	"policy":   {"the policy against its baselines, in virtual time", policyCommand},
--- a/cmd/lovage-load/policy.go
+++ b/cmd/lovage-load/policy.go
@@ -73,7 +73,7 @@
 	return simload.WritePlot(filepath.Join(out, "policy.svg"), results)
 }
 
-// split cuts a list at its commas and drops empty parts.
+// split splits a list at its commas and drops empty elements.
 func split(list string) []string {
 	parts := strings.Split(list, ",")
 	return slices.DeleteFunc(parts, func(s string) bool { return s == "" })
--- a/cmd/lovage-load/policy_test.go
+++ b/cmd/lovage-load/policy_test.go
@@ -8,9 +8,9 @@
 
 func TestPolicyCommandRefuses(t *testing.T) {
 	tests := []struct {
-		args []string
-		code int
-		says string
+		args     []string
+		code     int
+		wantText string
 	}{
 		{[]string{"-nope"}, 2, "flag provided but not defined"},
 		{[]string{"-workload", "nowhere"}, 1, `unknown workload "nowhere"`},
@@ -22,8 +22,8 @@
 			if code := policyCommand(tt.args, &out, &errs); code != tt.code {
 				t.Errorf("exit code %d, want %d", code, tt.code)
 			}
-			if !strings.Contains(errs.String(), tt.says) {
-				t.Errorf("said %q, want %q", errs.String(), tt.says)
+			if !strings.Contains(errs.String(), tt.wantText) {
+				t.Errorf("standard error is %q, want %q in it", errs.String(), tt.wantText)
 			}
 		})
 	}
--- a/cmd/lovage-load/run.go
+++ b/cmd/lovage-load/run.go
@@ -13,7 +13,8 @@
 	"github.com/lovagereach/lovagereach/internal/process"
 )
 
-// errViolations makes the process fail when something happened that must not.
+// errViolations makes the process fail when the report contains violations of the
+// system's guarantees.
 var errViolations = errors.New("the system broke a promise; see violations in the report")
 
 func runCommand(args []string, stdout, stderr io.Writer) int {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// writeFile writes a report to path; an empty path writes nothing.
+// writeFile writes a report to path; with an empty path it writes nothing.
 func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
--- a/cmd/lovage-load/settings.go
+++ b/cmd/lovage-load/settings.go
@@ -15,32 +15,35 @@
 type Settings struct {
 	Entries  []settings.Address `yaml:"entries"`
 	Standins []settings.Address `yaml:"standins"`
-	// RunLog is the stand-ins' run log; needed when they are restarted.
+	// RunLog is the path of the stand-ins' run log. It is needed if they are
+	// restarted during the run.
 	RunLog string `yaml:"run_log"`
-	// Audit is where prompts of which no outcome was heard are looked for.
+	// Audit names the control hosts whose audit is searched for prompts without
+	// a received outcome; without it they aren't searched for.
 	Audit       *AuditSettings    `yaml:"audit"`
 	Duration    settings.Duration `yaml:"duration"`
 	MaxRequests int               `yaml:"max_requests"`
 	MaxOpen     int               `yaml:"max_open"`
 	Timeout     settings.Duration `yaml:"timeout"`
 	Seed        uint64            `yaml:"seed"`
-	// Fresh tells that the deployment has never seen prompts of this seed.
+	// Fresh indicates that the deployment has never received prompts of this
+	// seed.
 	Fresh   bool             `yaml:"fresh"`
 	Prompts []PromptSettings `yaml:"prompts"`
 	Calls   []CallSettings   `yaml:"calls"`
-	// CSV and JSON are paths to write the report to.
+	// CSV and JSON are the paths to which the report is written.
 	CSV  string `yaml:"csv"`
 	JSON string `yaml:"json"`
 }
 
-// AuditSettings tell how to ask the control hosts.
+// AuditSettings are the addresses and the token for queries to the control hosts.
 type AuditSettings struct {
 	// Servers are URLs of operators' listeners.
 	Servers   []string `yaml:"servers"`
 	TokenFile string   `yaml:"token_file"`
 }
 
-// PromptSettings are one stream of prompts.
+// PromptSettings describe one stream of prompts.
 type PromptSettings struct {
 	Team           string  `yaml:"team"`
 	Token          string  `yaml:"token"`
@@ -53,7 +56,7 @@
 	AnswerTokens   int     `yaml:"answer_tokens"`
 }
 
-// CallSettings are one stream of calls.
+// CallSettings describe one stream of calls.
 type CallSettings struct {
 	Team       string  `yaml:"team"`
 	Token      string  `yaml:"token"`
