--- a/cmd/lovage-dev/client.go
+++ b/cmd/lovage-dev/client.go
@@ -17,13 +17,13 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Bounds on one call of the demonstration.
+// Bounds on one request of the demonstration.
 const (
 	callTimeout = 20 * time.Second
 	maxBody     = 1 << 20
 )
 
-// completion is the body of a prompt.
+// completion is the request body of a prompt.
 type completion struct {
 	Model     string   `json:"model"`
 	Prompt    []uint32 `json:"prompt"`
@@ -49,7 +49,8 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// provenance is what the last event says of the answer.
+// provenance is the content of the last event's lovage field: how the answer was
+// produced.
 type provenance struct {
 	RequestID    string `json:"request_id"`
 	Outcome      string `json:"outcome"`
@@ -60,48 +61,48 @@
 	KeptFrom     string `json:"kept_from"`
 }
 
-// streamed is a whole streamed answer.
-type streamed struct {
+// streamResult is a complete streamed answer.
+type streamResult struct {
 	text       string
 	usage      usage
-	from       provenance
+	provenance provenance
 	firstToken time.Duration
 }
 
-// errNotRun is a refusal that says that nothing ran; another entry may take the
-// request.
+// errNotRun reports a refusal with the outcome not-run: nothing ran, and another entry
+// may accept the request.
 var errNotRun = eris.New("not run")
 
-var errNotWhole = eris.New("the stream ended without its last event")
+var errIncompleteStream = eris.New("the stream ended before its last event")
 
-// ask streams one prompt at an entry.
-func ask(ctx context.Context, address string, from caller, prompt completion) (streamed, error) {
+// sendPrompt sends one prompt to an entry and reads the streamed answer.
+func sendPrompt(ctx context.Context, address string, from caller, prompt completion) (streamResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	prompt.Stream = true
 	request, err := sling.New().Base("http://"+address).Post(callers.PathCompletions).
 		Set("Authorization", "Bearer "+from.token).BodyJSON(prompt).Request()
 	if err != nil {
-		return streamed{}, eris.Wrap(err, "build request")
+		return streamResult{}, eris.Wrap(err, "build request")
 	}
 	started := time.Now()
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	if err != nil {
-		return streamed{}, eris.Wrap(err, "prompt")
+		return streamResult{}, eris.Wrap(err, "prompt")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(io.LimitReader(response.Body, maxBody))
 		if response.Header.Get(callers.HeaderOutcome) == outcome.KindNotRun.String() {
-			return streamed{}, eris.Wrapf(errNotRun, "prompt: status %d: %s", response.StatusCode, body)
+			return streamResult{}, eris.Wrapf(errNotRun, "prompt: status %d: %s", response.StatusCode, body)
 		}
-		return streamed{}, eris.Errorf("prompt: status %d: %s", response.StatusCode, body)
+		return streamResult{}, eris.Errorf("prompt: status %d: %s", response.StatusCode, body)
 	}
 	return readStream(response.Body, started)
 }
 
-func readStream(body io.Reader, started time.Time) (streamed, error) {
-	var out streamed
+func readStream(body io.Reader, started time.Time) (streamResult, error) {
+	var out streamResult
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -116,17 +117,17 @@
 		if out.firstToken == 0 {
 			out.firstToken = time.Since(started)
 		}
-		if err := out.take(data, &text); err != nil {
+		if err := out.addEvent(data, &text); err != nil {
 			return out, err
 		}
 	}
 	if err := lines.Err(); err != nil {
 		return out, eris.Wrap(err, "stream")
 	}
-	return out, errNotWhole
+	return out, errIncompleteStream
 }
 
-func (s *streamed) take(data []byte, text *strings.Builder) error {
+func (s *streamResult) addEvent(data []byte, text *strings.Builder) error {
 	var event chunk
 	if err := json.Unmarshal(data, &event); err != nil {
 		return eris.Wrap(err, "event")
@@ -138,21 +139,21 @@
 		text.WriteString(choice.Text)
 	}
 	if event.Lovage != nil && event.Usage != nil {
-		s.from, s.usage = *event.Lovage, *event.Usage
+		s.provenance, s.usage = *event.Lovage, *event.Usage
 	}
 	return nil
 }
 
-// called is the answer to a service call.
-type called struct {
+// callResult is the answer to a service call.
+type callResult struct {
 	status   int
 	body     string
 	outcome  string
 	repeated bool
 }
 
-// call makes one service call at an entry.
-func call(ctx context.Context, address string, from caller, path, key, body string) (called, error) {
+// call sends one service call to an entry.
+func call(ctx context.Context, address string, from caller, path, key, body string) (callResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := sling.New().Base("http://"+address).
@@ -161,18 +162,18 @@
 		Set(callers.HeaderIdempotency, key).
 		Body(strings.NewReader(body)).Request()
 	if err != nil {
-		return called{}, eris.Wrap(err, "build request")
+		return callResult{}, eris.Wrap(err, "build request")
 	}
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	if err != nil {
-		return called{}, eris.Wrap(err, "service call")
+		return callResult{}, eris.Wrap(err, "service call")
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
-		return called{}, eris.Wrap(err, "service answer")
+		return callResult{}, eris.Wrap(err, "service answer")
 	}
-	return called{
+	return callResult{
 		status:   response.StatusCode,
 		body:     string(data),
 		outcome:  response.Header.Get(callers.HeaderOutcome),
--- a/cmd/lovage-dev/controls.go
+++ b/cmd/lovage-dev/controls.go
@@ -14,19 +14,19 @@
 	"github.com/lovagereach/lovagereach/internal/controlhost"
 )
 
-// operatorToken lets lovagectl in.
+// operatorToken authenticates lovagectl at the control hosts.
 const operatorToken = "operator-dev-token"
 
 // controls are the control hosts of the deployment.
 type controls struct {
 	hosts []*controlhost.Host
-	// peers are their peer addresses, operators the URLs of their operators'
-	// listeners in the order of hosts.
+	// peers maps hosts to their peer addresses; operators lists the URLs of
+	// their operators' listeners in the order of hosts.
 	peers     map[ident.Host]string
 	operators []string
 }
 
-// newControls makes the control hosts; their state is in folder.
+// newControls creates the control hosts, which store their state in folder.
 func newControls(count int, folder string, key []byte, logger *log.Logger) (*controls, error) {
 	c := &controls{peers: make(map[ident.Host]string)}
 	urls := make(map[ident.Host]string)
@@ -49,7 +49,7 @@
 	for i := range count {
 		host, err := controlhost.New(controlhost.Options{
 			Host:             controlName(i),
-			DataCentre:       centres[i%len(centres)],
+			DataCentre:       dataCentres[i%len(dataCentres)],
 			Cluster:          cluster,
 			Data:             filepath.Join(folder, string(controlName(i))),
 			PeerListener:     peerListeners[i],
@@ -70,8 +70,8 @@
 
 func controlName(i int) ident.Host { return ident.Host(fmt.Sprintf("control-%d", i+1)) }
 
-// run serves until ctx ends. A graceful stop of the deployment needs none of
-// its control hosts: they end together.
+// run runs the control hosts until ctx ends. They are stopped together and without a
+// drain, since none is needed after a graceful stop of the entries.
 func (c *controls) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, host := range c.hosts {
--- a/cmd/lovage-dev/demo.go
+++ b/cmd/lovage-dev/demo.go
@@ -26,8 +26,8 @@
 	demoParallel  = 4
 	demoSeed      = 20
 	promptLength  = demoBlocks*blockTokens + demoTail
-	// maxRecomputed is the share of the returning prompts' tokens that may be
-	// computed again: their tails are, and little else.
+	// maxRecomputed is the maximum share of the returning prompts' tokens that
+	// may be recomputed: the tails behind the last full blocks, and little else.
 	maxRecomputed = 0.25
 	percent       = 100
 )
@@ -38,8 +38,8 @@
 	out        io.Writer
 	prompts    []demoPrompt
 	answers    int
-	// refused counts the refusals that said not-run; the prompts were then
-	// taken to another entry.
+	// refused is the number of refusals with the outcome not-run, after which
+	// the prompt was sent to another entry.
 	refused atomic.Int64
 }
 
@@ -50,34 +50,34 @@
 	seed   uint64
 }
 
-// runDemo runs the script. It returns nil only if every answer was checked as
-// the caller's own and every step showed what it should.
+// runDemo runs the script. It returns nil only if every answer was verified to be the
+// caller's own and every step had the expected result.
 func runDemo(ctx context.Context, d *deployment, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	script := &demo{deployment: d, out: out, prompts: drawPrompts(demoSeed)}
 	for _, step := range []func(context.Context) error{
 		script.start,
-		script.firstTime,
+		script.sendFirst,
 		script.evict,
-		script.secondTime,
-		script.otherTeam,
+		script.sendAgain,
+		script.sendAsOtherTeam,
 		script.callTwice,
-		script.audited,
+		script.checkAudit,
 	} {
 		if err := step(ctx); err != nil {
 			return eris.Wrap(err, "demonstration")
 		}
 	}
-	script.say("done: %d answers, each checked as its caller's own", script.answers)
+	script.printf("done: %d answers, each checked as its caller's own", script.answers)
 	return nil
 }
 
-func (s *demo) say(format string, args ...any) {
+func (s *demo) printf(format string, args ...any) {
 	fmt.Fprintf(s.out, format+"\n", args...)
 }
 
-// drawPrompts draws the prompts of both teams, the same ones in each run.
+// drawPrompts generates the prompts of both teams, equal for equal seeds.
 func drawPrompts(seed uint64) []demoPrompt {
 	random := rand.New(rand.NewPCG(seed, seed))
 	prompts := make([]demoPrompt, demoPrompts)
@@ -95,71 +95,71 @@
 
 func since(t time.Time) time.Duration { return time.Since(t).Round(time.Millisecond) }
 
-// start waits for hosts, configuration and announcements.
+// start waits for a leader, the configuration in force and the announcements.
 func (s *demo) start(ctx context.Context) error {
 	d := s.deployment
 	began := time.Now()
-	if _, err := d.leader(ctx); err != nil {
+	if _, err := d.waitLeader(ctx); err != nil {
 		return err
 	}
-	s.say("up: %d control hosts with a leader after %v, %d entries", len(d.controls.hosts), since(began), len(d.entries))
+	s.printf("up: %d control hosts with a leader after %v, %d entries", len(d.controls.hosts), since(began), len(d.entries))
 	began = time.Now()
 	revision, err := d.apply(ctx)
 	if err != nil {
 		return err
 	}
-	if err := d.serving(ctx, revision); err != nil {
+	if err := d.waitServing(ctx, revision); err != nil {
 		return err
 	}
-	s.say("configuration: revision %d in force at every entry after %v", revision, since(began))
-	if err := d.announced(ctx); err != nil {
+	s.printf("configuration: revision %d in force at every entry after %v", revision, since(began))
+	if err := d.waitAnnounced(ctx); err != nil {
 		return err
 	}
-	s.say("announced: %d engines, %d store hosts, 1 service, seen by every entry",
+	s.printf("announced: %d engines, %d store hosts, 1 service, seen by every entry",
 		len(d.standins.engines), len(d.standins.stores))
 	return nil
 }
 
-// firstTime streams every prompt, new to the system.
-func (s *demo) firstTime(ctx context.Context) error {
-	total, err := s.askAll(ctx, 0)
+// sendFirst streams every prompt for the first time.
+func (s *demo) sendFirst(ctx context.Context) error {
+	total, err := s.sendAll(ctx, 0)
 	if err != nil {
 		return err
 	}
-	s.report("first time", total)
+	s.printRound("first time", total)
 	return nil
 }
 
-// evict waits until the blocks are kept on the store hosts and clears the
-// engines' caches, as a long silence would.
+// evict waits until the blocks are kept on the store hosts and clears the engines'
+// caches, as happens when the prompts aren't used for a long time.
 func (s *demo) evict(ctx context.Context) error {
 	const kept = demoPrompts * demoBlocks
 	exporting, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
-	err := until(exporting, "export of the blocks to the store hosts", func() bool {
-		return s.everyEntry(func(state entry.Dump) bool { return state.Stores.Blocks >= kept })
+	err := waitUntil(exporting, "export of the blocks to the store hosts", func() bool {
+		return s.allEntries(func(state entry.Dump) bool { return state.Stores.Blocks >= kept })
 	})
 	if err != nil {
 		for _, host := range s.deployment.entries {
 			state := host.Entry().Dump()
-			s.say("%s knows %d blocks on store hosts; kept prompts: %+v", state.Host, state.Stores.Blocks, state.Kept)
+			s.printf("%s knows %d blocks on store hosts; kept prompts: %+v", state.Host, state.Stores.Blocks, state.Kept)
 		}
 		return err
 	}
 	for _, engine := range s.deployment.standins.engines {
 		engine.Evict()
 	}
-	err = until(ctx, "word of the eviction", func() bool {
-		return s.everyEntry(func(state entry.Dump) bool { return cellBlocks(state) == 0 })
+	err = waitUntil(ctx, "reports of the eviction", func() bool {
+		return s.allEntries(func(state entry.Dump) bool { return cellBlocks(state) == 0 })
 	})
 	if err != nil {
 		return err
 	}
-	s.say("evicted: %d blocks are kept on the store hosts, none in any engine", kept)
+	s.printf("evicted: %d blocks are kept on the store hosts, none in any engine", kept)
 	return nil
 }
 
-func (s *demo) everyEntry(holds func(entry.Dump) bool) bool {
+func (s *demo) allEntries(holds func(entry.Dump) bool) bool {
 	for _, host := range s.deployment.entries {
 		if !holds(host.Entry().Dump()) {
 			return false
@@ -176,45 +176,45 @@
 	return blocks
 }
 
-// secondTime streams the same prompts at other entries.
-func (s *demo) secondTime(ctx context.Context) error {
-	total, err := s.askAll(ctx, 1)
+// sendAgain streams the same prompts at other entries.
+func (s *demo) sendAgain(ctx context.Context) error {
+	total, err := s.sendAll(ctx, 1)
 	if err != nil {
 		return err
 	}
-	s.report("returned", total)
+	s.printRound("returned", total)
 	if total.fromStore != total.count {
 		return eris.Errorf("only %d of %d returning prompts were served from a store host", total.fromStore, total.count)
 	}
 	if total.recomputedShare() > maxRecomputed {
-		return eris.Errorf("%.1f %% of the returning prompts' tokens were computed again", percent*total.recomputedShare())
+		return eris.Errorf("%.1f %% of the returning prompts' tokens were recomputed", percent*total.recomputedShare())
 	}
 	return nil
 }
 
-// otherTeam sends a prompt of one team as another: its kept blocks must not
-// serve it.
-func (s *demo) otherTeam(ctx context.Context) error {
+// sendAsOtherTeam sends a prompt of one team as another team: the blocks kept for the
+// first team must not be reused.
+func (s *demo) sendAsOtherTeam(ctx context.Context) error {
 	prompt := s.prompts[0]
 	prompt.from = growers
-	got, err := s.check(ctx, s.deployment.entries[0].Callers(), prompt)
+	got, err := s.sendAndCheck(ctx, s.deployment.entries[0].Callers(), prompt)
 	if err != nil {
 		return err
 	}
 	s.answers++
-	if got.from.TokensReused != 0 {
-		return eris.Errorf("another team's prompt supplied %d tokens", got.from.TokensReused)
+	if got.provenance.TokensReused != 0 {
+		return eris.Errorf("%d tokens were reused from another team's prompt", got.provenance.TokensReused)
 	}
-	s.say("teams apart: the same prompt sent by another team reused 0 tokens")
+	s.printf("teams apart: the same prompt sent by another team reused 0 tokens")
 	return nil
 }
 
-// callTwice sends a call that may not be repeated at two entries under one
+// callTwice sends a call that may not be repeated to two entries with one idempotency
 // key.
 func (s *demo) callTwice(ctx context.Context) error {
 	const key, body = "bid-2041", `{"lot":7,"stems":400}`
 	d := s.deployment
-	var answers []called
+	var answers []callResult
 	for i := range 2 {
 		got, err := call(ctx, d.entries[i].Callers(), florists, "/bids", key, body)
 		if err != nil {
@@ -230,14 +230,14 @@
 		return eris.Errorf("a call sent twice ran %d times, answers %q and %q", runs, answers[0].body, answers[1].body)
 	}
 	s.answers += len(answers)
-	s.say("at most once: a bid sent twice under one key, at two entries, ran %d time; both got its answer", runs)
+	s.printf("at most once: a bid sent twice under one key, at two entries, ran %d time; both got its answer", runs)
 	return nil
 }
 
-// audited checks that no request is without an outcome.
-func (s *demo) audited(ctx context.Context) error {
+// checkAudit checks that every request has an outcome.
+func (s *demo) checkAudit(ctx context.Context) error {
 	closed := uint64(0)
-	err := until(ctx, "an outcome of every request", func() bool {
+	err := waitUntil(ctx, "an outcome of every request", func() bool {
 		opened := uint64(0)
 		closed = 0
 		for _, host := range s.deployment.entries {
@@ -253,6 +253,6 @@
 	if closed < uint64(s.answers) || closed > uint64(s.answers)+uint64(s.refused.Load()) {
 		return eris.Errorf("the audit has %d outcomes for %d answers and %d refusals", closed, s.answers, s.refused.Load())
 	}
-	s.say("audited: every one of %d requests has an outcome", closed)
+	s.printf("audited: every one of %d requests has an outcome", closed)
 	return nil
 }
--- a/cmd/lovage-dev/demo_test.go
+++ b/cmd/lovage-dev/demo_test.go
@@ -19,7 +19,7 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// testDeployment starts a deployment that ends with the test.
+// testDeployment starts a deployment that is stopped at the end of the test.
 func testDeployment(t *testing.T, control int) *deployment {
 	t.Helper()
 	d, err := newDeployment(&Settings{Entries: 2, Control: control}, t.TempDir(), log.New(io.Discard))
@@ -35,8 +35,8 @@
 	return d
 }
 
-// The whole path over real listeners, disks and consensus, as a newcomer runs
-// it: every answer is compared with the only one its prompt can have.
+// Runs the demonstration over real listeners, disks and consensus. Every answer is
+// compared with the only one that its prompt and seed can have.
 func TestDemo(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
@@ -50,11 +50,11 @@
 	}
 }
 
-// The demonstration must be able to fail. An engine that cuts answers short,
-// or mixes them up, is not believed: the caller sees whole answers of its own
-// or an error, never another's or a short one. One engine of three is sound, so
-// that the third and last send of a prompt always finds it; a prompt whose sends
-// all fail is the next test.
+// Two of three engines truncate answers, duplicate events or send another request's
+// answer. The caller must receive its own complete answer or an error, never a
+// truncated answer or one of another request. The third engine has no faults, so that
+// the third and last send of a prompt always reaches a sound engine;
+// TestDemoFailsWhenNoEngineCompletes covers prompts whose sends all fail.
 func TestDemoSurvivesFaultyEngines(t *testing.T) {
 	t.Parallel()
 	d := testDeployment(t, 1)
@@ -74,50 +74,50 @@
 		resumed += host.Metric("lovagereach_entry_streams_resumed_total")
 	}
 	if resumed == 0 {
-		t.Error("no stream was resumed; the faults did not strike")
+		t.Error("no stream was resumed; the injected faults had no effect")
 	}
 }
 
-// An operator stops the deployment while a stream is open. The stream must be
-// whole, and the process must end by itself.
-func TestDrainCutsNoStream(t *testing.T) {
+// An operator drains the deployment while a stream is open. The stream must be
+// completed, and the deployment must stop by itself.
+func TestDrainCompletesOpenStream(t *testing.T) {
 	t.Parallel()
 	d := testDeployment(t, 1)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	if err := d.ready(ctx); err != nil {
+	if err := d.waitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
 	prompt := drawPrompts(1)[0]
-	ended := make(chan error, 1)
+	streamErr := make(chan error, 1)
 	go func() {
-		got, err := ask(ctx, d.entries[0].Callers(), prompt.from, completion{
+		got, err := sendPrompt(ctx, d.entries[0].Callers(), prompt.from, completion{
 			Model: string(modelName), Prompt: prompt.tokens, MaxTokens: 2000, Seed: prompt.seed,
 		})
 		if err == nil && got.text != standin.ExpectedAnswer(prompt.tokens, prompt.seed, 2000) {
-			err = errNotWhole
+			err = errIncompleteStream
 		}
-		ended <- err
+		streamErr <- err
 	}()
-	err := until(ctx, "an open stream", func() bool { return d.entries[0].Entry().Dump().InFlight == 1 })
+	err := waitUntil(ctx, "an open stream", func() bool { return d.entries[0].Entry().Dump().InFlight == 1 })
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.drain()
-	if err := <-ended; err != nil {
+	if err := <-streamErr; err != nil {
 		t.Errorf("the open stream: %v", err)
 	}
 	if err := d.wait(ctx); err != nil {
 		t.Error(err)
 	}
 	if ctx.Err() != nil {
-		t.Error("the deployment did not end by itself")
+		t.Error("the deployment did not stop by itself within a minute")
 	}
 }
 
-// The whole deployment stops and starts again on the same data folder. The
-// configuration must still be there, and in force, and a call that ran before
-// must not run again under its key.
+// The deployment stops and restarts on the same data folder. The configuration must
+// still exist and be in force, and a call that ran before the restart must not run
+// again under its key.
 func TestRestartKeepsConfigurationAndKeys(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
@@ -130,7 +130,7 @@
 			t.Fatal(err)
 		}
 		d.start(context.Background())
-		if err := d.ready(ctx); err != nil {
+		if err := d.waitReady(ctx); err != nil {
 			t.Fatal(err)
 		}
 		got, err := call(ctx, d.entries[0].Callers(), florists, "/bids", "bid-7", "{}")
@@ -147,11 +147,10 @@
 	}
 }
 
-// An operator stops an entry to which bids come until it closes. The last ones
-// are answered a moment before the process ends; their outcomes must be in the
-// replicated trace by then, or an auditor would find them listed as open for
-// ever.
-func TestCleanStopLeavesNothingOpen(t *testing.T) {
+// An operator stops an entry that receives bids until it closes its listener. The last
+// bids are answered just before the process exits. Their outcomes must be in the
+// replicated trace by then, or the audit lists them as open permanently.
+func TestDrainLeavesNoOpenAuditRecord(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -162,13 +161,13 @@
 			t.Fatal(err)
 		}
 		d.start(context.Background())
-		if err := d.ready(ctx); err != nil {
+		if err := d.waitReady(ctx); err != nil {
 			t.Fatal(err)
 		}
 		return d
 	}
 	first := begin()
-	// On a busy machine the entry may be closed before the bids below begin.
+	// On a busy machine the entry may close before the bids below start.
 	if got, err := call(ctx, first.entries[0].Callers(), florists, "/bids", "bid-first", "{}"); err != nil || got.outcome != "done" {
 		t.Fatalf("got %+v, %v", got, err)
 	}
@@ -202,21 +201,21 @@
 	}
 }
 
-// bidUntilClosed sends bids in parallel until the entry takes no more and
-// returns how many were answered. It begins when the entry has little time left,
-// so that all fit in one answer of the audit.
+// bidUntilClosed sends bids in parallel until the entry accepts no more and returns
+// the number of answered bids. It starts shortly before the entry closes, so that all
+// bids fit in one answer of the audit.
 func bidUntilClosed(ctx context.Context, address string) int {
 	const (
-		bidders = 8
-		most    = 100 // bids of one bidder
-		pause   = 5 * time.Millisecond
+		bidders       = 8
+		bidsPerBidder = 100
+		pause         = 5 * time.Millisecond
 	)
 	time.Sleep(keepAddress + 1600*time.Millisecond)
 	var answered atomic.Int64
 	var group sync.WaitGroup
 	for bidder := range bidders {
 		group.Go(func() {
-			for n := range most {
+			for n := range bidsPerBidder {
 				got, err := call(ctx, address, florists, "/bids", fmt.Sprintf("bid-%d-%d", bidder, n), "{}")
 				if err != nil || got.outcome != "done" {
 					return
@@ -230,9 +229,10 @@
 	return int(answered.Load())
 }
 
-// A prompt of which every send is cut short ends with an error that says so: the
-// caller has the beginning and must not take it for the whole.
-func TestDemoTellsWhenNoEngineCompletes(t *testing.T) {
+// All engines truncate their answers, so every send of a prompt fails. The stream must
+// end with an error: the caller has received the beginning and must not treat it as
+// the complete answer.
+func TestDemoFailsWhenNoEngineCompletes(t *testing.T) {
 	t.Parallel()
 	d := testDeployment(t, 1)
 	for _, engine := range d.standins.engines {
@@ -243,6 +243,6 @@
 	var out bytes.Buffer
 	err := runDemo(t.Context(), d, &out)
 	if err == nil || !strings.Contains(err.Error(), "the stream broke and could not be resumed") {
-		t.Fatalf("told %v\n%s", err, &out)
+		t.Fatalf("error is %v\n%s", err, &out)
 	}
 }
--- a/cmd/lovage-dev/deployment.go
+++ b/cmd/lovage-dev/deployment.go
@@ -20,40 +20,40 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// cluster names the deployment.
+// cluster is the name of the deployment.
 const cluster = "lovage-dev"
 
-// keepAddress is how long callers keep an address answer; short, so that the
-// deployment stops quickly.
+// keepAddress is how long callers may cache an address answer. It is short, so that
+// the deployment stops quickly.
 const keepAddress = time.Second
 
-// idleDelay is how long a prompt rests before its blocks are exported; short,
-// so that a demonstration need not wait.
+// idleDelay is how long a prompt is unused before its blocks are exported. It is
+// short, so that the demonstration doesn't wait long.
 const idleDelay = 200 * time.Millisecond
 
-var centres = []ident.DataCentre{"hall-north", "hall-dock"}
+var dataCentres = []ident.DataCentre{"hall-north", "hall-dock"}
 
-// deployment is everything that runs in the process.
+// deployment holds all hosts and stand-ins that run in the process.
 type deployment struct {
 	log      *log.Logger
 	controls *controls
 	entries  []*entryhost.Host
 	standins *standins
 
-	group   *errgroup.Group
-	cancel  context.CancelFunc
-	drained chan struct{}
-	once    sync.Once
+	group     *errgroup.Group
+	cancel    context.CancelFunc
+	drainCh   chan struct{}
+	drainOnce sync.Once
 }
 
-// listen opens a loopback listener; port 0 picks a free one.
+// listen opens a loopback listener; port 0 selects a free port.
 func listen(port int) (net.Listener, error) {
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 	return listener, eris.Wrap(err, "listen")
 }
 
 func newDeployment(s *Settings, folder string, logger *log.Logger) (*deployment, error) {
-	d := &deployment{log: logger, drained: make(chan struct{})}
+	d := &deployment{log: logger, drainCh: make(chan struct{})}
 	key := make([]byte, prefix.KeySize)
 	if _, err := rand.Read(key); err != nil {
 		return nil, eris.Wrap(err, "peer key")
@@ -85,7 +85,7 @@
 	for i, listeners := range opened {
 		host, err := entryhost.New(entryhost.Options{
 			Host:        entryName(i),
-			DataCentre:  centres[i%len(centres)],
+			DataCentre:  dataCentres[i%len(dataCentres)],
 			Cluster:     cluster,
 			Listeners:   listeners,
 			Operators:   "127.0.0.1:0",
@@ -119,15 +119,16 @@
 	return out, err
 }
 
-// start runs everything until stop.
+// start starts all hosts and stand-ins, which run until stop or drain.
 func (d *deployment) start(ctx context.Context) {
 	ctx, d.cancel = context.WithCancel(ctx)
 	d.group, ctx = errgroup.WithContext(ctx)
 	d.group.Go(func() error { return d.controls.run(ctx) })
-	// The entries end first at a graceful shutdown; everything else follows.
+	// At a graceful shutdown the entries stop first; then d.cancel stops the
+	// control hosts and stand-ins.
 	entries, entriesCtx := errgroup.WithContext(ctx)
 	for _, host := range d.entries {
-		entries.Go(func() error { return host.Run(entriesCtx, d.drained) })
+		entries.Go(func() error { return host.Run(entriesCtx, d.drainCh) })
 	}
 	d.group.Go(func() error {
 		defer d.cancel()
@@ -138,10 +139,10 @@
 	}
 }
 
-// drain begins a graceful shutdown.
-func (d *deployment) drain() { d.once.Do(func() { close(d.drained) }) }
+// drain starts a graceful shutdown.
+func (d *deployment) drain() { d.drainOnce.Do(func() { close(d.drainCh) }) }
 
-// wait returns when everything has ended, or ctx has.
+// wait returns when all hosts and stand-ins have stopped or ctx ends.
 func (d *deployment) wait(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- d.group.Wait() }()
@@ -153,7 +154,7 @@
 	}
 }
 
-// stop ends everything at once.
+// stop stops all hosts and stand-ins without a drain.
 func (d *deployment) stop() error {
 	d.cancel()
 	err := d.group.Wait()
--- a/cmd/lovage-dev/document.go
+++ b/cmd/lovage-dev/document.go
@@ -27,8 +27,8 @@
 	growers  = caller{team: "growers", token: "growers-dev-token"}
 )
 
-// document is the configuration that is applied at the start.
-func document() config.Document {
+// demoConfig returns the configuration that is applied at the start.
+func demoConfig() config.Document {
 	return config.Document{
 		Classes: []config.Class{
 			{
--- a/cmd/lovage-dev/main.go
+++ b/cmd/lovage-dev/main.go
@@ -24,14 +24,14 @@
 
 // Settings are the contents of the settings file.
 type Settings struct {
-	// Entries and Control are how many hosts of each kind run.
+	// Entries and Control are the numbers of entries and control hosts.
 	Entries int `yaml:"entries"`
 	Control int `yaml:"control"`
-	// Data is the folder of the control hosts' state; empty means a temporary
-	// one that is removed at the end.
+	// Data is the folder of the control hosts' state. If it is empty, a
+	// temporary folder is used and removed at the exit.
 	Data string `yaml:"data"`
-	// Port is that of the first entry's callers' listener; the next entries
-	// follow it. Zero picks free ones.
+	// Port is the port of the first entry's callers' listener; the other
+	// entries use the ports after it. Zero selects free ports.
 	Port int `yaml:"port"`
 
 	demo bool
@@ -76,7 +76,7 @@
 	})
 }
 
-// startTimeout bounds the time until the deployment serves.
+// startTimeout bounds the time until the deployment serves callers.
 const startTimeout = 20 * time.Second
 
 func run(ctx context.Context, env *process.Env, s *Settings) (err error) {
@@ -86,7 +86,7 @@
 	}
 	defer func() { err = errors.Join(err, clean()) }()
 	if s.demo {
-		// The script's own lines are what there is to read.
+		// Keeps info lines from mixing with the script's output.
 		env.Log.SetLevel(log.WarnLevel)
 	}
 	d, err := newDeployment(s, folder, env.Log)
@@ -98,7 +98,7 @@
 	if s.demo {
 		return runDemo(ctx, d, env.Stdout)
 	}
-	if err := d.readyOrDrained(ctx, env.Drain); err != nil {
+	if err := d.waitReadyOrDrain(ctx, env.Drain); err != nil {
 		return err
 	}
 	tokenFile, err := writeOperatorToken(folder)
@@ -115,12 +115,12 @@
 	}
 }
 
-// readyOrDrained waits until the deployment serves callers or is told to stop.
-func (d *deployment) readyOrDrained(ctx context.Context, drain <-chan struct{}) error {
+// waitReadyOrDrain waits until the deployment serves callers or drain is closed.
+func (d *deployment) waitReadyOrDrain(ctx context.Context, drain <-chan struct{}) error {
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	ready := make(chan error, 1)
-	go func() { ready <- d.ready(starting) }()
+	go func() { ready <- d.waitReady(starting) }()
 	select {
 	case err := <-ready:
 		return err
@@ -129,7 +129,7 @@
 	}
 }
 
-// writeOperatorToken writes the token that lets lovagectl in and returns the
+// writeOperatorToken writes the token for lovagectl to a file in folder and returns the
 // file's path.
 func writeOperatorToken(folder string) (string, error) {
 	const ownerOnly = 0o600
@@ -137,7 +137,8 @@
 	return file, eris.Wrap(os.WriteFile(file, []byte(operatorToken), ownerOnly), "operator's token")
 }
 
-// dataFolder returns the folder to use and what removes it in the end.
+// dataFolder returns the folder to use and a function to call at the exit, which
+// removes a temporary folder.
 func dataFolder(given string) (string, func() error, error) {
 	if given != "" {
 		return given, func() error { return nil }, eris.Wrap(os.MkdirAll(given, 0o700), "data folder")
--- a/cmd/lovage-dev/print.go
+++ b/cmd/lovage-dev/print.go
@@ -8,8 +8,8 @@
 	"github.com/lovagereach/lovagereach/internal/adapter/callers"
 )
 
-// printAddresses prints where everything listens, three requests of callers and
-// a command of operators that work.
+// printAddresses prints the addresses of all listeners, three example requests for
+// callers and an example command for operators.
 func printAddresses(out io.Writer, d *deployment, tokenFile string) {
 	for i, host := range d.controls.hosts {
 		fmt.Fprintf(out, "control  %-12s peers %s  operators %s\n", host.Name(), host.PeerAddress(), d.controls.operators[i])
--- a/cmd/lovage-dev/ready.go
+++ b/cmd/lovage-dev/ready.go
@@ -10,12 +10,13 @@
 	"github.com/lovagereach/lovagereach/internal/control"
 )
 
-// pollEvery is how often a condition is looked at while starting.
-const pollEvery = 10 * time.Millisecond
+// pollInterval is the interval at which waitUntil checks its condition.
+const pollInterval = 10 * time.Millisecond
 
-// until waits for a condition or the end of ctx.
-func until(ctx context.Context, what string, condition func() bool) error {
-	ticker := time.NewTicker(pollEvery)
+// waitUntil waits until condition holds. It returns an error with what if ctx ends
+// before.
+func waitUntil(ctx context.Context, what string, condition func() bool) error {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !condition() {
 		select {
@@ -27,11 +28,11 @@
 	return nil
 }
 
-// leader waits for the control group's leader and until every control host has
-// a vote.
-func (d *deployment) leader(ctx context.Context) (*control.Server, error) {
+// waitLeader waits until the control group has a leader and every control host is a
+// voter, and returns the leader.
+func (d *deployment) waitLeader(ctx context.Context) (*control.Server, error) {
 	var found *control.Server
-	err := until(ctx, "a leader and all voters of the control group", func() bool {
+	err := waitUntil(ctx, "a leader and all voters of the control group", func() bool {
 		for _, host := range d.controls.hosts {
 			status := host.Server().Status()
 			if status.Leading != nil && len(status.Group.Voters) == len(d.controls.hosts) {
@@ -43,9 +44,9 @@
 	return found, err
 }
 
-// announced waits until every entry offers every stand-in.
-func (d *deployment) announced(ctx context.Context) error {
-	return until(ctx, "announcement of the stand-ins", func() bool {
+// waitAnnounced waits until every entry offers every stand-in.
+func (d *deployment) waitAnnounced(ctx context.Context) error {
+	return waitUntil(ctx, "announcement of the stand-ins", func() bool {
 		for _, host := range d.entries {
 			offered := 0
 			for _, upstream := range host.Entry().Dump().Upstreams {
@@ -61,9 +62,10 @@
 	})
 }
 
-// serving waits until every entry holds a serving lease and a revision.
-func (d *deployment) serving(ctx context.Context, revision config.Revision) error {
-	return until(ctx, "serving leases", func() bool {
+// waitServing waits until every entry holds a serving lease and has at least the given
+// revision.
+func (d *deployment) waitServing(ctx context.Context, revision config.Revision) error {
+	return waitUntil(ctx, "serving leases", func() bool {
 		for _, host := range d.entries {
 			if host.Entry().Ready() != nil || host.Entry().Dump().Revision < uint64(revision) {
 				return false
@@ -73,9 +75,10 @@
 	})
 }
 
-// apply brings the configuration into force unless the data folder has one.
+// apply brings the configuration into force unless the data folder contains one, and
+// returns its revision.
 func (d *deployment) apply(ctx context.Context) (config.Revision, error) {
-	leader, err := d.leader(ctx)
+	leader, err := d.waitLeader(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -91,17 +94,17 @@
 		if err == nil || ctx.Err() != nil {
 			return revision, err
 		}
-		// The leader was replaced before the change was in force. Asking the
-		// next one under the same request id is no second change.
-		if leader, err = d.leader(ctx); err != nil {
+		// The leader was replaced before the change was in force. The request
+		// to the next leader has the same request id, so it is no second change.
+		if leader, err = d.waitLeader(ctx); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// applyFirst sends the first configuration.
+// applyFirst sends the first configuration to the leader and returns its revision.
 func applyFirst(ctx context.Context, leader *control.Server) (config.Revision, error) {
-	doc := document()
+	doc := demoConfig()
 	doc.Normalize()
 	answer, err := leader.Apply(ctx, control.ApplyRequest{RequestID: "lovage-dev-first", Author: "lovage-dev", Document: doc})
 	if err != nil {
@@ -113,14 +116,14 @@
 	return answer.Result.Revision, nil
 }
 
-// ready waits until the deployment serves callers.
-func (d *deployment) ready(ctx context.Context) error {
+// waitReady waits until the deployment serves callers.
+func (d *deployment) waitReady(ctx context.Context) error {
 	revision, err := d.apply(ctx)
 	if err != nil {
 		return err
 	}
-	if err := d.serving(ctx, revision); err != nil {
+	if err := d.waitServing(ctx, revision); err != nil {
 		return err
 	}
-	return d.announced(ctx)
+	return d.waitAnnounced(ctx)
 }
--- a/cmd/lovage-dev/standins.go
+++ b/cmd/lovage-dev/standins.go
@@ -10,20 +10,20 @@
 	"github.com/lovagereach/lovagereach/internal/standin"
 )
 
-// Sizes of the stand-ins: small enough for a laptop, with rates at which a
-// recomputed prompt is a hundred times slower than a fetched one, so that the
-// choice does not hang on how busy the laptop is.
+// Sizes of the stand-ins. They are small enough for a laptop. At these rates
+// recomputing a prompt takes a hundred times as long as fetching it, so that the
+// choice between the two does not depend on the load of the laptop.
 const (
 	engineCount = 3
 	storeCount  = 2
 	engineSlots = 4
-	cacheBlocks = 64 // room of one engine's cache
+	cacheBlocks = 64 // capacity of one engine's cache
 	blockBytes  = 64 << 10
 	prefillRate = 10_000   // tokens a second
 	linkRate    = 64 << 20 // bytes a second
 )
 
-// standins are the fakes of the deployment.
+// standins holds the stand-ins of the deployment.
 type standins struct {
 	engines  []*standin.Engine
 	stores   []*standin.Store
@@ -33,8 +33,8 @@
 	listener []net.Listener
 }
 
-// newStandins makes the fakes, which announce themselves to the given address
-// and to those that its answers name.
+// newStandins creates the stand-ins, which announce themselves to the given address
+// and to the addresses in its answers.
 func newStandins(announceTo string) (*standins, error) {
 	announce := standin.AnnounceOptions{
 		Entries:     []string{announceTo},
@@ -46,7 +46,7 @@
 	for i := range engineCount {
 		engine := standin.NewEngine(standin.EngineOptions{
 			Upstream:       ident.Upstream(fmt.Sprintf("runner-%d", i+1)),
-			DataCentre:     centres[i%len(centres)],
+			DataCentre:     dataCentres[i%len(dataCentres)],
 			Models:         []port.LoadedVersion{{Model: modelName, Version: modelVersion}},
 			Announce:       announce,
 			Slots:          engineSlots,
@@ -63,7 +63,7 @@
 	for i := range storeCount {
 		store := standin.NewStore(standin.StoreOptions{
 			Upstream:   ident.Upstream(fmt.Sprintf("store-%d", i+1)),
-			DataCentre: centres[i%len(centres)],
+			DataCentre: dataCentres[i%len(dataCentres)],
 			Announce:   announce,
 			LinkRate:   linkRate,
 		})
@@ -72,7 +72,7 @@
 	}
 	s.service = standin.NewService(standin.ServiceOptions{
 		Upstream:   "clock-app-1",
-		DataCentre: centres[0],
+		DataCentre: dataCentres[0],
 		Service:    serviceName,
 		Announce:   announce,
 	})
