--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -9,9 +9,9 @@
 
 var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
-// keysBeside lists the keys that may stand where the dotted key stands, in the
-// order in which they are declared.
-func keysBeside(into any, key string) []string {
+// siblingKeys returns the keys that are valid at the place of the dotted key, in the
+// order of their declaration.
+func siblingKeys(into any, key string) []string {
 	path := strings.Split(indexPattern.ReplaceAllString(key, ""), ".")
 	fields := fieldsOf(reflect.TypeOf(into))
 	for _, name := range path[:len(path)-1] {
@@ -28,7 +28,7 @@
 	return keys
 }
 
-// structOf looks through pointers, lists and maps.
+// structOf returns the element type behind pointers, slices and maps.
 func structOf(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
@@ -36,13 +36,14 @@
 	return t
 }
 
-// field is a key of a settings struct.
+// field is a key of a settings struct and the type of its value.
 type field struct {
 	key  string
 	kind reflect.Type
 }
 
-// fieldsOf lists the keys of a struct, also of one behind pointers and lists.
+// fieldsOf returns the fields of the struct that is t or lies behind its pointers,
+// slices and maps, and nil if there is none.
 func fieldsOf(t reflect.Type) []field {
 	t = structOf(t)
 	if t.Kind() != reflect.Struct {
@@ -61,8 +62,8 @@
 	return fields
 }
 
-// wordFor names a kind of value as a settings file has it.
-func wordFor(t reflect.Type) string {
+// typeName describes the values of type t in a settings file.
+func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
 		return "true or false"
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -15,21 +15,21 @@
 // MaxFileBytes bounds a settings file.
 const MaxFileBytes = 4 << 20
 
-// Checker is implemented by settings that check their values once decoded.
+// Checker is implemented by settings that check their values after decoding.
 type Checker interface {
 	Check(r *Report)
 }
 
-// Document is a decoded file, kept so that later checks can name lines.
+// Document is a decoded file with its syntax tree, from which later checks determine
+// the lines of problems.
 type Document struct {
-	// File names the document in problems.
+	// File is the document's name in problems.
 	File string
 	tree *ast.File
 }
 
-// Load reads the file at path into the pointer into and checks it. The error,
-// if any, is of type Problems. Values present in into beforehand are the
-// defaults.
+// Load decodes the file at path into the pointer into and checks the result. The
+// error, if any, is of type Problems. Existing values in into are the defaults.
 func Load(path string, into any) error {
 	document, err := Decode(path, into)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return Problems{{File: path, Reason: "can't be read: " + err.Error(), Accepted: "the path of a readable YAML file"}}
 }
 
-// Parse is Load for data already read; file names it in problems.
+// Parse is Load for data that is already in memory; file is its name in problems.
 func Parse(file string, data []byte, into any) error {
 	document, err := decode(file, data, into)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return true
 }
 
-// fromLibrary turns an error of the YAML library into a Problem.
+// fromLibrary converts an error of the YAML library into a Problem.
 func fromLibrary(file string, tree *ast.File, into any, err error) *Problem {
 	var own *Problem
 	if errors.As(err, &own) {
@@ -117,7 +117,7 @@
 		Key:    keyAt(tree, located.GetToken()),
 		Reason: located.GetMessage(),
 	}
-	describe(problem, into, err)
+	describeTypedError(problem, into, err)
 	return problem
 }
 
@@ -126,24 +126,24 @@
 	return line
 }
 
-// describe words reason and accepted values of the library's typed errors for
-// someone who has not seen the Go types.
-func describe(problem *Problem, into any, err error) {
+// describeTypedError sets reason and accepted values for the library's typed errors, in
+// terms of the settings file instead of the Go types.
+func describeTypedError(problem *Problem, into any, err error) {
 	var unknown *yaml.UnknownFieldError
 	var mismatch *yaml.TypeError
 	var overflow *yaml.OverflowError
 	switch {
 	case errors.As(err, &unknown):
-		problem.Accepted = "one of " + strings.Join(keysBeside(into, problem.Key), ", ")
+		problem.Accepted = "one of " + strings.Join(siblingKeys(into, problem.Key), ", ")
 	case errors.As(err, &mismatch):
 		problem.Reason = "is of the wrong type"
-		problem.Accepted = wordFor(mismatch.DstType)
+		problem.Accepted = typeName(mismatch.DstType)
 	case errors.As(err, &overflow):
 		problem.Accepted = "a smaller number"
 	}
 }
 
-// tokenFinder finds the deepest node that starts at a position.
+// tokenFinder finds the key of the deepest node that starts at an offset.
 type tokenFinder struct {
 	offset int
 	key    string
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -8,12 +8,12 @@
 // Problem is one fault in a settings file.
 type Problem struct {
 	File string
-	// Line counts from one; zero means that the key is absent.
+	// Line is the line number from one, or zero if the key is absent.
 	Line int
-	// Key is the dotted path of the setting.
+	// Key is the path of the setting, separated by dots.
 	Key    string
 	Reason string
-	// Accepted describes a value that would pass.
+	// Accepted describes the valid values.
 	Accepted string
 }
 
@@ -34,7 +34,7 @@
 	return b.String()
 }
 
-// Problems is every fault found in one file.
+// Problems are all faults found in one file.
 type Problems []*Problem
 
 // Error implements error with one line for each problem.
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -39,7 +39,7 @@
 	r.Require(value > 0, key, fmt.Sprintf("%d is not above zero", value), "a value above zero")
 }
 
-// NotEmpty requires a text.
+// NotEmpty requires a text that isn't empty.
 func (r *Report) NotEmpty(key, value, accepted string) {
 	r.Require(value != "", key, "is missing", accepted)
 }
@@ -54,8 +54,8 @@
 	r.Require(value >= 0, key, "is negative", "a value of zero or above")
 }
 
-// Secret requires a file that ReadSecret takes, so that a check before a start
-// finds what would stop it.
+// Secret requires a file that ReadSecret accepts, so that a check without a start finds
+// a faulty secret file.
 func (r *Report) Secret(key, path string, least int) {
 	accepted := fmt.Sprintf("a file with a secret of at least %d bytes", least)
 	if path == "" {
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -7,8 +7,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// ReadSecret reads the file that a setting names and returns its contents
-// without surrounding white space. Fewer than least bytes are an error.
+// ReadSecret reads the file given for a setting and returns its contents without
+// surrounding white space. It returns an error for fewer than least bytes.
 func ReadSecret(setting, file string, least int) ([]byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestParse(t *testing.T) {
-	const whole = "listen:\n  callers: 127.0.0.1:0\nlimits:\n  body: 64KiB\n  idle: 1.5s\n  open: 3\n"
+	const text = "listen:\n  callers: 127.0.0.1:0\nlimits:\n  body: 64KiB\n  idle: 1.5s\n  open: 3\n"
 	var got sample
-	if err := Parse("a.yaml", []byte(whole), &got); err != nil {
+	if err := Parse("a.yaml", []byte(text), &got); err != nil {
 		t.Fatal(err)
 	}
 	if got.Limits.Body != 64<<10 || got.Limits.Idle.Std() != 1500*time.Millisecond {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestProblemsNameFileLineKeyReasonAndAccepted(t *testing.T) {
+func TestProblemFields(t *testing.T) {
 	cases := []struct {
 		name, text string
 		line       int
@@ -70,7 +70,7 @@
 				t.Errorf("problem %q lacks %q", first, c.want)
 			}
 			if c.key != "" && first.Accepted == "" {
-				t.Error("problem doesn't say what would be accepted")
+				t.Error("problem has no accepted values")
 			}
 		})
 	}
@@ -88,9 +88,9 @@
 	})
 }
 
-// A key file is missing, or was cut short or left empty by whoever wrote it. The
-// process is refused with the setting's name instead of starting with a secret
-// that is easy to guess.
+// A key file is missing, truncated or empty. The process must refuse to start with an
+// error that names the setting, instead of running with a secret that is easy to
+// guess.
 func TestReadSecret(t *testing.T) {
 	const least = 8
 	cases := []struct {
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Duration is a length of time that states its unit, such as "1.5s".
+// Duration is a duration that is written with its unit, such as "1.5s".
 type Duration time.Duration
 
 // Std returns d as a time.Duration.
@@ -39,7 +39,7 @@
 	return Scalar(node, d.Set, acceptedDuration)
 }
 
-// Bytes is a size that states its unit, such as "64KiB".
+// Bytes is a size in bytes that is written with its unit, such as "64KiB".
 type Bytes int64
 
 var byteUnits = []struct {
@@ -95,8 +95,8 @@
 	return Scalar(node, b.Set, acceptedBytes)
 }
 
-// Address is an IP number and a port. Names are refused: the hosts the system
-// runs on have no resolver that it may rely on.
+// Address is an IP number and a port. Names are refused, since the system can't rely on
+// a resolver at the hosts on which it runs.
 type Address struct{ netip.AddrPort }
 
 // Set implements flag.Value.
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// String formats a, and gives an empty string for the zero Address.
+// String formats a; the zero Address is the empty string.
 func (a Address) String() string {
 	if !a.IsValid() {
 		return ""
@@ -127,8 +127,8 @@
 	return Scalar(node, a.Set, acceptedAddress)
 }
 
-// Scalar gives a scalar node's text to set and turns its error into a
-// Problem at the node's place. UnmarshalYAML methods of settings are made of it.
+// Scalar passes a scalar node's text to set and converts its error into a Problem at
+// the node's line. It implements UnmarshalYAML methods of settings types.
 func Scalar(node ast.Node, set func(string) error, accepted string) error {
 	token := node.GetToken()
 	if _, isScalar := node.(ast.ScalarNode); !isScalar {
@@ -149,7 +149,7 @@
 	}
 }
 
-// keyOf turns the library's "$.a.b" into "a.b".
+// keyOf returns the node's dotted key: the library's path "$.a.b" as "a.b".
 func keyOf(node ast.Node) string {
 	return strings.TrimPrefix(strings.TrimPrefix(node.GetPath(), "$"), ".")
 }
