--- a/cmd/lovagectl/explain.go
+++ b/cmd/lovagectl/explain.go
@@ -26,15 +26,15 @@
 			if request == "" || len(args) == 0 {
 				return usageError("explain needs -request and the logs of one or more processes")
 			}
-			story := explain.NewStory(request)
-			for _, read := range []func(string, io.Reader) error{story.Find, story.Relate} {
+			timeline := explain.NewTimeline(request)
+			for _, read := range []func(string, io.Reader) error{timeline.ReadRequest, timeline.ReadRelated} {
 				for _, path := range args {
 					if err := readLog(path, read); err != nil {
 						return err
 					}
 				}
 			}
-			return story.Write(tool.streams.out)
+			return timeline.Write(tool.streams.out)
 		},
 	}
 }
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -7,28 +7,31 @@
 )
 
 const (
-	// slowPace is the pace from which a fetch counts as the cause of a late
-	// answer, and longUnread the unread tokens that count as such.
-	slowPace   = 2.0
-	longUnread = 8000
-	// longWait is the wait for room in milliseconds that does.
-	longWait = 100
-	// longRead are the tokens whose reading takes a quarter of a second.
-	longRead = 30000
+	// minSlowdown is the least ratio of actual to predicted transfer time, and
+	// minPendingTokens the least number of tokens pending prefill at the upstream,
+	// that count as the cause of a late answer.
+	minSlowdown      = 2.0
+	minPendingTokens = 8000
+	// minWaitMs is the shortest wait for capacity in milliseconds that counts as
+	// the cause.
+	minWaitMs = 100
+	// minPrefillTokens is the least number of the request's own tokens to prefill
+	// that counts as the cause; their prefill takes a quarter of a second.
+	minPrefillTokens = 30000
 )
 
-// reason is why a request ended as it did: a few words that are the same for all
-// of its kind, and a sentence on this one.
-type reason struct{ short, tells string }
+// reason is why a request had its outcome: a label that is equal for all requests of
+// that kind, and a sentence about the single request.
+type reason struct{ label, sentence string }
 
-// Cause tells in a sentence why the request ended as it did.
-func (s *Story) Cause() string {
+// Cause returns a sentence about why the request had its outcome.
+func (s *Timeline) Cause() string {
 	last := s.Steps[len(s.Steps)-1].Line
 	if last.Fields["cause"] != "" {
-		return reasonOf(last).tells
+		return reasonOf(last).sentence
 	}
-	if slow := delayOf(last); slow.tells != "" {
-		return slow.tells
+	if slow := delayOf(last); slow.sentence != "" {
+		return slow.sentence
 	}
 	switch {
 	case strings.HasPrefix(last.Fields["status"], "5"):
@@ -39,11 +42,11 @@
 	return "it was answered in time"
 }
 
-// reasonOf tells why a request has no whole answer, from its last line.
+// reasonOf returns why a request has no complete answer, from its last log line.
 func reasonOf(last Line) reason {
 	cause, upstream := last.Fields["cause"], last.Fields["upstream"]
 	for _, known := range []struct {
-		has string
+		substring string
 		reason
 	}{
 		{"(no-route)", reason{"no route", "no route led from its host and path in configuration " + last.Fields["config"]}},
@@ -58,11 +61,11 @@
 		{"(connection-lost)", reason{"the upstream broke off", fmt.Sprintf("upstream %s ended the connection; it may have run", upstream)}},
 		{"(bad-answer)", reason{"bad answer", fmt.Sprintf("upstream %s sent what is not its answer, or broke off; it may have run", upstream)}},
 	} {
-		if strings.Contains(cause, known.has) {
+		if strings.Contains(cause, known.substring) {
 			return known.reason
 		}
 	}
-	if slow := delayOf(last); slow.tells != "" {
+	if slow := delayOf(last); slow.sentence != "" {
 		return slow
 	}
 	if strings.Contains(cause, "(caller-gone)") {
@@ -71,27 +74,28 @@
 	return reason{"no answer in the time left", fmt.Sprintf("upstream %s did not answer within the time left; it may have run", upstream)}
 }
 
-// delayOf tells what an answer waited for, when the choice knew it.
+// delayOf returns what delayed an answer, or the zero reason if the answer was in
+// time or the values logged with the routing decision don't explain the delay.
 func delayOf(line Line) reason {
 	late := line.Fields["cause"] != "" || number(line, "first_ms") > number(line, "target_ms")
 	switch {
 	case !late || line.Fields["target_ms"] == "":
 		return reason{}
-	case number(line, "pace") >= slowPace:
+	case number(line, "pace") >= minSlowdown:
 		return reason{"behind a slow fetch", fmt.Sprintf("it waited for a fetch from %s, whose transfers took %s times as long as usual", line.Fields["sources"], line.Fields["pace"])}
-	case number(line, "waited_ms") >= longWait:
+	case number(line, "waited_ms") >= minWaitMs:
 		return reason{"waited for room", fmt.Sprintf("it waited %s ms for an upstream with room", line.Fields["waited_ms"])}
-	case number(line, "unread") >= longUnread:
+	case number(line, "unread") >= minPendingTokens:
 		return reason{"behind unread tokens", fmt.Sprintf("it stood behind %s tokens that upstream %s had still to read", line.Fields["unread"], line.Fields["upstream"])}
-	case number(line, "reads") >= longRead:
+	case number(line, "reads") >= minPrefillTokens:
 		return reason{"much to read", fmt.Sprintf("upstream %s had %s tokens of it to read", line.Fields["upstream"], line.Fields["reads"])}
 	}
 	return reason{}
 }
 
 func number(line Line, field string) float64 {
-	// A field that is absent or no number counts as zero: it then explains
-	// nothing.
+	// A field that is missing or not a number counts as zero, which is below all
+	// thresholds.
 	n, _ := strconv.ParseFloat(line.Fields[field], 64)
 	return n
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,10 +1,10 @@
-// Package explain finds what became of a request in the logs of several
-// processes, and the beliefs that it was decided by.
+// Package explain finds the outcome of a request in the logs of several processes,
+// together with the state that the entry had when it decided about the request.
 //
-// Lines are ordered by what they name, never by their clocks, which may have
-// jumped: a request's own lines stand in the order of the entry that wrote them;
-// before each come the beliefs that this entry held then; what control hosts
-// wrote of the same upstreams follows, by process. Logs are read as streams.
+// Lines are never ordered by their timestamps, since clocks may have stepped. The
+// request's own lines have the order of the log of the entry that wrote them. Each is
+// preceded by the state changes that were current at that entry. Lines of control
+// hosts about the same upstreams follow, by process. Logs are read as streams.
 package explain
 
 import (
@@ -21,9 +21,10 @@
 )
 
 const (
-	// maxLine bounds one line; longer ones are cut by their writer.
+	// maxLine bounds the length of a line in bytes; the writer of a log truncates
+	// longer lines.
 	maxLine = 1 << 20
-	// maxRelated bounds the lines of other processes that are kept.
+	// maxRelated bounds the number of lines kept from other processes.
 	maxRelated = 40
 )
 
@@ -35,8 +36,8 @@
 	Text    string
 }
 
-// parse reads a line; ok is false for text that is none. Whatever stands before
-// the time, as the name of the process in a collected log, is its process.
+// parse parses a line; ok is false if text is not a log line. If text precedes the
+// time, as in a collected log, its last field is the name of the process.
 func parse(process, text string) (line Line, ok bool) {
 	at := strings.Index(text, "time=")
 	if at < 0 {
@@ -59,32 +60,33 @@
 	return line, line.Message != ""
 }
 
-// about are the fields by which a belief concerns a request's choice.
-var about = []string{"upstream", "store"}
+// stateFields are the log fields that identify the upstream or store of a state change.
+var stateFields = []string{"upstream", "store"}
 
-// beliefs are the messages that tell what a process believes.
-var beliefs = []string{"configuration in force", "leader followed", "leader lost", "store pace", "upstream trust", "started", "leaving"}
+// stateMessages are the log messages that report a change in a process's local view.
+var stateMessages = []string{"configuration in force", "leader followed", "leader lost", "store pace", "upstream trust", "started", "leaving"}
 
-// Step is one line of the request with the beliefs of its process before it.
+// Step is one log line of the request with the state changes that were current in its
+// process at that line.
 type Step struct {
-	Line    Line
-	Beliefs []Line
+	Line         Line
+	StateChanges []Line
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Timeline is what the logs contain about one request.
+type Timeline struct {
 	Request string
 	Steps   []Step
-	// Related are lines of other processes on the same upstreams and stores.
+	// Related are lines of other processes about the same upstreams and stores.
 	Related []Line
-	// LeftOut is how many lines the entries say they left out.
+	// LeftOut is the number of lines that the entries report to have left out.
 	LeftOut uint64
 	names   map[string]bool
 }
 
-// NewStory returns an empty story of a request.
-func NewStory(request string) *Story {
-	return &Story{Request: request, names: make(map[string]bool)}
+// NewTimeline returns an empty timeline of a request.
+func NewTimeline(request string) *Timeline {
+	return &Timeline{Request: request, names: make(map[string]bool)}
 }
 
 func scan(process string, r io.Reader, each func(Line)) error {
@@ -98,49 +100,49 @@
 	return eris.Wrap(scanner.Err(), process)
 }
 
-// Find takes in the request's own lines from one log.
-func (s *Story) Find(process string, r io.Reader) error {
+// ReadRequest adds the request's own lines from one log.
+func (s *Timeline) ReadRequest(process string, r io.Reader) error {
 	latest := make(map[string]Line)
 	return scan(process, r, func(line Line) {
 		if skipped, err := strconv.ParseUint(line.Fields["left_out"], 10, 64); err == nil {
 			s.LeftOut += skipped
 		}
 		if line.Fields["request"] == s.Request {
-			s.take(line, latest)
+			s.addStep(line, latest)
 			return
 		}
-		if slices.Contains(beliefs, line.Message) {
+		if slices.Contains(stateMessages, line.Message) {
 			latest[line.Process+"\x00"+line.Message+"\x00"+line.Fields["upstream"]+line.Fields["store"]] = line
 		}
 	})
 }
 
-func (s *Story) take(line Line, latest map[string]Line) {
+func (s *Timeline) addStep(line Line, latest map[string]Line) {
 	step := Step{Line: line}
 	s.names[line.Fields["upstream"]] = true
 	for _, source := range strings.Split(line.Fields["sources"], ",") {
 		s.names[source] = true
 	}
 	delete(s.names, "")
-	for _, belief := range latest {
-		if belief.Process != line.Process {
+	for _, change := range latest {
+		if change.Process != line.Process {
 			continue
 		}
-		if s.concerns(belief) || (belief.Fields["upstream"] == "" && belief.Fields["store"] == "") {
-			step.Beliefs = append(step.Beliefs, belief)
+		if s.concerns(change) || (change.Fields["upstream"] == "" && change.Fields["store"] == "") {
+			step.StateChanges = append(step.StateChanges, change)
 		}
 	}
-	slices.SortFunc(step.Beliefs, func(a, b Line) int { return strings.Compare(a.Message+a.Text, b.Message+b.Text) })
+	slices.SortFunc(step.StateChanges, func(a, b Line) int { return strings.Compare(a.Message+a.Text, b.Message+b.Text) })
 	s.Steps = append(s.Steps, step)
 }
 
-func (s *Story) concerns(line Line) bool {
-	return slices.ContainsFunc(about, func(field string) bool { return s.names[line.Fields[field]] })
+func (s *Timeline) concerns(line Line) bool {
+	return slices.ContainsFunc(stateFields, func(field string) bool { return s.names[line.Fields[field]] })
 }
 
-// Relate takes in what other processes wrote of the request's upstreams and
-// stores. It is called after Find has seen all logs.
-func (s *Story) Relate(process string, r io.Reader) error {
+// ReadRelated adds the lines of other processes about the request's upstreams and
+// stores from one log. It is called after ReadRequest has read all logs.
+func (s *Timeline) ReadRelated(process string, r io.Reader) error {
 	return scan(process, r, func(line Line) {
 		if line.Fields["request"] != "" || !s.concerns(line) || slices.ContainsFunc(s.Steps, func(step Step) bool { return step.Line.Process == line.Process }) {
 			return
@@ -152,8 +154,8 @@
 	})
 }
 
-// Write prints the story.
-func (s *Story) Write(w io.Writer) error {
+// Write prints the timeline and the cause.
+func (s *Timeline) Write(w io.Writer) error {
 	var out bytes.Buffer
 	if len(s.Steps) == 0 {
 		fmt.Fprintf(&out, "no line names request %s", s.Request)
@@ -164,8 +166,8 @@
 	}
 	for i, step := range s.Steps {
 		fmt.Fprintf(&out, "%d. at %s\n   %s\n", i+1, step.Line.Process, step.Line.Text)
-		for _, belief := range step.Beliefs {
-			fmt.Fprintf(&out, "   believed: %s\n", belief.Text)
+		for _, change := range step.StateChanges {
+			fmt.Fprintf(&out, "   believed: %s\n", change.Text)
 		}
 	}
 	for _, line := range s.Related {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -20,16 +20,16 @@
 time=9 level=info msg="upstream given up" upstream=i-1 address=10.0.0.1:1
 `
 
-func story(t *testing.T, request string) (*Story, string) {
+func readTimeline(t *testing.T, request string) (*Timeline, string) {
 	t.Helper()
-	s := NewStory(request)
+	s := NewTimeline(request)
 	for process, text := range map[string]string{"entry-1": entryLog, "control-1": controlLog} {
-		if err := s.Find(process, strings.NewReader(text)); err != nil {
+		if err := s.ReadRequest(process, strings.NewReader(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for process, text := range map[string]string{"entry-1": entryLog, "control-1": controlLog} {
-		if err := s.Relate(process, strings.NewReader(text)); err != nil {
+		if err := s.ReadRelated(process, strings.NewReader(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -40,10 +40,10 @@
 	return s, out.String()
 }
 
-// The clock of the entry has stepped back between two lines; their order in its
-// log counts. Beliefs are those held before the line, not later ones.
-func TestStoryFollowsTheEntrysOrder(t *testing.T) {
-	s, text := story(t, "r1")
+// The entry's clock has stepped back between two lines. The timeline must keep their
+// order in the log, and contain only the state changes logged before each line.
+func TestTimelineKeepsLogOrder(t *testing.T) {
+	s, text := readTimeline(t, "r1")
 	if len(s.Steps) != 2 || s.Steps[0].Line.Message != "request sent again" {
 		t.Fatalf("steps %+v", s.Steps)
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-func TestUnknownRequestTellsOfTheSample(t *testing.T) {
-	if _, text := story(t, "r9"); !strings.Contains(text, "no line names request r9") || !strings.Contains(text, "4 lines were left out") {
+func TestUnknownRequestReportsLinesLeftOut(t *testing.T) {
+	if _, text := readTimeline(t, "r9"); !strings.Contains(text, "no line names request r9") || !strings.Contains(text, "4 lines were left out") {
 		t.Fatal(text)
 	}
 }
@@ -86,7 +86,7 @@
 		if !ok {
 			t.Fatalf("no line: %s", c.line)
 		}
-		s := NewStory("r")
+		s := NewTimeline("r")
 		s.Steps = []Step{{Line: line}}
 		got := s.Cause()
 		if want := strings.Replace(c.want, "later than was predicted", "began late by more than was predicted", 1); !strings.Contains(got, want) {
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestCollectedLogsNameTheirProcess(t *testing.T) {
+func TestParseProcessOfCollectedLog(t *testing.T) {
 	line, ok := parse("all", "  17.4866 frontend-1 time=2026 level=info msg=request request=r")
 	if !ok || line.Process != "frontend-1" {
 		t.Fatalf("%+v", line)
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -15,41 +15,42 @@
 	"github.com/rotisserie/eris"
 )
 
-// Loss is in what way a request was not served as it should be.
+// Loss is the way in which a request was not served as required.
 type Loss string
 
 const (
-	// NotServed requests have no whole answer from an upstream that ran well.
+	// NotServed requests have no complete answer, or a status of 500 or above from
+	// the upstream.
 	NotServed Loss = "not served"
-	// Late answers began after their route's target.
+	// Late answers started after their route's target.
 	Late Loss = "late"
 )
 
 const (
-	// maxLossRows bounds the kinds of losses that are counted one by one.
+	// maxLossRows bounds the number of kinds of losses with a row of their own.
 	maxLossRows = 4096
-	// lossSpan is how long one moment of the table lasts.
-	lossSpan = 2 * time.Second
-	// noRoute stands for requests that ended before they were routed.
+	// momentSpan is the duration of one moment of the table.
+	momentSpan = 2 * time.Second
+	// noRoute is the route of requests that ended before they were routed.
 	noRoute = "-"
 )
 
-// lossKey names one row of the table.
+// lossKey identifies one row of the table.
 type lossKey struct {
 	route  string
 	loss   Loss
 	reason string
 }
 
-// lossRow counts one kind of loss, by moment.
+// lossRow counts one kind of loss, in total and by moment.
 type lossRow struct {
 	count int
 	at    map[int64]int
 }
 
-// Losses counts which requests were lost or late, at which moments and for what
-// reason, from the logs of any number of entries. What a log left out within its
-// budget has a row of its own, so that the rows add up to the whole.
+// Losses counts the requests that were lost or late by route, reason and moment, from
+// the logs of any number of entries. Lines that a log left out to stay within its
+// budget have a row of their own, so that the rows add up to the total.
 type Losses struct {
 	rows     map[lossKey]*lossRow
 	requests int
@@ -58,12 +59,12 @@
 // NewLosses returns an empty table.
 func NewLosses() *Losses { return &Losses{rows: make(map[lossKey]*lossRow)} }
 
-// Read takes in one log.
+// Read adds the requests of one log.
 func (l *Losses) Read(process string, r io.Reader) error {
-	return scan(process, r, l.take)
+	return scan(process, r, l.addLine)
 }
 
-func (l *Losses) take(line Line) {
+func (l *Losses) addLine(line Line) {
 	if line.Message != "request" {
 		return
 	}
@@ -72,12 +73,13 @@
 	route := cmp.Or(line.Fields["route"], noRoute)
 	at := int64(0)
 	if t, err := time.Parse(time.RFC3339Nano, line.Fields["time"]); err == nil {
-		at = t.UnixNano() / int64(lossSpan)
+		at = t.UnixNano() / int64(momentSpan)
 	}
 	if loss != "" {
 		l.count(lossKey{route, loss, reason}, at, 1)
 	}
-	// The count that a line carries is of its own class, whatever the route.
+	// The lines counted in left_out have the same class as this line, but may
+	// have any route.
 	if skipped, err := strconv.Atoi(line.Fields["left_out"]); err == nil && skipped > 0 {
 		l.requests += skipped
 		if loss != "" {
@@ -101,21 +103,22 @@
 	row.at[at] += n
 }
 
-// lossOf tells in what way a request was lost, empty if in none, and why.
+// lossOf returns the way in which a request was lost, empty if it wasn't, and the
+// reason.
 func lossOf(line Line) (Loss, string) {
 	switch {
 	case line.Fields["cause"] != "" && line.Fields["cause"] != "null":
-		return NotServed, reasonOf(line).short
+		return NotServed, reasonOf(line).label
 	case strings.HasPrefix(line.Fields["status"], "5"):
 		return NotServed, "the upstream ran it and failed"
 	case number(line, "first_ms") > number(line, "target_ms") && number(line, "target_ms") > 0:
-		return Late, cmp.Or(delayOf(line).short, "began later than predicted")
+		return Late, cmp.Or(delayOf(line).label, "began later than predicted")
 	}
 	return "", ""
 }
 
-// Write prints the table, the largest losses first. The worst moment of a row is
-// told in seconds from the first moment of all.
+// Write prints the table, the largest losses first. The worst moment of a row is given
+// as the time since the first moment of all rows.
 func (l *Losses) Write(w io.Writer) error {
 	var out bytes.Buffer
 	table := tabwriter.NewWriter(&out, 0, 0, 2, ' ', 0)
@@ -128,9 +131,9 @@
 	for _, key := range keys {
 		row := l.rows[key]
 		totals[key.loss] += row.count
-		at, most := row.worst()
+		at, most := row.worstMoment()
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.1f\t%d in %v from %v on\n", key.route, key.loss, key.reason, row.count,
-			l.perThousand(row.count), most, lossSpan, time.Duration(at-first)*lossSpan)
+			l.perThousand(row.count), most, momentSpan, time.Duration(at-first)*momentSpan)
 	}
 	for _, loss := range []Loss{NotServed, Late} {
 		fmt.Fprintf(table, "all\t%s\t\t%d\t%.1f\tof %d requests\n", loss, totals[loss], l.perThousand(totals[loss]), l.requests)
@@ -158,7 +161,7 @@
 	return first
 }
 
-func (r *lossRow) worst() (at int64, count int) {
+func (r *lossRow) worstMoment() (at int64, count int) {
 	for _, moment := range slices.Sorted(maps.Keys(r.at)) {
 		if r.at[moment] > count {
 			at, count = moment, r.at[moment]
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// An operator asks where requests were lost in a minute of trouble. The log holds
-// refusals, a failure that the upstream answered, a late answer and sound ones, and
-// says that it left out three failures and five successes. The table has to name
-// each kind once with its moment, and its rows have to add up to the whole.
+// The log contains refusals, a failure that the upstream answered, a late answer and
+// answers in time, and reports that it left out three failures and five successes.
+// The table must have one row for each kind with its moment, and the rows must add up
+// to the totals.
 func TestLossesAddUp(t *testing.T) {
 	const at = "time=2026-05-29T20:28:0"
 	lines := []string{
@@ -45,8 +45,7 @@
 	}
 }
 
-// A log of a long time with a route of its own for each request must not fill the
-// memory.
+// A long log in which each request has a different route must not exhaust the memory.
 func TestLossRowsAreBounded(t *testing.T) {
 	l := NewLosses()
 	for i := range 2 * maxLossRows {
