--- a/internal/configdoc/bench_test.go
+++ b/internal/configdoc/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// teamsText returns a document with a number of teams as YAML.
+// teamsText returns a YAML document with the given number of teams.
 func teamsText(tb testing.TB, teams int) []byte {
 	tb.Helper()
 	doc := config.Document{Classes: []config.Class{{
@@ -50,11 +50,10 @@
 	}
 }
 
-// An operator's document of thousands of teams must not keep a control host
-// busy for minutes. The cost of a team is bounded by what it allocates, which
-// grew with the length of the document when the library formatted all of it
-// for each value.
-func TestParseCostOfATeamDoesNotGrow(t *testing.T) {
+// Parsing a document of thousands of teams must not occupy a control host for minutes.
+// If the YAML library formats the entire document for each value, the bytes allocated
+// for one team grow with the length of the document; the test bounds that growth.
+func TestParseCostPerTeamIsBounded(t *testing.T) {
 	const few, many, maxRatio = 200, 2000, 2.0
 	perTeam := func(teams int) float64 {
 		text := teamsText(t, teams)
--- a/internal/configdoc/configdoc.go
+++ b/internal/configdoc/configdoc.go
@@ -13,15 +13,15 @@
 )
 
 // Parse decodes a YAML document strictly, fills in defaults and checks it.
-// file names the document in errors. The error is a settings.Problems when the
-// text is at fault and a config.Problems when the configuration is.
+// file is the document's name in errors. The error is a settings.Problems for faults in
+// the text and a config.Problems for faults in the configuration.
 func Parse(file string, data []byte) (config.Document, error) {
 	var doc config.Document
 	if err := settings.Parse(file, data, &doc); err != nil {
 		if located := scalarProblems(file, data); len(located) > 0 {
 			return config.Document{}, located
 		}
-		return config.Document{}, explain(err)
+		return config.Document{}, explainRefusedKeys(err)
 	}
 	doc.Normalize()
 	if err := doc.Validate(); err != nil {
@@ -39,35 +39,37 @@
 	return data, nil
 }
 
-// refused maps keys that have no place in a document to what to write instead.
-var refused = map[string]string{}
+// refusedKeys maps keys that operators may expect, but that a document can't contain,
+// to a description of what to write instead.
+var refusedKeys = map[string]string{}
 
 const (
-	insteadOfWeights   = "targets only: first_token and deadline of a class, share.floor and share.ceiling of a team"
-	insteadOfAddresses = "no host or address: upstreams announce themselves, and a process learns its own address from its settings"
+	acceptedForWeights   = "targets only: first_token and deadline of a class, share.floor and share.ceiling of a team"
+	acceptedForAddresses = "no host or address: upstreams announce themselves, and a process learns its own address from its settings"
 )
 
 func init() {
 	for _, key := range []string{"weight", "weights", "priority", "priorities", "queue", "replicas"} {
-		refused[key] = insteadOfWeights
+		refusedKeys[key] = acceptedForWeights
 	}
 	for _, key := range []string{
 		"host", "hosts", "hostname", "address", "addresses", "addr", "ip", "ips", "port", "ports",
 		"url", "urls", "endpoint", "endpoints", "upstream", "upstreams", "server", "servers", "runner", "runners",
 	} {
-		refused[key] = insteadOfAddresses
+		refusedKeys[key] = acceptedForAddresses
 	}
 }
 
-// explain replaces the reason of an unknown key that operators might expect.
-func explain(err error) error {
+// explainRefusedKeys replaces the reason and the accepted values of problems whose
+// unknown key is in refusedKeys.
+func explainRefusedKeys(err error) error {
 	var problems settings.Problems
 	if !errors.As(err, &problems) {
 		return err
 	}
 	for _, problem := range problems {
 		key := problem.Key[strings.LastIndexByte(problem.Key, '.')+1:]
-		if accepted, found := refused[key]; found {
+		if accepted, found := refusedKeys[key]; found {
 			problem.Reason = "operators don't set " + key
 			problem.Accepted = accepted
 		}
--- a/internal/configdoc/configdoc_test.go
+++ b/internal/configdoc/configdoc_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const whole = `
+const validDocument = `
 ledger_shards: 4
 classes:
   - name: clock-questions
@@ -36,7 +36,7 @@
 `
 
 func TestParseAndFormatAgree(t *testing.T) {
-	doc, err := Parse("c.yaml", []byte(whole))
+	doc, err := Parse("c.yaml", []byte(validDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(whole, c.old, c.new, 1)
-			if text == whole {
+			text := strings.Replace(validDocument, c.old, c.new, 1)
+			if text == validDocument {
 				t.Fatalf("%q is not in the document", c.old)
 			}
 			_, err := Parse("c.yaml", []byte(text))
--- a/internal/configdoc/scalars.go
+++ b/internal/configdoc/scalars.go
@@ -12,9 +12,9 @@
 	"github.com/lovagereach/lovagereach/internal/settings"
 )
 
-// scalarKind is a type that reads its own text, with what it accepts. The YAML
-// library reports an error of such a type without its line, so the scalars are
-// tried once more on the tree to find the place.
+// scalarKind is a type that implements encoding.TextUnmarshaler and a description of
+// the values that it accepts. The YAML library reports an error of such a type without
+// its line, so scalarProblems decodes the scalars of the syntax tree again to find it.
 type scalarKind struct {
 	value    func() encoding.TextUnmarshaler
 	accepted string
@@ -37,7 +37,7 @@
 
 var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
-// scalarFinder collects the problems of scalars.
+// scalarFinder is an ast.Visitor that collects the problems of scalars.
 type scalarFinder struct {
 	file     string
 	problems settings.Problems
@@ -46,7 +46,7 @@
 // Visit implements ast.Visitor.
 func (f *scalarFinder) Visit(node ast.Node) ast.Visitor {
 	if pair, isPair := node.(*ast.MappingValueNode); isPair {
-		// A key node has the same path as its value.
+		// The key node is skipped, since it has the same path as its value.
 		ast.Walk(f, pair.Value)
 		return nil
 	}
@@ -72,8 +72,8 @@
 	return f
 }
 
-// scalarProblems returns the faults of the document's scalars, none when the
-// text is not YAML at all.
+// scalarProblems returns the faults of the document's scalars, or nil if the text isn't
+// valid YAML.
 func scalarProblems(file string, data []byte) settings.Problems {
 	tree, err := parser.ParseBytes(data, 0)
 	if err != nil {
