--- a/internal/process/doc.go
+++ b/internal/process/doc.go
@@ -1,4 +1,4 @@
-// Package process is what every binary has in common: flags, checked settings,
-// structured logs, signals and exit codes. A main describes itself by a Spec
-// and hands over to Main.
+// Package process implements what all binaries have in common: flags, checked
+// settings, structured logs, signals and exit codes. A binary describes itself by a
+// Spec and calls Main.
 package process
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -43,7 +43,7 @@
 		name   string
 		args   []string
 		code   int
-		open   int // zero means that Run must not be called
+		open   int // value of Open in Run; zero if Run must not be called
 		output string
 	}{
 		{"defaults", nil, ExitOK, 1, "msg=ran open=1"},
--- a/internal/process/run.go
+++ b/internal/process/run.go
@@ -14,7 +14,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// newLogger returns a logger that writes one logfmt line for each event.
+// newLogger returns a logger that writes one logfmt line for each message.
 func newLogger(output io.Writer, level string) (*log.Logger, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -52,8 +52,9 @@
 	}
 }
 
-// watchSignals closes the returned channel on the first termination signal and
-// calls force on the second, so that an operator can end a drain that hangs.
+// watchSignals closes the returned channel on the first termination signal and calls
+// force on the second, so that an operator can abort a drain that hangs. The returned
+// function stops the watch.
 func watchSignals(force func(), logger *log.Logger) (<-chan struct{}, func()) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/internal/process/spec.go
+++ b/internal/process/spec.go
@@ -24,37 +24,38 @@
 	ExitUsage = 2
 )
 
-// Spec describes one binary. S is its settings struct; a *S that implements
-// settings.Checker is checked after flags have overridden the file.
+// Spec describes one binary. S is its settings struct. If *S implements
+// settings.Checker, the settings are checked after flags have overridden the file.
 type Spec[S any] struct {
 	Name    string
 	Summary string
-	// Examples are command lines shown by -help, without a leading indent.
+	// Examples are command lines shown by -help, without indentation.
 	Examples []string
-	// Defaults returns settings with every default filled in.
+	// Defaults returns settings that contain all defaults.
 	Defaults func() *S
 	// Flags registers flags that override settings. It may be nil.
 	Flags func(*flag.FlagSet, *S)
-	// NeedsConfig refuses a start without -config.
+	// NeedsConfig makes -config mandatory.
 	NeedsConfig bool
-	// Run does the work until env says to stop.
+	// Run runs the binary until its work is done, env.Drain is closed or ctx
+	// ends.
 	Run func(ctx context.Context, env *Env, s *S) error
 }
 
-// Env is what a running process is given.
+// Env is the environment passed to Spec.Run.
 type Env struct {
 	Log *log.Logger
-	// Drain is closed by the first SIGTERM or interrupt: leave gracefully. The
-	// context of Run ends with the second.
+	// Drain is closed by the first SIGTERM or interrupt, which requests a
+	// graceful stop. The second one ends the context of Run.
 	Drain <-chan struct{}
-	// Stdout is for the results of commands, never for logs.
+	// Stdout receives the results of commands, never logs.
 	Stdout io.Writer
-	// ConfigFile is the path of the settings file, empty when there is none.
+	// ConfigFile is the path of the settings file, empty if there is none.
 	ConfigFile string
 }
 
-// ErrUsage marks an error of Run that is the user's to mend; the process then
-// exits with ExitUsage.
+// ErrUsage marks an error of Run that is caused by the user's flags or settings; the
+// process then exits with ExitUsage.
 var ErrUsage = errors.New("usage")
 
 // Version returns the module version and revision built into the binary.
@@ -77,8 +78,7 @@
 	os.Exit(Execute(spec, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// Execute is Main with its arguments and streams given; it returns the exit
-// code.
+// Execute is Main with explicit arguments and streams; it returns the exit code.
 func Execute[S any](spec Spec[S], args []string, stdout, stderr io.Writer) int {
 	current := spec.Defaults()
 	common, flags := newFlags(spec, current, stderr)
@@ -140,8 +140,8 @@
 	fmt.Fprintf(output, "\nExamples:\n  %s\n", strings.Join(examples, "\n  "))
 }
 
-// load reads the file over the defaults and then applies the flags again, so
-// that a flag overrides the file and checks see the result.
+// load decodes the file over the defaults and then applies the flags again, so that
+// flags override the file and the checks apply to the result.
 func load[S any](spec Spec[S], common *commonFlags, args []string, parsed *flag.FlagSet) (*S, error) {
 	if parsed.NArg() > 0 {
 		return nil, fmt.Errorf("%s: unexpected argument %q; see -help", spec.Name, parsed.Arg(0))
