--- a/internal/upstreamapi/doc.go
+++ b/internal/upstreamapi/doc.go
@@ -1,7 +1,7 @@
 // Package upstreamapi is the HTTP interface between the system and its
 // upstreams: paths, headers and JSON bodies of engines, store hosts and plain
-// services, and of the announcement listener. docs/UPSTREAMS.md describes it
-// for people. Everything read from outside is bounded.
+// services, and of the announcement listener. docs/UPSTREAMS.md documents it.
+// The size of all input is bounded.
 package upstreamapi
 
 import (
@@ -21,7 +21,7 @@
 	PathState       = "/v1/state"
 )
 
-// PathBlocks lists the blocks of an engine or a store host.
+// PathBlocks is the path of the list of blocks of an engine or a store host.
 const PathBlocks = "/v1/kv/blocks"
 
 // Paths of a store host. A slot's content is at PathSlots plus its name.
@@ -34,16 +34,16 @@
 	PathSlots   = "/v1/store/slots/"
 )
 
-// Headers beside those of package httpsend, which identify an attempt.
+// Headers in addition to those of package httpsend, which identify an attempt.
 const (
-	// HeaderIdempotencyKey carries a caller's key to a plain service.
+	// HeaderIdempotencyKey is the caller's idempotency key, sent to plain services.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderGeneration and HeaderChecksum describe a slot's content.
 	HeaderGeneration = "Lovage-Slot-Generation"
 	HeaderChecksum   = "Lovage-Slot-Checksum"
 )
 
-// Bounds on what is read.
+// Bounds on input in bytes.
 const (
 	// MaxAnswerBytes bounds a JSON answer other than a snapshot.
 	MaxAnswerBytes = 4 << 20
@@ -57,7 +57,7 @@
 	MaxRequestBytes = 32 << 20
 )
 
-// ErrTooLong reports input over its bound.
+// ErrTooLong reports input that exceeds its bound.
 var ErrTooLong = errors.New("input is longer than its bound")
 
 // ReadBounded reads all of r and fails with ErrTooLong beyond limit bytes.
@@ -81,7 +81,7 @@
 	return json.Unmarshal(data, v)
 }
 
-// ErrorBody is the usual JSON error shape.
+// ErrorBody is the JSON body of an error answer.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -93,7 +93,7 @@
 	Code    string `json:"code,omitempty"`
 }
 
-// WriteJSON answers with a JSON body.
+// WriteJSON writes an answer with v as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -102,10 +102,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(data) // a failed write means the far side has gone
+	_, _ = w.Write(data) // a failed write means that the peer has disconnected
 }
 
-// WriteError answers with the JSON error shape.
+// WriteError writes an answer with an ErrorBody.
 func WriteError(w http.ResponseWriter, status int, kind, message string) {
 	WriteJSON(w, status, ErrorBody{Error: ErrorDetail{Message: message, Type: kind}})
 }
--- a/internal/upstreamapi/engine.go
+++ b/internal/upstreamapi/engine.go
@@ -5,9 +5,9 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// CompletionRequest is the body of POST PathCompletions: the widely used
-// completions shape with a token array as prompt, and the fields that
-// identify, resume and place the attempt.
+// CompletionRequest is the body of POST PathCompletions: the widely used completions
+// request with a token array as prompt, and additional fields that identify, resume
+// and place the attempt.
 type CompletionRequest struct {
 	Model     ident.Model   `json:"model"`
 	Version   ident.Version `json:"weight_version"`
@@ -20,10 +20,10 @@
 	ResumeAt  int           `json:"resume_at,omitempty"`
 	Request   ident.Request `json:"request_id"`
 	Attempt   uint32        `json:"attempt"`
-	// CacheSalt keeps the prefix caches of engines that name blocks
-	// themselves apart for each team, model and version.
+	// CacheSalt separates the prefix caches of different teams, models and
+	// versions in engines that derive block names themselves.
 	CacheSalt string `json:"cache_salt"`
-	// BlockIDs names the prompt's full blocks in order.
+	// BlockIDs are the names of the prompt's full blocks in order.
 	BlockIDs []port.BlockID `json:"block_ids,omitempty"`
 }
 
@@ -48,7 +48,7 @@
 	Error   *ErrorDetail  `json:"error,omitempty"`
 }
 
-// Choice carries one token. Choices after the first are not used.
+// Choice is one token of an answer. Choices after the first are ignored.
 type Choice struct {
 	Index        int    `json:"index"`
 	TokenIndex   int    `json:"token_index"`
@@ -56,20 +56,21 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// UsageBody is an engine's account of a finished answer.
+// UsageBody is an engine's usage report for a finished answer.
 type UsageBody struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
 	Details          PromptDetails `json:"prompt_tokens_details"`
-	// QueueMicros and PrefillMicros are times before the first token.
+	// QueueMicros and PrefillMicros are the times in microseconds that the
+	// request was queued and prefilled before the first token.
 	QueueMicros   int64 `json:"queue_us"`
 	PrefillMicros int64 `json:"prefill_us"`
 }
 
-// PromptDetails tells how much of a prompt came from the cache.
+// PromptDetails contains the number of prompt tokens taken from the cache.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// EndOfStream is the data of the last event of a whole answer.
+// EndOfStream is the data of the last event of a complete answer.
 const EndOfStream = "[DONE]"
--- a/internal/upstreamapi/identity.go
+++ b/internal/upstreamapi/identity.go
@@ -8,13 +8,13 @@
 	"github.com/lovagereach/lovagereach/internal/adapter/httpsend"
 )
 
-// SetAttempt writes the headers that identify an attempt.
+// SetAttempt sets the headers that identify an attempt.
 func SetAttempt(header http.Header, request ident.Request, attempt uint32) {
 	header.Set(httpsend.HeaderRequest, request.String())
 	header.Set(httpsend.HeaderAttempt, strconv.FormatUint(uint64(attempt), 10))
 }
 
-// ReadAttempt reads the headers written by SetAttempt.
+// ReadAttempt parses the headers set by SetAttempt.
 func ReadAttempt(header http.Header) (ident.Request, uint32, error) {
 	request, err := ident.ParseRequest(header.Get(httpsend.HeaderRequest))
 	if err != nil {
--- a/internal/upstreamapi/sse.go
+++ b/internal/upstreamapi/sse.go
@@ -8,8 +8,7 @@
 	"io"
 )
 
-// ErrTruncated reports a stream that ended inside an event or before its end
-// was announced.
+// ErrTruncated reports a stream that ended inside an event or before EndOfStream.
 var ErrTruncated = errors.New("event stream ended early")
 
 // EventReader reads the data of server-sent events. Lines and events are
@@ -20,7 +19,7 @@
 	data  []byte
 }
 
-// eventBuffer is the read buffer of a stream; most events fit.
+// eventBuffer is the size in bytes of a stream's read buffer, in which most events fit.
 const eventBuffer = 2 << 10
 
 // NewEventReader returns a reader of the events in r.
@@ -64,8 +63,8 @@
 	}
 }
 
-// readLine returns a line without its end. With io.EOF it returns what stood
-// before the end of the stream.
+// readLine returns a line without its line end. With io.EOF it returns the bytes after
+// the last line end.
 func (e *EventReader) readLine() ([]byte, error) {
 	e.line = e.line[:0]
 	for {
--- a/internal/upstreamapi/sse_test.go
+++ b/internal/upstreamapi/sse_test.go
@@ -10,7 +10,7 @@
 	"testing/iotest"
 )
 
-// readEvents returns the data of all events and the error that ended them.
+// readEvents returns the data of all events and the error that ended the stream.
 func readEvents(r io.Reader) ([]string, error) {
 	reader := NewEventReader(r)
 	var events []string
@@ -23,8 +23,8 @@
 	}
 }
 
-// A stream may end anywhere. Only an end between two events is a proper one; a
-// reader that took a half event for an end would hide that tokens are missing.
+// A stream may break at any byte. Only an end between two events is regular: if the
+// reader reported io.EOF inside an event, missing tokens would go unnoticed.
 func TestEventReader(t *testing.T) {
 	long := strings.Repeat("x", 3*eventBuffer)
 	tooLong := strings.Repeat("x", MaxEventBytes+1)
@@ -65,7 +65,7 @@
 		whole, wholeErr := readEvents(bytes.NewReader(in))
 		parts, partsErr := readEvents(iotest.OneByteReader(bytes.NewReader(in)))
 		if !slices.Equal(whole, parts) || !errors.Is(partsErr, wholeErr) {
-			t.Errorf("split reading gave %q, %v; whole reading %q, %v", parts, partsErr, whole, wholeErr)
+			t.Errorf("read byte by byte: %q, %v; read in one piece: %q, %v", parts, partsErr, whole, wholeErr)
 		}
 		var written []byte
 		for _, event := range whole {
--- a/internal/upstreamapi/token.go
+++ b/internal/upstreamapi/token.go
@@ -8,9 +8,9 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// TokenCodec writes and reads the token events of one attempt. What is the
-// same in each of them is encoded once, since a token is the unit in which an
-// entry's work is counted. Its events are CompletionChunks like any others.
+// TokenCodec encodes and decodes the token events of one attempt, which are
+// CompletionChunks. The part that is equal in all events is encoded once, since an
+// entry's work grows with the number of tokens.
 type TokenCodec struct {
 	head []byte
 }
@@ -33,7 +33,7 @@
 func (c *TokenCodec) Append(buf []byte, index int, text string) []byte {
 	buf = append(buf, c.head...)
 	buf = strconv.AppendInt(buf, int64(index), 10)
-	if !plain([]byte(text)) {
+	if !needsNoEscape([]byte(text)) {
 		buf = append(buf, `,"text":`...)
 		quoted, err := json.Marshal(text)
 		if err != nil {
@@ -47,12 +47,11 @@
 	return append(buf, tokenEnd...)
 }
 
-// maxIndexDigits keeps an index within an int.
+// maxIndexDigits bounds the digits of an index, so that it fits in an int.
 const maxIndexDigits = 9
 
-// Parse reads a token event of this attempt in the very form that Append
-// writes. For anything else ok is false, and the event must be read as general
-// JSON.
+// Parse decodes a token event of this attempt in exactly the form that Append writes.
+// For all other input ok is false, and the event must be decoded as general JSON.
 func (c *TokenCodec) Parse(data []byte) (index int, text string, ok bool) {
 	rest, ok := bytes.CutPrefix(data, c.head)
 	if !ok {
@@ -69,14 +68,14 @@
 	if rest, ok = bytes.CutPrefix(rest[digits:], []byte(textKey)); !ok {
 		return 0, "", false
 	}
-	if rest, ok = bytes.CutSuffix(rest, []byte(tokenEnd)); !ok || !plain(rest) {
+	if rest, ok = bytes.CutSuffix(rest, []byte(tokenEnd)); !ok || !needsNoEscape(rest) {
 		return 0, "", false
 	}
 	return index, string(rest), true
 }
 
-// plain reports whether text stands for itself in a JSON string.
-func plain(text []byte) bool {
+// needsNoEscape reports whether text is encoded as itself in a JSON string.
+func needsNoEscape(text []byte) bool {
 	for _, char := range text {
 		if char < ' ' || char >= 0x7f || char == '"' || char == '\\' {
 			return false
--- a/internal/upstreamapi/token_test.go
+++ b/internal/upstreamapi/token_test.go
@@ -25,12 +25,12 @@
 		}
 	}
 	if _, _, ok := codec.Parse(NewTokenCodec(testID, 4).Append(nil, 0, "x")); ok {
-		t.Error("a token of another attempt was taken")
+		t.Error("a token event of another attempt was accepted")
 	}
 }
 
-// The short way of reading a token must never read anything else than general
-// JSON does; where it is not sure it must leave the event alone.
+// The fast path must decode a token event exactly as the general JSON decoder does, and
+// reject all events that it can't decode with certainty.
 func FuzzTokenCodec(f *testing.F) {
 	codec := NewTokenCodec(testID, 3)
 	f.Add(codec.Append(nil, 0, " word"))
@@ -43,14 +43,14 @@
 		}
 		var chunk CompletionChunk
 		if err := json.Unmarshal(data, &chunk); err != nil {
-			t.Fatalf("took %q, which is not JSON: %v", data, err)
+			t.Fatalf("accepted %q, which is not JSON: %v", data, err)
 		}
 		want := CompletionChunk{ID: testID, Attempt: 3}
 		if chunk.ID != want.ID || chunk.Attempt != want.Attempt || len(chunk.Choices) != 1 || chunk.Error != nil || chunk.Usage != nil {
-			t.Fatalf("took %q as a token", data)
+			t.Fatalf("accepted %q as a token event", data)
 		}
 		if got := (Choice{TokenIndex: index, Text: text}); chunk.Choices[0] != got {
-			t.Fatalf("%q read as %+v, is %+v", data, got, chunk.Choices[0])
+			t.Fatalf("%q decoded as %+v, general JSON gives %+v", data, got, chunk.Choices[0])
 		}
 	})
 }
