--- a/internal/httpbound/httpbound.go
+++ b/internal/httpbound/httpbound.go
@@ -1,6 +1,6 @@
 // Package httpbound reads the bodies of HTTP requests within bounds. Each
-// listener of the system uses it, so that a hostile body costs every one of
-// them the same bounded amount of memory and yields the same clear error.
+// listener of the system uses it, so that a hostile body takes the same bounded
+// amount of memory and results in the same error at all of them.
 package httpbound
 
 import (
@@ -13,14 +13,14 @@
 	"strings"
 )
 
-// MaxJSONDepth is the deepest nesting of objects and arrays in a body.
+// MaxJSONDepth is the maximum nesting depth of objects and arrays in a body.
 const MaxJSONDepth = 16
 
-// BodyError says why a body was not accepted.
+// BodyError is the reason why a body was not accepted.
 type BodyError struct {
 	// Status is the HTTP status to answer with.
 	Status int
-	// Field is the JSON field at fault, empty when it is the whole body.
+	// Field is the faulty JSON field, empty if the fault concerns the entire body.
 	Field   string
 	Message string
 }
@@ -33,7 +33,8 @@
 	return e.Field + ": " + e.Message
 }
 
-// ReadBody reads the whole body of r, at most limit bytes.
+// ReadBody reads the complete body of r. A body of more than limit bytes is a
+// BodyError.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, tooLarge(limit)
@@ -61,7 +62,7 @@
 }
 
 // DecodeJSON decodes exactly one JSON value into v. Unknown fields are
-// accepted when lenient, as callers' libraries send fields of their own.
+// accepted if lenient is set, since callers' libraries send additional fields.
 func DecodeJSON(body []byte, v any, lenient bool) error {
 	if depth(body) > MaxJSONDepth {
 		return &BodyError{
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// decodeLenient avoids the decoder's own copy of the body.
+// decodeLenient decodes one JSON value with json.Unmarshal, which doesn't copy the body
+// as a json.Decoder does.
 func decodeLenient(body []byte, v any) error {
 	err := json.Unmarshal(body, v)
 	var syntax *json.SyntaxError
@@ -110,7 +112,7 @@
 	return bad
 }
 
-// depth returns the deepest nesting of brackets outside strings.
+// depth returns the maximum nesting depth of brackets outside strings.
 func depth(body []byte) int {
 	deepest, current := 0, 0
 	inString, escaped := false, false
