--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
 // Package wire encodes and decodes the CBOR messages that the system's own
-// processes exchange and store. Decoding is bounded: a hostile or damaged
-// input costs a bounded amount of memory and yields an error, never a panic.
+// processes exchange and store. Decoding is bounded: hostile or damaged input takes
+// a bounded amount of memory and results in an error, never in a panic.
 package wire
 
 import (
@@ -10,9 +10,9 @@
 
 // Bounds on decoded messages.
 const (
-	// MaxNesting is the deepest nesting of arrays and maps.
+	// MaxNesting is the maximum nesting depth of arrays and maps.
 	MaxNesting = 16
-	// MaxElements is the largest number of elements in one array or map.
+	// MaxElements is the maximum number of elements in one array or map.
 	MaxElements = 1 << 20
 )
 
@@ -45,13 +45,13 @@
 	}
 }
 
-// Marshal encodes v deterministically: equal values give equal bytes.
+// Marshal encodes v deterministically: equal values have equal encodings.
 func Marshal(v any) ([]byte, error) {
 	return encMode.Marshal(v)
 }
 
-// MustMarshal encodes a value of a type whose encoding cannot fail. A failure
-// is a broken invariant and panics.
+// MustMarshal encodes a value of a type whose encoding can't fail. It panics on a
+// failure, which is a programming error.
 func MustMarshal(v any) []byte {
 	data, err := encMode.Marshal(v)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return decMode.Unmarshal(data, v)
 }
 
-// UnmarshalStrict is Unmarshal for messages whose every field must be known: a
-// field that v lacks is an error.
+// UnmarshalStrict is Unmarshal for messages that may contain only known fields: a field
+// that v lacks is an error.
 func UnmarshalStrict(data []byte, v any) error {
 	return strictMode.Unmarshal(data, v)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -20,15 +20,15 @@
 	}
 }
 
-// A message arrives empty, cut off, with bytes behind it or with a length that
-// claims more than memory. Decoding returns an error in each case: half a
-// message taken for a whole one, or a huge allocation, would harm the process.
+// A message is empty, truncated, followed by extra bytes, or has an array length that
+// exceeds the memory. Decoding must return an error in each case, and neither accept a
+// partial message as complete nor make a huge allocation.
 func TestUnmarshalRejects(t *testing.T) {
-	whole := MustMarshal(sample{Name: "a"})
+	complete := MustMarshal(sample{Name: "a"})
 	cases := map[string][]byte{
 		"empty":          {},
-		"truncated":      whole[:len(whole)-1],
-		"trailing bytes": append(bytes.Clone(whole), 0),
+		"truncated":      complete[:len(complete)-1],
+		"trailing bytes": append(bytes.Clone(complete), 0),
 		"huge array":     {0x9a, 0xff, 0xff, 0xff, 0xff},
 	}
 	for name, data := range cases {
