--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait has the pause that ends early with a context, as between two
-// attempts.
+// Package wait implements a delay, as between two attempts, that a context can end
+// early.
 package wait
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// For returns after d, or as soon as ctx ends, and reports whether ctx is still
-// alive.
+// For returns after d or when ctx ends, whichever is first. It reports whether ctx has
+// not ended.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// A process stops while it pauses before another attempt. The pause ends with
-// the context, so that the stop does not last as long as the pause, and says
-// so, so that no further attempt is made.
-func TestForEndsWithItsContext(t *testing.T) {
+// A process is stopped during the delay before another attempt. For must return when
+// the context ends, so that the stop isn't delayed, and return false, so that no
+// further attempt is made.
+func TestForEndsWithContext(t *testing.T) {
 	cases := []struct {
 		name          string
 		pause, cancel time.Duration
