--- a/internal/tokenize/tokenize.go
+++ b/internal/tokenize/tokenize.go
@@ -1,9 +1,9 @@
-// Package tokenize is the small deterministic tokenizer that entries share
-// with the engines of a deployment: one token for each word, one for each
-// other visible character. Its tokens are hashes, so no vocabulary has to be
-// distributed; text that is equal gives equal tokens on every host.
+// Package tokenize implements the deterministic tokenizer that entries and engines
+// of a deployment share: each word and each other visible character is one token.
+// Tokens are hashes, so no vocabulary has to be distributed, and equal texts have
+// equal tokens on every host.
 //
-// An engine with a vocabulary of its own takes prompts as token arrays.
+// An engine with its own vocabulary receives prompts as token arrays.
 package tokenize
 
 import (
@@ -14,15 +14,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrTooManyTokens reports a text of more tokens than the caller's bound.
+// ErrTooManyTokens reports a text with more tokens than the caller's limit.
 var ErrTooManyTokens = errors.New("text has more tokens than allowed")
 
-// Words appends the tokens of text to tokens. It stops with ErrTooManyTokens
-// once the result would be longer than limit, so that a hostile text costs no
-// more than the bound.
+// Words appends the tokens of text to tokens. It stops with ErrTooManyTokens when the
+// result would be longer than limit, which bounds the cost of a hostile text.
 func Words(tokens []uint32, text string, limit int) ([]uint32, error) {
 	for len(text) > 0 {
-		size := next(text)
+		size := nextLen(text)
 		piece := text[:size]
 		text = text[size:]
 		if isSpace(piece) {
@@ -41,8 +40,8 @@
 	return uint32(xxhash.Sum64String(word))
 }
 
-// next returns the length in bytes of the first word or character of text.
-func next(text string) int {
+// nextLen returns the length in bytes of the first word or character of text.
+func nextLen(text string) int {
 	first, size := utf8.DecodeRuneInString(text)
 	if !isWord(first) {
 		return size
--- a/internal/tokenize/tokenize_test.go
+++ b/internal/tokenize/tokenize_test.go
@@ -38,7 +38,7 @@
 }
 
 func TestTokenIsStable(t *testing.T) {
-	// The value is part of what engines and entries agree on.
+	// Engines and entries have to compute equal tokens, so the value must not change.
 	if got := Token("rose"); got != 0x2a0ec103 {
 		t.Fatalf("Token(rose) = %#x", got)
 	}
