--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,31 +1,31 @@
-// Package boottime reads a steady clock that goes on while the machine is
-// suspended, which the monotonic part of time.Now doesn't. Leases between
-// machines must go by it: the others go on meanwhile.
+// Package boottime reads a monotonic clock that keeps running while the machine is
+// suspended, unlike the monotonic reading of time.Now. Leases between machines must
+// use it, since the clocks of the other machines keep running meanwhile.
 package boottime
 
 import "time"
 
 var (
-	start           = time.Now()
-	atStart, counts = sinceBoot()
+	startTime                         = time.Now()
+	bootTimeAtStart, countsSuspension = sinceBoot()
 )
 
-// Now is the time since the start of the process, suspensions counted, after the
-// time of that start. It is compared with other readings of Now only: it is ahead
-// of time.Now by the time for which the machine was suspended since. Each reading
-// is a system call.
+// Now returns the start time of the process plus the time elapsed since then, including
+// suspensions of the machine. It may only be compared with other results of Now: it is
+// ahead of time.Now by the duration of the suspensions since the start. Each call makes
+// a system call.
 func Now() time.Time {
-	if !counts {
+	if !countsSuspension {
 		return time.Now()
 	}
 	now, ok := sinceBoot()
 	if !ok {
-		// The kernel refuses no clock that it has served before.
-		panic("boottime: the clock is gone")
+		// The kernel doesn't refuse a clock that it has provided before.
+		panic("boottime: CLOCK_BOOTTIME can no longer be read")
 	}
-	return start.Add(now - atStart)
+	return startTime.Add(now - bootTimeAtStart)
 }
 
-// CountsSuspension reports whether Now goes on while the machine is suspended.
-// Where it does not, no lease may be relied on after a suspension.
-func CountsSuspension() bool { return counts }
+// CountsSuspension reports whether Now keeps running while the machine is suspended. If
+// it doesn't, no lease may be relied on after a suspension.
+func CountsSuspension() bool { return countsSuspension }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-func TestNowIsSteadyAndGoesOn(t *testing.T) {
+func TestNowIsMonotonicAndAdvances(t *testing.T) {
 	if runtime.GOOS == "linux" && !CountsSuspension() {
 		t.Fatal("CLOCK_BOOTTIME can't be read")
 	}
-	began, steady := Now(), time.Now()
+	began, monotonic := Now(), time.Now()
 	last := began
-	for time.Since(steady) < 20*time.Millisecond {
+	for time.Since(monotonic) < 20*time.Millisecond {
 		now := Now()
 		if now.Before(last) {
 			t.Fatalf("%v after %v", now, last)
@@ -24,10 +24,10 @@
 	}
 }
 
-// Guards against readings that follow a step of the time of day.
-func TestReadingsAreOfTheSteadyClock(t *testing.T) {
+// Guards against readings that follow a step of the wall clock.
+func TestNowHasMonotonicReading(t *testing.T) {
 	if now := Now(); now == now.Round(0) {
-		t.Fatalf("%v has no steady part", now)
+		t.Fatalf("%v has no monotonic reading", now)
 	}
 }
 
