--- a/cmd/lovagectl/explain.go
+++ b/cmd/lovagectl/explain.go
@@ -13,7 +13,8 @@
 	"github.com/lovagereach/lovagereach/internal/explain"
 )
 
-// newExplain reads logs and asks no deployment.
+// newExplain returns the explain command, which reads log files and contacts no
+// deployment.
 func newExplain() command {
 	var request string
 	return command{
@@ -25,20 +26,21 @@
 			if request == "" || len(args) == 0 {
 				return usageError("explain needs -request and the logs of one or more processes")
 			}
-			story := explain.NewStory(request)
-			for _, read := range []func(string, io.Reader) error{story.Find, story.Relate} {
+			timeline := explain.NewTimeline(request)
+			for _, read := range []func(string, io.Reader) error{timeline.ReadRequest, timeline.ReadRelated} {
 				for _, path := range args {
 					if err := readLog(path, read); err != nil {
 						return err
 					}
 				}
 			}
-			return story.Write(tool.streams.out)
+			return timeline.Write(tool.streams.out)
 		},
 	}
 }
 
-// readLog reads one log; its process is the file's name without its ending.
+// readLog passes the log at path to read, with the file's name without its
+// extension as the name of the process.
 func readLog(path string, read func(string, io.Reader) error) error {
 	file, err := os.Open(path)
 	if err != nil {
