--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -14,17 +14,18 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// AnnounceOptions say to whom and how often a stand-in reports.
+// AnnounceOptions configure the entries to which a stand-in reports and the
+// intervals.
 type AnnounceOptions struct {
-	// Entries are announcement addresses known by settings; the answers add
-	// more.
+	// Entries are the configured announcement addresses; answers of entries
+	// add further ones.
 	Entries []string
-	// Lease is how long an announcement holds; zero means 3 s. It is
-	// repeated three times in each lease.
+	// Lease is how long an announcement is valid; zero means 3 s. The
+	// announcement is sent three times per lease.
 	Lease time.Duration
 	// LoadEvery is the time between load reports; zero means 500 ms.
 	LoadEvery time.Duration
-	// LoadLag is how old a load report is when it is sent.
+	// LoadLag is the minimum age of a load report when it is sent.
 	LoadLag time.Duration
 	// EventsEvery is the time between batches of cache events; zero means
 	// 100 ms.
@@ -51,43 +52,43 @@
 	maxEvents      = 8192
 	maxEventBatch  = 1024
 	sendTimeout    = time.Second
-	entryFailures  = 20 // failures in a row after which a learned entry is forgotten
+	entryFailures  = 20 // consecutive failures after which an entry that is not configured is removed
 	leaseDivisor   = 3
 	maxAnswerBytes = 1 << 20
-	// maxInterval bounds what an entry may ask for.
+	// maxInterval bounds the report intervals that an entry may request.
 	maxInterval = time.Minute
 )
 
-// source is the upstream that an announcer speaks for.
+// source is the upstream that an announcer reports on.
 type source interface {
 	announcement() port.Announcement
 	loadReport(now time.Time) port.LoadReport
 }
 
-// contact is what is known of an entry.
-type contact struct {
-	failures int // in a row
-	// reportEvery and eventsEvery are the intervals that it asked for.
+// entryState is the state that an announcer keeps for an entry.
+type entryState struct {
+	failures int // consecutive send failures
+	// reportEvery and eventsEvery are the intervals that the entry requested.
 	reportEvery, eventsEvery time.Duration
 }
 
 // announcer sends an upstream's announcements, load reports and cache events
-// to every entry it knows.
+// to every known entry.
 type announcer struct {
 	options AnnounceOptions
 	source  source
 	faults  *Faults
 	client  *httpsend.Transport
-	kick    chan struct{}
+	wake    chan struct{}
 
 	mu      sync.Mutex
-	entries map[string]*contact
+	entries map[string]*entryState
 	seeds   map[string]bool
 	events  []port.CacheEvent
-	// incarnation is that of all events that wait.
+	// incarnation is the incarnation of all queued events.
 	incarnation ident.Incarnation
 	sequence    uint64
-	lost        uint64
+	dropped     uint64
 	reports     []port.LoadReport
 }
 
@@ -98,50 +99,51 @@
 		source:  source,
 		faults:  faults,
 		client:  httpsend.NoRetryTransport(),
-		kick:    make(chan struct{}, 1),
-		entries: make(map[string]*contact),
+		wake:    make(chan struct{}, 1),
+		entries: make(map[string]*entryState),
 		seeds:   make(map[string]bool),
 	}
 	for _, address := range options.Entries {
-		a.entries[address] = &contact{}
+		a.entries[address] = &entryState{}
 		a.seeds[address] = true
 	}
 	return a
 }
 
-// run reports until ctx ends.
+// run sends announcements, load reports and events until ctx is done.
 func (a *announcer) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { a.every(ctx, a.announceEvery, a.kick, a.announce); return nil })
-	group.Go(func() error { a.every(ctx, a.loadEvery, nil, a.reportLoad); return nil })
-	group.Go(func() error { a.every(ctx, a.eventsEvery, nil, a.sendEvents); return nil })
+	group.Go(func() error { a.runPeriodically(ctx, a.announceEvery, a.wake, a.announce); return nil })
+	group.Go(func() error { a.runPeriodically(ctx, a.loadEvery, nil, a.reportLoad); return nil })
+	group.Go(func() error { a.runPeriodically(ctx, a.eventsEvery, nil, a.sendEvents); return nil })
 	return group.Wait()
 }
 
 func (a *announcer) announceEvery() time.Duration { return a.options.Lease / leaseDivisor }
 
-// loadEvery is the longest interval that any entry asks for, so that each
-// entry's budget is kept with one rhythm for all.
+// loadEvery returns the longest interval that any entry requests: all entries
+// share one interval, and none may exceed its budget of control traffic.
 func (a *announcer) loadEvery() time.Duration {
-	return a.longest(a.options.LoadEvery, func(c *contact) time.Duration { return c.reportEvery })
+	return a.longestInterval(a.options.LoadEvery, func(c *entryState) time.Duration { return c.reportEvery })
 }
 
 func (a *announcer) eventsEvery() time.Duration {
-	return a.longest(a.options.EventsEvery, func(c *contact) time.Duration { return c.eventsEvery })
+	return a.longestInterval(a.options.EventsEvery, func(c *entryState) time.Duration { return c.eventsEvery })
 }
 
-func (a *announcer) longest(own time.Duration, asked func(*contact) time.Duration) time.Duration {
+func (a *announcer) longestInterval(own time.Duration, requested func(*entryState) time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, c := range a.entries {
-		own = max(own, asked(c))
+		own = max(own, requested(c))
 	}
 	return min(own, maxInterval)
 }
 
-// every calls f at once, at each interval and when kicked, until ctx ends. The
-// interval is asked for anew each time.
-func (a *announcer) every(ctx context.Context, interval func() time.Duration, kick <-chan struct{}, f func(context.Context)) {
+// runPeriodically calls f immediately, after each interval and on a receive
+// from wake, until ctx is done. It calls interval before each wait. While
+// FaultSilent is active, f is not called.
+func (a *announcer) runPeriodically(ctx context.Context, interval func() time.Duration, wake <-chan struct{}, f func(context.Context)) {
 	timer := time.NewTimer(interval())
 	defer timer.Stop()
 	for ctx.Err() == nil {
@@ -151,16 +153,16 @@
 		timer.Reset(interval())
 		select {
 		case <-timer.C:
-		case <-kick:
+		case <-wake:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// announceNow makes the next announcement due at once.
+// announceNow triggers the next announcement immediately.
 func (a *announcer) announceNow() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
@@ -168,14 +170,14 @@
 func (a *announcer) announce(ctx context.Context) {
 	announcement := a.source.announcement()
 	announcement.LeaseMillis = a.options.Lease.Milliseconds()
-	a.toEach(ctx, func(ctx context.Context, entry string) error {
+	a.broadcast(ctx, func(ctx context.Context, entry string) error {
 		var answer announce.Reply
 		err := httpcall.NewCaller(a.client, entry).Post(ctx, announce.PathAnnouncement, announcement, maxAnswerBytes, &answer)
 		if err != nil {
 			return err
 		}
-		a.learn(answer.Entries)
-		a.pace(entry, answer)
+		a.addEntries(answer.Entries)
+		a.applyIntervals(entry, answer)
 		if answer.Resync {
 			a.announceNow()
 		}
@@ -183,19 +185,21 @@
 	})
 }
 
-// reportLoad sends the newest report that is at least LoadLag old.
+// reportLoad sends the newest report that is at least LoadLag old, if any.
 func (a *announcer) reportLoad(ctx context.Context) {
-	report, ok := a.lagged(a.source.loadReport(time.Now()))
+	report, ok := a.nextDueReport(a.source.loadReport(time.Now()))
 	if !ok {
 		return
 	}
 	report.Age = max(0, time.Now().UnixMilli()-report.MeasuredAt)
-	a.toEach(ctx, func(ctx context.Context, entry string) error {
+	a.broadcast(ctx, func(ctx context.Context, entry string) error {
 		return httpcall.NewCaller(a.client, entry).Post(ctx, announce.PathLoad, report, maxAnswerBytes, nil)
 	})
 }
 
-func (a *announcer) lagged(newest port.LoadReport) (port.LoadReport, bool) {
+// nextDueReport appends newest to the pending reports. It removes and returns
+// the newest one that is at least LoadLag older than it, dropping those before.
+func (a *announcer) nextDueReport(newest port.LoadReport) (port.LoadReport, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.reports = append(a.reports, newest)
@@ -214,22 +218,22 @@
 	return report, true
 }
 
-// record queues a cache event. When the queue is full the event is lost; its
-// sequence number is used up, so that entries see the gap.
+// record queues a cache event. If the queue is full, the event is dropped; its
+// sequence number is consumed, so that entries detect the gap.
 func (a *announcer) record(kind port.CacheEventKind, block port.BlockID, state *port.SlotState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sequence++
 	if len(a.events) >= maxEvents {
-		a.lost++
+		a.dropped++
 		return
 	}
 	a.events = append(a.events, port.CacheEvent{Sequence: a.sequence, Kind: kind, Block: block, State: state})
 }
 
-// begin starts the numbering of an incarnation; what an earlier one had not yet
-// told is lost with it.
-func (a *announcer) begin(incarnation ident.Incarnation) {
+// startIncarnation restarts the sequence numbers for a new incarnation and
+// drops the events of the previous one that were not sent yet.
+func (a *announcer) startIncarnation(incarnation ident.Incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.incarnation = incarnation
@@ -237,20 +241,20 @@
 	a.events = nil
 }
 
-// lastSequence returns the number of the newest event.
+// lastSequence returns the sequence number of the newest event.
 func (a *announcer) lastSequence() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.sequence
 }
 
-// sendEvents sends all events that wait, in batches.
+// sendEvents sends all queued events in batches.
 func (a *announcer) sendEvents(ctx context.Context) {
 	for ctx.Err() == nil && a.sendBatch(ctx) {
 	}
 }
 
-// sendBatch reports whether more events wait.
+// sendBatch sends one batch and reports whether more events are queued.
 func (a *announcer) sendBatch(ctx context.Context) bool {
 	a.mu.Lock()
 	n := min(len(a.events), maxEventBatch)
@@ -269,30 +273,30 @@
 	send := func(ctx context.Context, entry string) error {
 		return httpcall.NewCaller(a.client, entry).Post(ctx, announce.PathEvents, batch, maxAnswerBytes, nil)
 	}
-	a.toEach(ctx, send)
+	a.broadcast(ctx, send)
 	if _, repeat := a.faults.Take(FaultRepeatEvents, ""); repeat {
-		a.toEach(ctx, send)
+		a.broadcast(ctx, send)
 	}
 	return more
 }
 
-// toEach calls send for every known entry and waits for all of them, so that
-// batches of events reach an entry in order.
-func (a *announcer) toEach(ctx context.Context, send func(context.Context, string) error) {
+// broadcast calls send for every known entry, in parallel, and waits for all
+// calls, so that batches of events reach an entry in order.
+func (a *announcer) broadcast(ctx context.Context, send func(context.Context, string) error) {
 	var group errgroup.Group
 	group.SetLimit(maxParallel)
-	for _, entry := range a.known() {
+	for _, entry := range a.knownEntries() {
 		group.Go(func() error {
 			sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 			defer cancel()
-			a.note(entry, send(sendCtx, entry))
+			a.recordResult(entry, send(sendCtx, entry))
 			return nil
 		})
 	}
-	_ = group.Wait() // failures are noted for each entry
+	_ = group.Wait() // failures are recorded per entry
 }
 
-func (a *announcer) known() []string {
+func (a *announcer) knownEntries() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	entries := make([]string, 0, len(a.entries))
@@ -302,18 +306,18 @@
 	return entries
 }
 
-func (a *announcer) learn(entries []string) {
+func (a *announcer) addEntries(entries []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, entry := range entries {
 		if _, known := a.entries[entry]; !known && len(a.entries) < maxEntries {
-			a.entries[entry] = &contact{}
+			a.entries[entry] = &entryState{}
 		}
 	}
 }
 
-// pace takes the intervals that an entry asks for.
-func (a *announcer) pace(entry string, answer announce.Reply) {
+// applyIntervals stores the intervals that an entry requests.
+func (a *announcer) applyIntervals(entry string, answer announce.Reply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if c := a.entries[entry]; c != nil {
@@ -322,14 +326,15 @@
 	}
 }
 
-// note forgets a learned entry that has failed for long; entries from the
-// settings stay, since they are how a restarted system is found again.
-func (a *announcer) note(entry string, err error) {
+// recordResult records the result of a send to entry. After entryFailures
+// consecutive failures it removes the entry. Configured entries are never
+// removed, because a restarted system is found again through them.
+func (a *announcer) recordResult(entry string, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c := a.entries[entry]
 	if c == nil {
-		return // forgotten by another report meanwhile
+		return // removed after a concurrent send
 	}
 	if err == nil {
 		c.failures = 0
--- a/internal/standin/announcer_test.go
+++ b/internal/standin/announcer_test.go
@@ -16,11 +16,12 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// hearing is an entry's announcement listener that records what it hears.
-type hearing struct {
-	address string
-	entries []string
-	pace    upstream.ReportIntervals
+// entryRecorder is an entry's announcement listener that records what it
+// receives.
+type entryRecorder struct {
+	address   string
+	entries   []string
+	intervals upstream.ReportIntervals
 
 	mu            sync.Mutex
 	announcements []port.Announcement
@@ -29,16 +30,16 @@
 	changed       chan struct{}
 }
 
-func newHearing(t *testing.T) *hearing {
+func newEntryRecorder(t *testing.T) *entryRecorder {
 	t.Helper()
-	h := &hearing{changed: make(chan struct{}, 1)}
+	h := &entryRecorder{changed: make(chan struct{}, 1)}
 	server := httptest.NewServer(announce.NewHandler(h, metrics.NewSet()))
 	t.Cleanup(server.Close)
 	h.address = server.Listener.Addr().String()
 	return h
 }
 
-func (h *hearing) wake() {
+func (h *entryRecorder) wake() {
 	select {
 	case h.changed <- struct{}{}:
 	default:
@@ -46,16 +47,16 @@
 }
 
 // Announce implements announce.Sink.
-func (h *hearing) Announce(a port.Announcement) (announce.Assignment, error) {
+func (h *entryRecorder) Announce(a port.Announcement) (announce.Assignment, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.announcements = append(h.announcements, a)
 	h.wake()
-	return announce.Assignment{Entries: h.entries, Pace: h.pace}, nil
+	return announce.Assignment{Entries: h.entries, Pace: h.intervals}, nil
 }
 
 // Load implements announce.Sink.
-func (h *hearing) Load(l port.LoadReport) error {
+func (h *entryRecorder) Load(l port.LoadReport) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.loads = append(h.loads, l)
@@ -64,7 +65,7 @@
 }
 
 // Events implements announce.Sink.
-func (h *hearing) Events(e port.CacheEvents) (bool, error) {
+func (h *entryRecorder) Events(e port.CacheEvents) (bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, event := range e.Events {
@@ -74,27 +75,27 @@
 	return false, nil
 }
 
-// await waits until ok holds.
-func (h *hearing) await(t *testing.T, what string, ok func() bool) {
+// await waits until ok returns true.
+func (h *entryRecorder) await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	limit := time.After(20 * time.Second) // far beyond any scheduling delay
 	for {
 		h.mu.Lock()
-		held := ok()
+		done := ok()
 		h.mu.Unlock()
-		if held {
+		if done {
 			return
 		}
 		select {
 		case <-h.changed:
 		case <-limit:
-			t.Fatalf("never heard: %s", what)
+			t.Fatalf("not received within 20 s: %s", what)
 		}
 	}
 }
 
-// quick are options under which everything is reported soon.
-func quick(entries ...string) AnnounceOptions {
+// fastOptions returns options with short intervals.
+func fastOptions(entries ...string) AnnounceOptions {
 	return AnnounceOptions{Entries: entries, Lease: 300 * time.Millisecond, LoadEvery: 10 * time.Millisecond, EventsEvery: 10 * time.Millisecond}
 }
 
@@ -116,14 +117,14 @@
 	})
 }
 
-// An upstream is told one entry by its settings. It must announce itself to the
-// entries that the answer names as well, go on announcing before its lease
-// ends, and say when it leaves.
+// An upstream is configured with one entry. It must also announce itself to the
+// entries listed in the answer, renew the announcement within the lease, and
+// announce that it leaves.
 func TestAnnouncerLearnsEntries(t *testing.T) {
-	first, second := newHearing(t), newHearing(t)
+	first, second := newEntryRecorder(t), newEntryRecorder(t)
 	first.entries = []string{first.address, second.address}
 	e := NewEngine(EngineOptions{
-		Upstream: "engine-1", DataCentre: "hall-north", Announce: quick(first.address),
+		Upstream: "engine-1", DataCentre: "hall-north", Announce: fastOptions(first.address),
 		Models: []port.LoadedVersion{{Model: "m", Version: "v"}}, ChecksFence: true,
 	})
 	run(t, e)
@@ -132,7 +133,7 @@
 	})
 	got := second.announcements[0]
 	if got.Kind != port.KindEngine || !got.ChecksFence || got.LeaseMillis != 300 || len(got.Models) != 1 || got.Leaving {
-		t.Errorf("announced %+v", got)
+		t.Errorf("announcement %+v", got)
 	}
 	e.Leave()
 	second.await(t, "leaving", func() bool {
@@ -140,17 +141,18 @@
 	})
 }
 
-// A batch of cache events is lost, another comes twice. The numbers must show
-// it: a gap for the lost one, the same numbers for the repeated one.
-func TestAnnouncerLosesAndRepeatsEvents(t *testing.T) {
+// A batch of cache events is dropped or sent twice by a fault. The sequence
+// numbers must show it: a gap after a drop, the same numbers again after a
+// repeat.
+func TestAnnouncerDropsAndRepeatsEvents(t *testing.T) {
 	cases := map[FaultKind][]uint64{
 		FaultDropEvents:   {3, 4},
 		FaultRepeatEvents: {1, 2, 1, 2, 3, 4},
 	}
 	for kind, want := range cases {
 		t.Run(string(kind), func(t *testing.T) {
-			entry := newHearing(t)
-			e := NewEngine(EngineOptions{Upstream: "engine-1", Announce: quick(entry.address)})
+			entry := newEntryRecorder(t)
+			e := NewEngine(EngineOptions{Upstream: "engine-1", Announce: fastOptions(entry.address)})
 			if err := e.Faults().Add(Fault{Kind: kind, Count: 1}); err != nil {
 				t.Fatal(err)
 			}
@@ -168,13 +170,14 @@
 	}
 }
 
-// A load report is as old as LoadLag says, and tells so.
-func TestAnnouncerLags(t *testing.T) {
+// A load report is sent when it is at least LoadLag old, with the time at which
+// it was measured.
+func TestAnnouncerDelaysLoadReports(t *testing.T) {
 	e := NewEngine(EngineOptions{Announce: AnnounceOptions{LoadLag: 2 * time.Second}})
 	at := func(second int64) port.LoadReport { return port.LoadReport{MeasuredAt: second * 1000} }
 	var sent []int64
 	for second := range int64(6) {
-		if report, ok := e.announcer.lagged(at(second)); ok {
+		if report, ok := e.announcer.nextDueReport(at(second)); ok {
 			sent = append(sent, report.MeasuredAt/1000)
 		}
 	}
@@ -183,54 +186,54 @@
 	}
 }
 
-// A learned entry that stays dead is forgotten, so that the list does not grow
-// with each entry that is replaced; an entry from the settings never is.
-func TestAnnouncerForgetsDeadEntries(t *testing.T) {
+// An entry from an answer that stays unreachable is removed, so that the list
+// doesn't grow with each replaced entry. A configured entry is never removed.
+func TestAnnouncerRemovesUnreachableEntries(t *testing.T) {
 	e := NewEngine(EngineOptions{Announce: AnnounceOptions{Entries: []string{"127.0.0.1:1"}}})
-	e.announcer.learn([]string{"127.0.0.1:2"})
+	e.announcer.addEntries([]string{"127.0.0.1:2"})
 	for range entryFailures {
-		for _, entry := range e.announcer.known() {
-			e.announcer.note(entry, context.DeadlineExceeded)
+		for _, entry := range e.announcer.knownEntries() {
+			e.announcer.recordResult(entry, context.DeadlineExceeded)
 		}
 	}
-	if got := e.announcer.known(); !slices.Equal(got, []string{"127.0.0.1:1"}) {
-		t.Errorf("known %v", got)
+	if got := e.announcer.knownEntries(); !slices.Equal(got, []string{"127.0.0.1:1"}) {
+		t.Errorf("known entries %v", got)
 	}
 }
 
-// Two entries ask for different intervals, and a third for none. The upstream
-// reports to all in one rhythm, so it must take the longest, never one shorter
-// than its own; else the busier entry's budget on control traffic is passed.
-func TestAnnouncerFollowsTheLongestIntervalAskedFor(t *testing.T) {
+// Two entries request different intervals, and a third none. The upstream uses
+// one interval for all, so it must be the longest and never shorter than its own;
+// otherwise the busier entry's budget of control traffic is exceeded.
+func TestAnnouncerUsesLongestRequestedInterval(t *testing.T) {
 	a := newAnnouncer(AnnounceOptions{Entries: []string{"a", "b", "c"}, LoadEvery: time.Second, EventsEvery: time.Second}, nil, nil)
 	if a.loadEvery() != time.Second || a.eventsEvery() != time.Second {
-		t.Errorf("unasked: %v, %v", a.loadEvery(), a.eventsEvery())
+		t.Errorf("no intervals requested: %v, %v", a.loadEvery(), a.eventsEvery())
 	}
-	a.pace("a", announce.Reply{ReportEveryMillis: 5_000, EventsEveryMillis: 2_000})
-	a.pace("b", announce.Reply{ReportEveryMillis: 100, EventsEveryMillis: 3_000})
+	a.applyIntervals("a", announce.Reply{ReportEveryMillis: 5_000, EventsEveryMillis: 2_000})
+	a.applyIntervals("b", announce.Reply{ReportEveryMillis: 100, EventsEveryMillis: 3_000})
 	if a.loadEvery() != 5*time.Second || a.eventsEvery() != 3*time.Second {
-		t.Errorf("asked: %v, %v", a.loadEvery(), a.eventsEvery())
+		t.Errorf("intervals requested: %v, %v", a.loadEvery(), a.eventsEvery())
 	}
-	a.pace("a", announce.Reply{ReportEveryMillis: 1 << 40})
+	a.applyIntervals("a", announce.Reply{ReportEveryMillis: 1 << 40})
 	if a.loadEvery() != maxInterval {
-		t.Errorf("an absurd interval is followed: %v", a.loadEvery())
+		t.Errorf("interval beyond maxInterval is used: %v", a.loadEvery())
 	}
-	a.pace("a", announce.Reply{})
+	a.applyIntervals("a", announce.Reply{})
 	if a.loadEvery() != time.Second {
-		t.Errorf("the interval stays when it is no longer asked for: %v", a.loadEvery())
+		t.Errorf("interval that is no longer requested is used: %v", a.loadEvery())
 	}
 }
 
-// The answer to an announcement carries the interval, and the upstream takes it
-// from there. Announcements keep their own rhythm, so the second one comes soon
-// although the entry asks for an hour between reports.
-func TestAnnouncerTakesIntervalsFromTheAnswer(t *testing.T) {
-	h := newHearing(t)
-	h.pace = upstream.ReportIntervals{ReportEvery: time.Hour, EventsEvery: time.Hour}
-	e := NewEngine(EngineOptions{Upstream: "engine-1", DataCentre: "hall-north", Announce: quick(h.address)})
+// The answer to an announcement contains the report intervals, and the upstream
+// must apply them. Announcements keep their own interval: the second one is sent
+// soon, although the entry requests an hour between reports.
+func TestAnnouncerAppliesIntervalsFromAnswer(t *testing.T) {
+	h := newEntryRecorder(t)
+	h.intervals = upstream.ReportIntervals{ReportEvery: time.Hour, EventsEvery: time.Hour}
+	e := NewEngine(EngineOptions{Upstream: "engine-1", DataCentre: "hall-north", Announce: fastOptions(h.address)})
 	run(t, e)
 	h.await(t, "the second announcement", func() bool { return len(h.announcements) >= 2 })
 	if every := e.announcer.loadEvery(); every != maxInterval {
-		t.Errorf("reports every %v", every)
+		t.Errorf("interval between load reports is %v", every)
 	}
 }
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AnswerKey condenses what an answer depends on: the prompt and the seed.
+// AnswerKey is the hash of the prompt and the seed, which together determine an
+// answer.
 type AnswerKey uint64
 
 // NewAnswerKey returns the key of the answer to a prompt.
@@ -15,10 +16,10 @@
 	return AnswerKey(chainHash(seed, tokens))
 }
 
-// answerLetters are the letters of answer words, five bits each.
+// answerLetters is the alphabet of answer words; a letter encodes five bits.
 const answerLetters = "abcdefghijklmnopqrstuvwxyz234567"
 
-// answerWord is the length of an answer word without its leading space.
+// answerWord is the length of an answer word, excluding the leading space.
 const answerWord = 5
 
 // Token returns the text of the token at index.
@@ -32,8 +33,9 @@
 	return string(word[:])
 }
 
-// ExpectedAnswer returns the n answer tokens of a stand-in engine to a prompt,
-// so that a caller can tell that an answer is its own and whole.
+// ExpectedAnswer returns the text of the n answer tokens of a stand-in engine to
+// a prompt. A caller can thus verify that an answer is complete and belongs to
+// its request.
 func ExpectedAnswer(tokens []uint32, seed uint64, n int) string {
 	key := NewAnswerKey(tokens, seed)
 	var text strings.Builder
@@ -50,7 +52,8 @@
 	return x ^ x>>31
 }
 
-// chainHash hashes tokens on top of the hash of what came before them.
+// chainHash returns the hash of tokens, seeded with the hash of the tokens
+// before them.
 func chainHash(before uint64, tokens []uint32) uint64 {
 	digest := xxhash.NewWithSeed(before)
 	var buf [4 * 256]byte
--- a/internal/standin/answerwriter.go
+++ b/internal/standin/answerwriter.go
@@ -8,18 +8,18 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// answerWriter streams the answer to one request.
+// answerWriter streams the answer to a request.
 type answerWriter struct {
-	engine *Engine
-	req    upstreamapi.CompletionRequest
-	w      http.ResponseWriter
-	ctx    context.Context
-	path   string
-	queue  time.Duration
-	buf    []byte
+	engine    *Engine
+	req       upstreamapi.CompletionRequest
+	w         http.ResponseWriter
+	ctx       context.Context
+	path      string
+	queueTime time.Duration
+	buf       []byte
 }
 
-// run streams the answer and reports whether it was sent in full.
+// run streams the answer and reports whether it was sent completely.
 func (a *answerWriter) run() bool {
 	start := time.Now()
 	reused, ready := a.engine.computePrompt(a.req)
@@ -27,23 +27,24 @@
 		return false
 	}
 	prefill := time.Since(start)
-	if !a.beforeTokens() {
+	if !a.applyStartFaults() {
 		return false
 	}
-	if !a.tokens() {
+	if !a.sendTokens() {
 		return false
 	}
 	a.send(upstreamapi.CompletionChunk{
 		Choices: []upstreamapi.Choice{{TokenIndex: a.req.MaxTokens, FinishReason: "length"}},
-		Usage:   usage(a.req, reused, a.queue, prefill),
+		Usage:   usage(a.req, reused, a.queueTime, prefill),
 		Version: a.req.Version,
 	})
 	a.buf = upstreamapi.AppendEvent(a.buf[:0], []byte(upstreamapi.EndOfStream))
 	return a.flush()
 }
 
-// wait waits until ready is closed and reports false when the caller has gone.
-// A comment now and then tells the caller that its request still waits.
+// wait waits until ready is closed and returns false if the caller disconnects.
+// At each KeepAlive interval it sends a comment, so that the caller knows that
+// the request is still queued.
 func (a *answerWriter) wait(ready <-chan struct{}) bool {
 	a.w.Header().Set("Content-Type", "text/event-stream")
 	ticker := time.NewTicker(a.engine.options.KeepAlive)
@@ -63,24 +64,25 @@
 	}
 }
 
-// beforeTokens applies the faults that strike as the answer begins.
-func (a *answerWriter) beforeTokens() bool {
+// applyStartFaults applies the faults that take effect before the first token.
+// It returns false if no token must be sent.
+func (a *answerWriter) applyStartFaults() bool {
 	faults := a.engine.faults
 	if _, ok := faults.Take(FaultError, a.path); ok {
 		upstreamapi.WriteError(a.w, http.StatusInternalServerError, "error", "failed by a fault")
 		return false
 	}
 	if _, ok := faults.Take(FaultReset, a.path); ok {
-		cut()
+		abortConnection()
 	}
 	if _, ok := faults.Take(FaultCrossed, a.path); ok {
-		a.crossed()
+		a.sendCrossed()
 	}
 	return true
 }
 
-// crossed sends part of an answer that belongs to another request.
-func (a *answerWriter) crossed() {
+// sendCrossed sends tokens under the identity of another request.
+func (a *answerWriter) sendCrossed() {
 	other := a.req.Request
 	other[0] ^= 0xff
 	for i := a.req.ResumeAt; i < a.req.MaxTokens; i++ {
@@ -94,8 +96,9 @@
 	}
 }
 
-// tokens sends the answer's tokens and reports whether all were sent.
-func (a *answerWriter) tokens() bool {
+// sendTokens sends the answer's tokens and reports whether all of them were
+// sent.
+func (a *answerWriter) sendTokens() bool {
 	faults := a.engine.faults
 	key := NewAnswerKey(a.req.Prompt, a.req.Seed)
 	codec := upstreamapi.NewTokenCodec(a.req.Request, a.req.Attempt)
@@ -103,7 +106,7 @@
 	middle := (a.req.ResumeAt + a.req.MaxTokens) / 2
 	due := time.Now()
 	for i := a.req.ResumeAt; i < a.req.MaxTokens; i++ {
-		if i == middle && a.breakOff() {
+		if i == middle && a.applyMidAnswerFaults() {
 			return false
 		}
 		if a.engine.options.DecodeInterval > 0 {
@@ -123,8 +126,9 @@
 	return true
 }
 
-// breakOff applies the faults that strike in the middle of an answer.
-func (a *answerWriter) breakOff() bool {
+// applyMidAnswerFaults applies the faults that take effect in the middle of an
+// answer. It returns true if the answer must end there.
+func (a *answerWriter) applyMidAnswerFaults() bool {
 	faults := a.engine.faults
 	if _, ok := faults.Take(FaultTruncated, a.path); ok {
 		return true
@@ -136,7 +140,7 @@
 	if _, ok := faults.Take(FaultHalfWritten, a.path); ok {
 		a.buf = append(a.buf[:0], `data: {"id":"`...)
 		a.flush()
-		cut()
+		abortConnection()
 	}
 	return false
 }
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -7,11 +7,11 @@
 	"sync"
 )
 
-// errQueueFull reports that an engine takes no more waiting requests.
+// errQueueFull is returned when the queue has reached its bound.
 var errQueueFull = errors.New("queue is full")
 
-// batch is the slots of an engine and the requests that wait for one, by
-// priority and then arrival.
+// batch holds the slots of an engine and the requests that wait for a slot,
+// ordered by priority (lowest value first) and then by arrival.
 type batch struct {
 	mu        sync.Mutex
 	slots     int
@@ -26,10 +26,11 @@
 	return &batch{slots: slots, maxQueued: maxQueued}
 }
 
-// granted is the index of a waiter that has left the queue for a slot.
+// granted is the index of a waiter that is not in the queue, because it has a
+// slot.
 const granted = -1
 
-// waiter is one waiting request.
+// waiter is a request that waits for a slot or has one.
 type waiter struct {
 	priority int
 	arrival  uint64
@@ -38,7 +39,7 @@
 	granted  chan struct{}
 }
 
-// acquire waits for a slot.
+// acquire waits for a slot. It returns errQueueFull, or the error of ctx.
 func (b *batch) acquire(ctx context.Context, priority, tokens int) error {
 	w, err := b.join(priority, tokens)
 	if err != nil {
@@ -53,8 +54,8 @@
 	}
 }
 
-// join takes a slot or a place in the queue. The waiter's channel is closed
-// once it has a slot; until then abandon gives the place up.
+// join acquires a slot or enters the queue. The waiter's channel is closed when
+// it has a slot; until then, abandon removes it from the queue.
 func (b *batch) join(priority, tokens int) (*waiter, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,13 +75,13 @@
 	return w, nil
 }
 
-// abandon removes a waiter whose caller has gone. A slot granted meanwhile is
-// handed on.
+// abandon removes a waiter whose caller has disconnected. If it was granted a
+// slot in the meantime, the slot passes to the next waiter.
 func (b *batch) abandon(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if w.index == granted {
-		b.handOn()
+		b.passSlot()
 		return
 	}
 	heap.Remove(&b.waiting, w.index)
@@ -91,10 +92,12 @@
 func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.handOn()
+	b.passSlot()
 }
 
-func (b *batch) handOn() {
+// passSlot passes a slot to the next waiter, or frees it if there is none. b.mu
+// must be held.
+func (b *batch) passSlot() {
 	if len(b.waiting) == 0 {
 		b.running--
 		return
--- a/internal/standin/blockcache.go
+++ b/internal/standin/blockcache.go
@@ -7,24 +7,24 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// content is what a cached block was computed from. A block may be used only
-// for the same prompt prefix under the same weights.
+// content identifies the input from which a block was computed. A block may be
+// used only for the same prompt prefix and the same weights.
 type content struct {
 	Model   ident.Model
 	Version ident.Version
 	Adapter ident.Adapter
-	// Prefix is the hash of all tokens up to the block's end.
+	// Prefix is the hash of all tokens up to the end of the block.
 	Prefix uint64
 }
 
-// blockCache is an engine's cache of blocks, the least recently used of which
-// make room for new ones.
+// blockCache is an engine's LRU cache of blocks. It is not safe for concurrent
+// use.
 type blockCache struct {
 	capacity int
 	recent   *list.List // of *cachedBlock, most recent first
 	byID     map[port.BlockID]*list.Element
-	changed  func(port.CacheEventKind, port.BlockID, *port.SlotState)
-	wrong    uint64
+	onChange func(port.CacheEventKind, port.BlockID, *port.SlotState)
+	wrong    uint64 // uses refused because the content differs
 }
 
 type cachedBlock struct {
@@ -32,13 +32,13 @@
 	content content
 }
 
-func newBlockCache(capacity int, changed func(port.CacheEventKind, port.BlockID, *port.SlotState)) *blockCache {
-	return &blockCache{capacity: capacity, recent: list.New(), byID: make(map[port.BlockID]*list.Element), changed: changed}
+func newBlockCache(capacity int, onChange func(port.CacheEventKind, port.BlockID, *port.SlotState)) *blockCache {
+	return &blockCache{capacity: capacity, recent: list.New(), byID: make(map[port.BlockID]*list.Element), onChange: onChange}
 }
 
-// use reports whether the cache holds the block with this content. A block of
-// the same name with other content is counted and not used: the name was
-// wrong, which must never happen.
+// use reports whether the cache contains the block with this content, and marks
+// it as recently used. A block with the same ID and other content is counted in
+// wrong and not used: the request named a wrong block, which must never happen.
 func (c *blockCache) use(id port.BlockID, want content) bool {
 	element, ok := c.byID[id]
 	if !ok {
@@ -52,7 +52,7 @@
 	return true
 }
 
-// get returns the content of a block.
+// get returns the content of a block without marking it as used.
 func (c *blockCache) get(id port.BlockID) (content, bool) {
 	element, ok := c.byID[id]
 	if !ok {
@@ -61,7 +61,8 @@
 	return element.Value.(*cachedBlock).content, true
 }
 
-// put stores a block and evicts what no longer fits.
+// put stores a block and evicts the least recently used ones beyond the
+// capacity.
 func (c *blockCache) put(id port.BlockID, value content) {
 	if element, ok := c.byID[id]; ok {
 		element.Value.(*cachedBlock).content = value
@@ -72,7 +73,7 @@
 		c.evictOldest()
 	}
 	c.byID[id] = c.recent.PushFront(&cachedBlock{id: id, content: value})
-	c.changed(port.CacheStored, id, nil)
+	c.onChange(port.CacheStored, id, nil)
 }
 
 func (c *blockCache) evictOldest() {
@@ -80,20 +81,19 @@
 	id := oldest.Value.(*cachedBlock).id
 	c.recent.Remove(oldest)
 	delete(c.byID, id)
-	c.changed(port.CacheRemoved, id, nil)
+	c.onChange(port.CacheRemoved, id, nil)
 }
 
-// clear empties the cache.
 func (c *blockCache) clear() {
 	c.recent.Init()
 	clear(c.byID)
-	c.changed(port.CacheCleared, "", nil)
+	c.onChange(port.CacheCleared, "", nil)
 }
 
 func (c *blockCache) len() int  { return c.recent.Len() }
 func (c *blockCache) free() int { return c.capacity - c.recent.Len() }
 
-// states lists the blocks.
+// states returns the states of all blocks, each with this size in bytes.
 func (c *blockCache) states(bytes int64) []port.SlotState {
 	states := make([]port.SlotState, 0, c.recent.Len())
 	for element := c.recent.Front(); element != nil; element = element.Next() {
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,7 +1,7 @@
-// Package standin holds small fakes of what lies outside the system: model
-// engines, store hosts, plain services and the weight store. They speak the
-// HTTP interface of package upstreamapi, announce themselves as real upstreams
-// do, and fail on demand: see Faults. They are for development and tests.
+// Package standin provides fakes of the external systems for development and
+// tests: model engines, store hosts, plain services and the weight store. They
+// serve the HTTP interface of package upstreamapi, announce themselves as real
+// upstreams do, and fail on demand; see Faults.
 package standin
 
 import (
@@ -16,33 +16,36 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Paths that every stand-in has beside those of its kind.
+// Paths that every stand-in serves in addition to those of its kind.
 const (
 	PathFaults = "/faults"
 	PathStats  = "/stats"
 )
 
-// Upstream is a stand-in that announces itself.
+// Upstream is a stand-in that announces itself to entries.
 type Upstream interface {
-	// Handler answers its HTTP interface, with PathFaults and PathStats.
+	// Handler returns the handler of the HTTP interface, including PathFaults
+	// and PathStats.
 	Handler() http.Handler
-	// SetAddress tells it the IP and port to announce, before Run.
+	// SetAddress sets the IP and port to announce. It must be called before
+	// Run.
 	SetAddress(address string)
-	// Run announces it until ctx ends.
+	// Run sends announcements and reports until ctx is done.
 	Run(ctx context.Context) error
-	// Leave announces that it takes no new work from now on.
+	// Leave announces that the upstream accepts no new work.
 	Leave()
+	// Faults returns the faults of the stand-in.
 	Faults() *Faults
 }
 
-// Time limits of the servers of stand-ins.
+// Time limits of the HTTP servers of stand-ins.
 const (
 	readHeaderTimeout = 5 * time.Second
 	shutdownGrace     = 2 * time.Second
 )
 
-// Serve serves u on listener and announces it until ctx ends. Requests in
-// progress then get a short grace and are cut.
+// Serve serves u on listener and announces it until ctx is done. Requests in
+// progress then have shutdownGrace to complete before they are aborted.
 func Serve(ctx context.Context, listener net.Listener, u Upstream) error {
 	u.SetAddress(listener.Addr().String())
 	server := &http.Server{Handler: u.Handler(), ReadHeaderTimeout: readHeaderTimeout}
@@ -66,8 +69,9 @@
 	return group.Wait()
 }
 
-// NewIncarnation returns a number that grows with each life of a process: the
-// microseconds since 1970, which JSON readers of every language keep exactly.
+// NewIncarnation returns a number that increases with each incarnation of a
+// process: now in Unix microseconds, which JSON decoders of every language
+// represent exactly.
 func NewIncarnation(now time.Time) ident.Incarnation {
 	return ident.Incarnation(now.UnixMicro())
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,41 +13,44 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// EngineOptions describe a stand-in engine. Zero rates and times mean
-// unlimited and at once.
+// EngineOptions configure a stand-in engine. A zero rate means unlimited, a
+// zero time no delay.
 type EngineOptions struct {
 	Upstream   ident.Upstream
 	DataCentre ident.DataCentre
 	Models     []port.LoadedVersion
 	Announce   AnnounceOptions
-	// Slots is how many requests run at once; zero means 8.
+	// Slots is the number of requests that run concurrently; zero means 8.
 	Slots int
-	// MaxQueued bounds the waiting requests; zero means 4096.
+	// MaxQueued bounds the number of queued requests; zero means 4096.
 	MaxQueued int
 	// PrefillRate is in prompt tokens per second, shared by all requests.
 	PrefillRate float64
-	// DecodeInterval is the time between two tokens of one answer.
+	// DecodeInterval is the time between two tokens of an answer.
 	DecodeInterval time.Duration
-	// KeepAlive is the time between two signs of life to a waiting request;
-	// zero means 5 s.
+	// KeepAlive is the interval of the comments sent to the caller of a
+	// queued request; zero means 5 s.
 	KeepAlive time.Duration
 	// BlockTokens is the number of tokens in a block; zero means 1000.
 	BlockTokens int
-	// BlockBytes is the size of a block of KV cache; zero means 64 KiB.
+	// BlockBytes is the size of a block of KV cache in bytes; zero means
+	// 64 KiB.
 	BlockBytes int64
-	// CacheBlocks is the room of the cache; zero means 256.
+	// CacheBlocks is the capacity of the cache in blocks; zero means 256.
 	CacheBlocks int
-	// LinkRate is the engine's link to store hosts in bytes per second.
+	// LinkRate is the bandwidth to store hosts in bytes per second.
 	LinkRate float64
-	// ChecksFence makes the engine refuse orders with old fencing numbers.
+	// ChecksFence makes the engine refuse orders with a fencing token lower
+	// than the highest one accepted.
 	ChecksFence bool
-	// LoadTime is how long a version loads without a weight store.
+	// LoadTime is the time to load a version without a weight store.
 	LoadTime time.Duration
 	// WeightStore is the address of the weight store, empty for none.
 	WeightStore string
-	// RunLog receives the requests that the engine begins.
+	// RunLog records the requests that the engine starts.
 	RunLog *RunLog
-	// FaultSeed fixes which requests faults with a rate strike.
+	// FaultSeed seeds the choice of the requests that a fault with a Rate
+	// affects.
 	FaultSeed uint64
 }
 
@@ -69,18 +72,18 @@
 	announcer   *announcer
 	client      *httpsend.Transport
 	batch       *batch
-	prefill     line
-	link        line
-	orders      *orderBook
+	prefill     rateQueue
+	link        rateQueue
+	orders      *orderTracker
 	leaving     atomic.Bool
 	counters    engineCounters
-	begun       begunRing
+	begun       requestRing
 
 	mu      sync.Mutex
 	address string
 	cache   *blockCache
 	models  *modelSet
-	life    context.Context // ends with Run; bounds loads in progress
+	runCtx  context.Context // context of Run; cancels loads in progress
 }
 
 type engineCounters struct {
@@ -91,7 +94,7 @@
 	importsRejected                        atomic.Uint64
 }
 
-// NewEngine returns an engine that has loaded its models.
+// NewEngine returns an engine on which options.Models are loaded.
 func NewEngine(options EngineOptions) *Engine {
 	options.setDefaults()
 	e := &Engine{
@@ -100,14 +103,14 @@
 		faults:      NewFaults(options.FaultSeed),
 		client:      httpsend.NoRetryTransport(),
 		batch:       newBatch(options.Slots, options.MaxQueued),
-		prefill:     line{rate: options.PrefillRate},
-		link:        line{rate: options.LinkRate},
-		orders:      newOrderBook(options.ChecksFence),
+		prefill:     rateQueue{rate: options.PrefillRate},
+		link:        rateQueue{rate: options.LinkRate},
+		orders:      newOrderTracker(options.ChecksFence),
 		models:      newModelSet(options.Models),
-		life:        context.Background(),
+		runCtx:      context.Background(),
 	}
 	e.announcer = newAnnouncer(options.Announce, e, e.faults)
-	e.announcer.begin(e.incarnation)
+	e.announcer.startIncarnation(e.incarnation)
 	e.cache = newBlockCache(options.CacheBlocks, e.announcer.record)
 	return e
 }
@@ -150,7 +153,7 @@
 // Run implements Upstream.
 func (e *Engine) Run(ctx context.Context) error {
 	e.mu.Lock()
-	e.life = ctx
+	e.runCtx = ctx
 	e.mu.Unlock()
 	return e.announcer.run(ctx)
 }
@@ -161,10 +164,11 @@
 	e.announcer.announceNow()
 }
 
-// PathEvict empties an engine's cache.
+// PathEvict is the path that empties an engine's cache.
 const PathEvict = "/evict"
 
-// Evict empties the engine's cache, as memory pressure does over a long gap.
+// Evict empties the engine's cache, as memory pressure does between requests
+// that are far apart.
 func (e *Engine) Evict() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -208,7 +212,7 @@
 	}
 }
 
-// EngineStats are an engine's counts since its start.
+// EngineStats are the counters of an engine since its start.
 type EngineStats struct {
 	Upstream       ident.Upstream `json:"upstream"`
 	Requests       uint64         `json:"requests"`
@@ -223,8 +227,8 @@
 	ExportedBytes  uint64         `json:"exported_bytes"`
 	// ImportsRejected counts blocks that failed verification.
 	ImportsRejected uint64 `json:"imports_rejected"`
-	// WrongBlocks counts cached blocks named by a request whose prompt,
-	// version or adapter they do not belong to. They are never used.
+	// WrongBlocks counts the cached blocks that a request named although they
+	// belong to another prompt, version or adapter. They are never used.
 	WrongBlocks  uint64               `json:"wrong_blocks"`
 	CachedBlocks int                  `json:"cached_blocks"`
 	Running      int                  `json:"running"`
@@ -232,7 +236,7 @@
 	Struck       map[FaultKind]uint64 `json:"faults_struck"`
 }
 
-// Stats returns the engine's counts.
+// Stats returns the engine's counters.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	wrong, cached := e.cache.wrong, e.cache.len()
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -21,8 +21,8 @@
 const (
 	blockTokens = 4
 	blockBytes  = 200
-	// longTokens is the length of an answer that does not end by itself
-	// during a test: at one token in 5 ms it takes 50 s.
+	// longTokens is the length of an answer that doesn't complete during a
+	// test: at one token per 5 ms it takes 50 s.
 	longTokens   = 10_000
 	longInterval = 5 * time.Millisecond
 )
@@ -47,7 +47,7 @@
 	}
 }
 
-func open(t *testing.T, options standin.EngineOptions) (*standin.Engine, *engine.Client) {
+func startEngine(t *testing.T, options standin.EngineOptions) (*standin.Engine, *engine.Client) {
 	t.Helper()
 	e := standin.NewEngine(options)
 	return e, engine.New(serve(t, e.Handler()), engine.Options{})
@@ -60,7 +60,7 @@
 	}
 }
 
-// finish reads a stream to its end and returns the usage.
+// finish reads a stream to the end and returns the usage.
 func finish(t *testing.T, stream port.TokenStream, err error) port.Usage {
 	t.Helper()
 	for err == nil {
@@ -73,20 +73,20 @@
 	return port.Usage{}
 }
 
-// awaitIdle waits until the engine has noticed that its requests are over,
-// which is a moment after their callers have.
+// awaitIdle waits until the engine has no running or queued requests. The engine
+// detects the end of a request later than the caller does.
 func awaitIdle(e *standin.Engine) {
 	for stats := e.Stats(); stats.Running+stats.Queued > 0; stats = e.Stats() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A caller leaves in the middle of a long answer. The engine must stop and give
-// its only slot to the next request, which would otherwise wait 50 s.
-func TestEngineStopsWhenTheCallerLeaves(t *testing.T) {
+// A caller disconnects in the middle of a long answer. The engine must stop and
+// give its only slot to the next request, which would otherwise wait 50 s.
+func TestEngineStopsWhenCallerDisconnects(t *testing.T) {
 	options := testOptions()
 	options.DecodeInterval = longInterval
-	e, client := open(t, options)
+	e, client := startEngine(t, options)
 	stream, err := client.Generate(t.Context(), request(1, longTokens))
 	if err != nil {
 		t.Fatal(err)
@@ -105,14 +105,14 @@
 	}
 }
 
-// New weights are ordered while an answer is under way and the old ones are
-// unloaded. The running answer must end as it began; a new request for the old
-// weights must be refused as not run.
+// Orders load new weights and unload the old ones while an answer is in
+// progress. The answer must complete with the old weights; a new request for
+// them must be refused as not run.
 func TestEngineSwapsVersions(t *testing.T) {
 	options := testOptions()
 	options.Slots = 2
 	options.DecodeInterval = time.Millisecond
-	_, client := open(t, options)
+	_, client := startEngine(t, options)
 	running, err := client.Generate(t.Context(), request(1, 100))
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 		t.Errorf("new request for the old weights: %v", err)
 	}
 	if usage := finish(t, running, nil); usage.Version != "v1" || usage.OutputTokens != 100 {
-		t.Errorf("the running answer ended with %+v", usage)
+		t.Errorf("usage of the running answer: %+v", usage)
 	}
 	state, err := client.State(t.Context())
 	for len(state.Loading) > 0 && err == nil {
@@ -145,11 +145,11 @@
 	return slices.EqualFunc(a, b, func(x, y port.LoadedVersion) bool { return x.Model == y.Model && x.Version == y.Version })
 }
 
-// A request names a cached block that belongs to another prompt, as a fault of
-// the whole system would. The caller must get its own answer from recomputed
-// tokens, and the engine must count the wrong use.
+// A request names a cached block that belongs to another prompt, as a bug in the
+// system could cause. The engine must recompute the tokens for the caller's own
+// answer and count the wrong block.
 func TestEngineRefusesWrongBlocks(t *testing.T) {
-	e, client := open(t, testOptions())
+	e, client := startEngine(t, testOptions())
 	stream, err := client.Generate(t.Context(), request(1, 1))
 	finish(t, stream, err)
 	other := request(2, 3)
@@ -159,12 +159,13 @@
 		t.Errorf("reused %d tokens of another prompt", usage.ReusedTokens)
 	}
 	if wrong := e.Stats().WrongBlocks; wrong == 0 {
-		t.Error("the wrong use was not counted")
+		t.Error("the wrong block was not counted")
 	}
 }
 
-// keep brings block a of request 1 to a store host and returns its slot.
-func keep(t *testing.T, from *engine.Client, to *store.Client, address string) (port.SlotState, error) {
+// exportBlock exports block a of request 1 to a store host and returns the state
+// of its slot.
+func exportBlock(t *testing.T, from *engine.Client, to *store.Client, address string) (port.SlotState, error) {
 	t.Helper()
 	stream, err := from.Generate(t.Context(), request(1, 1))
 	finish(t, stream, err)
@@ -185,44 +186,45 @@
 	})
 }
 
-// A store host keeps half of what an engine wrote and says that it has all. The
-// commit must fail, so that no reader ever finds the half block.
+// A store host keeps half of the data that an engine wrote and reports that the
+// write is complete. The commit must fail, so that no reader gets the block.
 func TestHalfWrittenSlotIsNotCommitted(t *testing.T) {
 	s := standin.NewStore(standin.StoreOptions{Upstream: "store-1"})
 	address := serve(t, s.Handler())
-	_, client := open(t, testOptions())
+	_, client := startEngine(t, testOptions())
 	if err := s.Faults().Add(standin.Fault{Kind: standin.FaultHalfWritten, Path: upstreamapi.PathSlots, Count: 1}); err != nil {
 		t.Fatal(err)
 	}
-	_, err := keep(t, client, store.New(address, nil), address)
+	_, err := exportBlock(t, client, store.New(address, nil), address)
 	if outcome.KindOf(err) != outcome.KindFailed {
-		t.Errorf("commit of half a block: %v", err)
+		t.Errorf("commit of half of a block: %v", err)
 	}
 	if snapshot, err := store.New(address, nil).Blocks(t.Context()); err != nil || len(snapshot.Blocks) != 0 {
-		t.Errorf("readable: %+v, %v", snapshot.Blocks, err)
+		t.Errorf("readable blocks: %+v, %v", snapshot.Blocks, err)
 	}
 }
 
-// A store host comes back with other content under a slot's old name. An engine
-// that still holds the old reference must find nothing, whether the host knows
-// that it restarted or not; from the host's new list it may read what is there.
+// A store host restarts and may reuse the name of a slot for other content. An
+// engine with a reference from before must get nothing but a block that the host
+// kept under its old generation; with references from the host's new snapshot
+// it must get every block listed.
 func TestImportAfterRestart(t *testing.T) {
 	cases := map[string]struct{ old, listed int }{
 		"none":  {old: 0, listed: 0},
 		"disk":  {old: 0, listed: 1},
 		"stale": {old: 1, listed: 1},
 	}
-	for keeps, want := range cases {
-		t.Run(keeps, func(t *testing.T) {
+	for keep, want := range cases {
+		t.Run(keep, func(t *testing.T) {
 			s := standin.NewStore(standin.StoreOptions{Upstream: "store-1"})
 			address := serve(t, s.Handler())
 			client := store.New(address, nil)
-			_, writer := open(t, testOptions())
-			state, err := keep(t, writer, client, address)
+			_, writer := startEngine(t, testOptions())
+			state, err := exportBlock(t, writer, client, address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Restart(standin.StoreRestart{Keep: keeps})
+			s.Restart(standin.StoreRestart{Keep: keep})
 			if got := importFrom(t, address, []port.SlotState{state}); got != want.old {
 				t.Errorf("old reference: %d blocks, want %d", got, want.old)
 			}
@@ -237,10 +239,10 @@
 	}
 }
 
-// importFrom returns how many of the slots a fresh engine takes.
+// importFrom returns the number of slots that a new engine imports.
 func importFrom(t *testing.T, address string, slots []port.SlotState) int {
 	t.Helper()
-	_, reader := open(t, testOptions())
+	_, reader := startEngine(t, testOptions())
 	req := port.ImportRequest{Model: "m", Version: "v1", Sources: []port.BlockSource{}}
 	for _, slot := range slots {
 		req.Sources = append(req.Sources, port.BlockSource{
@@ -254,14 +256,14 @@
 	return len(result.Present)
 }
 
-// The engine's queue and cache are bounded: a request beyond the queue is
-// refused as not run, and the oldest blocks make room for new ones.
+// The engine's queue and cache are bounded: a request beyond the queue's bound is
+// refused as not run, and the oldest blocks are evicted for new ones.
 func TestEngineBounds(t *testing.T) {
 	options := testOptions()
 	options.MaxQueued = 1
 	options.CacheBlocks = 2
 	options.DecodeInterval = longInterval
-	e, client := open(t, options)
+	e, client := startEngine(t, options)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if _, err := client.Generate(ctx, request(1, longTokens)); err != nil {
@@ -275,7 +277,7 @@
 		}()
 	}
 	if err := <-refused; outcome.KindOf(err) != outcome.KindNotRun {
-		t.Errorf("beyond the queue: %v", err)
+		t.Errorf("request beyond the queue's bound: %v", err)
 	}
 	cancel()
 	<-refused
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -14,39 +14,41 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// FaultKind is a way in which a stand-in misbehaves.
+// FaultKind is a kind of failure that a stand-in simulates.
 type FaultKind string
 
-// The kinds of fault. Which apply depends on the stand-in and path.
+// The fault kinds. The stand-in and the request path determine which apply.
 const (
 	// FaultLate delays an answer by DelayMillis.
 	FaultLate FaultKind = "late"
 	// FaultCrossed answers with the content of another request.
 	FaultCrossed FaultKind = "crossed"
-	// FaultTruncated ends an answer early, as if it were whole.
+	// FaultTruncated ends an answer early, without a connection error.
 	FaultTruncated FaultKind = "truncated"
 	// FaultDuplicated sends every part of an answer twice.
 	FaultDuplicated FaultKind = "duplicated"
-	// FaultRefused refuses with the statement that nothing ran.
+	// FaultRefused refuses the request with a signed statement that it did not
+	// run.
 	FaultRefused FaultKind = "refused"
 	// FaultError fails with status 500 after the request has run.
 	FaultError FaultKind = "error"
-	// FaultUnavailable fails with an unsigned status 503.
+	// FaultUnavailable fails with status 503 without a signed statement.
 	FaultUnavailable FaultKind = "unavailable"
-	// FaultHung takes the request and never answers.
+	// FaultHung accepts the request and never answers.
 	FaultHung FaultKind = "hung"
-	// FaultStalled stops in the middle of a stream and keeps it open.
+	// FaultStalled stops sending in the middle of a stream and keeps it open.
 	FaultStalled FaultKind = "stalled"
-	// FaultHalfWritten cuts the connection inside a part of the answer; a
-	// store host keeps half of a written slot and calls it whole.
+	// FaultHalfWritten aborts the connection in the middle of an answer's
+	// event or body; a store host keeps half of a written slot and reports
+	// that the write is complete.
 	FaultHalfWritten FaultKind = "half-written"
-	// FaultReset runs the request and cuts the connection before the answer.
+	// FaultReset runs the request and aborts the connection before the answer.
 	FaultReset FaultKind = "reset"
-	// FaultDropEvents loses batches of cache events.
+	// FaultDropEvents drops batches of cache events.
 	FaultDropEvents FaultKind = "drop-events"
 	// FaultRepeatEvents sends batches of cache events twice.
 	FaultRepeatEvents FaultKind = "repeat-events"
-	// FaultFull makes a store host say that it has no room.
+	// FaultFull makes a store host answer that the tier is full.
 	FaultFull FaultKind = "full"
 	// FaultSilent stops announcements and reports.
 	FaultSilent FaultKind = "silent"
@@ -59,24 +61,25 @@
 	FaultRepeatEvents: true, FaultFull: true, FaultSilent: true,
 }
 
-// Fault is one fault that is switched on.
+// Fault is an active fault.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// Path limits the fault to requests of one path or, when it ends with a
-	// slash, to all paths below it; empty means all.
+	// Path limits the fault to requests for this path or, if it ends with a
+	// slash, for all paths below it. Empty means all paths.
 	Path string `json:"path,omitempty"`
-	// Rate is the share of requests that meet the fault; zero means all.
+	// Rate is the fraction of requests affected; zero means all.
 	Rate float64 `json:"rate,omitempty"`
-	// Count is how often it strikes before it is over; zero means for ever.
+	// Count is the number of requests affected before the fault is removed;
+	// zero means unlimited.
 	Count int `json:"count,omitempty"`
-	// DelayMillis is the delay of FaultLate.
+	// DelayMillis is the delay of FaultLate in milliseconds.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
 }
 
-// maxFaults bounds the faults switched on at once.
+// maxFaults bounds the number of active faults.
 const maxFaults = 64
 
-// Validate reports the first field of f that can't be.
+// Validate returns an error for the first invalid field of f.
 func (f Fault) Validate() error {
 	switch {
 	case !faultKinds[f.Kind]:
@@ -91,7 +94,7 @@
 	return nil
 }
 
-// covers reports whether the fault concerns requests of path.
+// covers reports whether the fault applies to requests for path.
 func (f Fault) covers(path string) bool {
 	if f.Path == "" || f.Path == path {
 		return true
@@ -99,7 +102,8 @@
 	return strings.HasSuffix(f.Path, "/") && strings.HasPrefix(path, f.Path)
 }
 
-// Faults are the faults of one stand-in, switchable while it runs.
+// Faults are the active faults of one stand-in. They can be changed while it
+// runs. It implements http.Handler for PathFaults.
 type Faults struct {
 	active atomic.Int64
 	mu     sync.Mutex
@@ -108,12 +112,13 @@
 	struck map[FaultKind]uint64
 }
 
-// NewFaults returns no faults; seed fixes which requests a Rate strikes.
+// NewFaults returns an empty set of faults. The seed determines which requests
+// a fault with a Rate affects.
 func NewFaults(seed uint64) *Faults {
 	return &Faults{random: rand.New(rand.NewPCG(seed, 0)), struck: make(map[FaultKind]uint64)}
 }
 
-// Add switches a fault on.
+// Add activates a fault.
 func (f *Faults) Add(fault Fault) error {
 	if err := fault.Validate(); err != nil {
 		return err
@@ -128,7 +133,7 @@
 	return nil
 }
 
-// Clear switches all faults off.
+// Clear removes all faults.
 func (f *Faults) Clear() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,7 +141,9 @@
 	f.active.Store(0)
 }
 
-// Take reports whether a fault of this kind strikes a request of path.
+// Take returns an active fault of this kind that applies to a request for path,
+// and counts its use. It returns false if there is none. Each call makes a new
+// random choice for a fault with a Rate.
 func (f *Faults) Take(kind FaultKind, path string) (Fault, bool) {
 	if f.active.Load() == 0 {
 		return Fault{}, false
@@ -151,14 +158,15 @@
 			continue
 		}
 		f.struck[kind]++
-		f.spend(i)
+		f.countStrike(i)
 		return fault, true
 	}
 	return Fault{}, false
 }
 
-// spend counts one strike of the fault at i and removes it when it is over.
-func (f *Faults) spend(i int) {
+// countStrike decrements the Count of the fault at index i and removes the
+// fault when it reaches zero.
+func (f *Faults) countStrike(i int) {
 	if f.faults[i].Count == 0 {
 		return
 	}
@@ -169,7 +177,7 @@
 	}
 }
 
-// Struck returns how often each kind has struck.
+// Struck returns the number of uses of each kind. Clear doesn't reset it.
 func (f *Faults) Struck() map[FaultKind]uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -207,9 +215,9 @@
 	}
 }
 
-// before applies the faults that strike before a request is run. It returns
-// false when the request is over.
-func (f *Faults) before(w http.ResponseWriter, r *http.Request) bool {
+// applyBeforeRun applies the faults that take effect before a request runs. It
+// returns false if the request must not run.
+func (f *Faults) applyBeforeRun(w http.ResponseWriter, r *http.Request) bool {
 	if f.active.Load() == 0 {
 		return true
 	}
@@ -234,8 +242,8 @@
 	return true
 }
 
-// refuse answers that the attempt named in the request's headers was not and
-// will not be run.
+// refuse answers that the attempt identified by the request's headers has not
+// run and will not run.
 func refuse(w http.ResponseWriter, r *http.Request, status int, reason string) {
 	if request, attempt, err := upstreamapi.ReadAttempt(r.Header); err == nil {
 		upstreamapi.SetAttempt(w.Header(), request, attempt)
@@ -244,10 +252,11 @@
 	upstreamapi.WriteError(w, status, "not_run", reason)
 }
 
-// cut ends the connection without a proper end of the answer.
-func cut() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection before the answer is complete. It must
+// be called on the goroutine of an HTTP handler.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
-// sleep waits for d or until ctx ends.
+// sleep waits for d or until ctx is done; it returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -23,34 +23,34 @@
 		upstreamapi.WriteError(w, http.StatusBadRequest, "invalid_request", err.Error())
 		return
 	}
-	if !e.faults.before(w, r) {
+	if !e.faults.applyBeforeRun(w, r) {
 		return
 	}
 	if request, attempt, err := upstreamapi.ReadAttempt(r.Header); err == nil {
 		upstreamapi.SetAttempt(w.Header(), request, attempt)
 	}
-	if reason := e.refusalOf(req); reason != "" {
+	if reason := e.refusalReason(req); reason != "" {
 		e.counters.refused.Add(1)
 		refuse(w, r, http.StatusConflict, reason)
 		return
 	}
 	arrived := time.Now()
-	place, err := e.batch.join(req.Priority, len(req.Prompt))
+	waiter, err := e.batch.join(req.Priority, len(req.Prompt))
 	if err != nil {
 		e.counters.refused.Add(1)
 		refuse(w, r, http.StatusTooManyRequests, err.Error())
 		return
 	}
 	answer := &answerWriter{engine: e, req: req, w: w, ctx: r.Context(), path: r.URL.Path}
-	if !answer.wait(place.granted) {
-		e.batch.abandon(place)
+	if !answer.wait(waiter.granted) {
+		e.batch.abandon(waiter)
 		e.counters.cancelled.Add(1)
 		return
 	}
 	defer e.batch.release()
 	e.begun.add(req.Request)
 	e.options.RunLog.add(RunRequest, req.Request.String())
-	answer.queue = time.Since(arrived)
+	answer.queueTime = time.Since(arrived)
 	if answer.run() {
 		e.counters.finished.Add(1)
 	} else {
@@ -58,8 +58,9 @@
 	}
 }
 
-// refusalOf returns why the engine does not run req, empty when it does.
-func (e *Engine) refusalOf(req upstreamapi.CompletionRequest) string {
+// refusalReason returns the reason for which the engine refuses req, or an empty
+// string if it runs req.
+func (e *Engine) refusalReason(req upstreamapi.CompletionRequest) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -77,7 +78,8 @@
 	return ""
 }
 
-// contents returns what the full blocks of a prompt are computed from.
+// contents returns the content of each complete block of the prompt that has a
+// block ID.
 func (e *Engine) contents(req upstreamapi.CompletionRequest) []content {
 	size := e.options.BlockTokens
 	n := min(len(req.BlockIDs), len(req.Prompt)/size)
@@ -90,8 +92,8 @@
 	return contents
 }
 
-// computePrompt books the prompt's uncached part and returns the number of
-// reused tokens and when the prompt will be ready.
+// computePrompt reserves prefill time for the uncached part of the prompt. It
+// returns the number of reused tokens and the time at which prefill completes.
 func (e *Engine) computePrompt(req upstreamapi.CompletionRequest) (reused int, ready time.Time) {
 	contents := e.contents(req)
 	e.mu.Lock()
@@ -111,7 +113,7 @@
 	return reused, e.prefill.reserve(time.Now(), int64(computed))
 }
 
-// usage returns the account of a finished answer.
+// usage returns the usage report of a finished answer.
 func usage(req upstreamapi.CompletionRequest, reused int, queue, prefill time.Duration) *upstreamapi.UsageBody {
 	return &upstreamapi.UsageBody{
 		PromptTokens:     len(req.Prompt),
@@ -125,7 +127,7 @@
 func marshal(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // the package's own types always encode
+		panic(err) // the types of this package always encode
 	}
 	return data
 }
--- a/internal/standin/guard.go
+++ b/internal/standin/guard.go
@@ -9,19 +9,19 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// guard applies faults to a handler with a short answer. The answer is held
-// back while the handler runs, so that a fault can spoil it.
+// guard wraps a handler with a short answer and applies faults to it. If any
+// fault is active, the answer is buffered, so that a fault can alter it.
 func guard(faults *Faults, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// The server notices that a client has gone only once the body is read;
-		// a hung handler would otherwise hang for ever.
+		// net/http detects that a client has disconnected only after the body
+		// is read; otherwise a handler under FaultHung would never return.
 		body, err := upstreamapi.ReadBounded(r.Body, upstreamapi.MaxRequestBytes)
 		if err != nil {
 			upstreamapi.WriteError(w, http.StatusBadRequest, "invalid_request", err.Error())
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if !faults.before(w, r) {
+		if !faults.applyBeforeRun(w, r) {
 			return
 		}
 		if request, attempt, err := upstreamapi.ReadAttempt(r.Header); err == nil {
@@ -31,56 +31,58 @@
 			next(w, r)
 			return
 		}
-		held := &heldAnswer{header: w.Header(), status: http.StatusOK}
-		next(held, r)
-		faults.spoil(w, r, held)
+		buffered := &bufferedResponse{header: w.Header(), status: http.StatusOK}
+		next(buffered, r)
+		faults.sendWithFaults(w, r, buffered)
 	}
 }
 
-// heldAnswer is an answer that is not yet sent.
-type heldAnswer struct {
+// bufferedResponse is an http.ResponseWriter that buffers the answer.
+type bufferedResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (h *heldAnswer) Header() http.Header         { return h.header }
-func (h *heldAnswer) WriteHeader(status int)      { h.status = status }
-func (h *heldAnswer) Write(p []byte) (int, error) { return h.body.Write(p) }
+func (h *bufferedResponse) Header() http.Header         { return h.header }
+func (h *bufferedResponse) WriteHeader(status int)      { h.status = status }
+func (h *bufferedResponse) Write(p []byte) (int, error) { return h.body.Write(p) }
 
-// spoil sends an answer as the faults that strike after a request leave it.
-func (f *Faults) spoil(w http.ResponseWriter, r *http.Request, held *heldAnswer) {
+// sendWithFaults sends a buffered answer and applies the faults that take effect
+// after a request has run.
+func (f *Faults) sendWithFaults(w http.ResponseWriter, r *http.Request, buffered *bufferedResponse) {
 	path := r.URL.Path
 	if _, ok := f.Take(FaultReset, path); ok {
-		cut()
+		abortConnection()
 	}
 	if _, ok := f.Take(FaultError, path); ok {
 		upstreamapi.WriteError(w, http.StatusInternalServerError, "error", "failed by a fault")
 		return
 	}
 	if _, ok := f.Take(FaultCrossed, path); ok {
-		crossIdentity(w.Header())
+		replaceIdentity(w.Header())
 	}
 	if _, ok := f.Take(FaultDuplicated, path); ok {
-		sendTwice(w, held)
+		sendTwice(w, buffered)
 		return
 	}
-	body := held.body.Bytes()
+	body := buffered.body.Bytes()
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if _, ok := f.Take(FaultTruncated, path); ok {
 		body = body[:len(body)/2]
 	}
-	w.WriteHeader(held.status)
+	w.WriteHeader(buffered.status)
 	if _, ok := f.Take(FaultHalfWritten, path); ok {
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
-		cut()
+		abortConnection()
 	}
 	_, _ = w.Write(body)
 }
 
-// crossIdentity makes an answer that of another request.
-func crossIdentity(header http.Header) {
+// replaceIdentity changes the request identity in an answer's header to that of
+// another request.
+func replaceIdentity(header http.Header) {
 	request, attempt, err := upstreamapi.ReadAttempt(header)
 	if err != nil {
 		return
@@ -89,22 +91,23 @@
 	upstreamapi.SetAttempt(header, request, attempt)
 }
 
-// sendTwice writes a whole answer twice on the connection. A client that keeps
-// the connection could take the second one for the answer to its next request.
-func sendTwice(w http.ResponseWriter, held *heldAnswer) {
+// sendTwice writes the complete answer twice on the connection. A client that
+// reuses the connection could mistake the second one for the answer to its next
+// request.
+func sendTwice(w http.ResponseWriter, buffered *bufferedResponse) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		cut()
+		abortConnection()
 	}
 	defer conn.Close()
 	for range 2 {
 		resp := http.Response{
-			StatusCode:    held.status,
+			StatusCode:    buffered.status,
 			ProtoMajor:    1,
 			ProtoMinor:    1,
-			Header:        held.header,
-			Body:          io.NopCloser(bytes.NewReader(held.body.Bytes())),
-			ContentLength: int64(held.body.Len()),
+			Header:        buffered.header,
+			Body:          io.NopCloser(bytes.NewReader(buffered.body.Bytes())),
+			ContentLength: int64(buffered.body.Len()),
 		}
 		if resp.Write(conn) != nil {
 			return
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -20,8 +20,8 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// blockData returns the bytes of a block: a line that says what it was
-// computed from, and a fill that stands for the KV cache itself.
+// blockData returns the bytes of a block: a line with the JSON encoding of
+// value, followed by filler that represents the KV cache, up to size bytes.
 func blockData(value content, size int64) []byte {
 	data := append(marshal(value), '\n')
 	state := value.Prefix
@@ -32,7 +32,7 @@
 	return data
 }
 
-// parseBlock reads what a block was computed from.
+// parseBlock decodes the first line of a block.
 func parseBlock(data []byte) (content, error) {
 	var value content
 	head, _, ok := bytes.Cut(data, []byte{'\n'})
@@ -51,7 +51,7 @@
 	}
 	result := port.ImportResult{Present: []port.BlockID{}, Missing: []port.BlockID{}}
 	for _, source := range req.Sources {
-		if e.holds(source.Block) {
+		if e.hasBlock(source.Block) {
 			result.Present = append(result.Present, source.Block)
 			continue
 		}
@@ -67,18 +67,18 @@
 	upstreamapi.WriteJSON(w, http.StatusOK, result)
 }
 
-func (e *Engine) holds(id port.BlockID) bool {
+func (e *Engine) hasBlock(id port.BlockID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, ok := e.cache.get(id)
 	return ok
 }
 
-// importBlock fetches and verifies one block before it enters the cache.
+// importBlock fetches one block, verifies it and stores it in the cache.
 //
 // The slot may have been freed, reused or damaged since the request was made.
-// Generation, length and checksum together reveal each of these; the block
-// then counts as missing and the prompt is recomputed.
+// The checks of generation, length and checksum together detect each of these
+// cases; the block is then reported as missing and the prompt is recomputed.
 func (e *Engine) importBlock(ctx context.Context, req port.ImportRequest, source port.BlockSource) error {
 	data, err := e.fetchSlot(ctx, source)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return upstreamapi.ReadBounded(resp.Body, source.Bytes)
 }
 
-// send sends a request of the engine's own to a store host.
+// send sends a request to a store host under a new request identity.
 func (e *Engine) send(req *http.Request) (*http.Response, error) {
 	id, err := ident.NewRequest(rand.Reader)
 	if err != nil {
--- a/internal/standin/models.go
+++ b/internal/standin/models.go
@@ -7,7 +7,8 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// modelSet is what an engine has loaded and is loading.
+// modelSet holds the versions that an engine has loaded or is loading, and its
+// role.
 type modelSet struct {
 	versions []port.LoadedVersion
 	loading  []port.LoadedVersion
@@ -24,14 +25,14 @@
 	})
 }
 
-// has reports whether a version with an adapter is loaded; the empty adapter
-// is the model as it is.
+// has reports whether a version is loaded with an adapter; an empty adapter
+// means the base model.
 func (m *modelSet) has(model ident.Model, version ident.Version, adapter ident.Adapter) bool {
 	i := m.find(model, version)
 	return i >= 0 && (adapter == "" || slices.Contains(m.versions[i].Adapters, adapter))
 }
 
-// loaded returns a copy that stays as it is.
+// loaded returns a deep copy of the loaded versions.
 func (m *modelSet) loaded() []port.LoadedVersion {
 	versions := slices.Clone(m.versions)
 	for i := range versions {
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -12,24 +12,25 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// maxOrders bounds the remembered answers to orders.
+// maxOrders bounds the number of orders whose results are kept.
 const maxOrders = 1024
 
-// orderBook remembers the answers to orders by identity and the highest
-// fencing number.
-type orderBook struct {
+// orderTracker holds the results of recent orders by order ID and the highest
+// fencing token.
+type orderTracker struct {
 	checksFence bool
 	highest     uint64
 	answers     map[string]port.OrderResult
 	recent      []string
 }
 
-func newOrderBook(checksFence bool) *orderBook {
-	return &orderBook{checksFence: checksFence, answers: make(map[string]port.OrderResult)}
+func newOrderTracker(checksFence bool) *orderTracker {
+	return &orderTracker{checksFence: checksFence, answers: make(map[string]port.OrderResult)}
 }
 
-// take decides on an order. repeat is true for an order already answered.
-func (b *orderBook) take(order port.Order) (result port.OrderResult, repeat bool) {
+// decide accepts or refuses an order. For an order that was accepted before it
+// returns the earlier result and repeat is true.
+func (b *orderTracker) decide(order port.Order) (result port.OrderResult, repeat bool) {
 	if answer, ok := b.answers[order.ID]; ok {
 		return answer, true
 	}
@@ -45,7 +46,7 @@
 	return result, false
 }
 
-func (b *orderBook) remember(id string, result port.OrderResult) {
+func (b *orderTracker) remember(id string, result port.OrderResult) {
 	if len(b.recent) >= maxOrders {
 		delete(b.answers, b.recent[0])
 		b.recent = b.recent[1:]
@@ -66,9 +67,9 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	result, repeat := e.orders.take(order)
+	result, repeat := e.orders.decide(order)
 	if result.Accepted && !repeat {
-		e.carryOut(order)
+		e.execute(order)
 	}
 	upstreamapi.WriteJSON(w, http.StatusOK, result)
 }
@@ -78,8 +79,8 @@
 	port.OrderLoadAdapter: true, port.OrderSetRole: true,
 }
 
-// carryOut starts what an accepted order asks for. e.mu is held.
-func (e *Engine) carryOut(order port.Order) {
+// execute starts the execution of an accepted order. e.mu must be held.
+func (e *Engine) execute(order port.Order) {
 	switch order.Kind {
 	case port.OrderLoadVersion:
 		e.startLoading(order.Model, order.Version)
@@ -98,10 +99,10 @@
 		return
 	}
 	e.models.loading = append(e.models.loading, port.LoadedVersion{Model: model, Version: version})
-	life := e.life
+	runCtx := e.runCtx
 	go func() {
-		if e.fetchWeights(life, model, version) != nil {
-			return // the engine has ended
+		if e.fetchWeights(runCtx, model, version) != nil {
+			return // the engine has stopped
 		}
 		e.mu.Lock()
 		e.models.finishLoading(model, version)
@@ -110,8 +111,8 @@
 	}()
 }
 
-// fetchWeights waits until the weights are there. It fails only when the
-// engine ends; a weight store that fails is asked again.
+// fetchWeights waits until the weights are loaded. It retries failed requests
+// to the weight store and returns an error only if ctx is done.
 func (e *Engine) fetchWeights(ctx context.Context, model ident.Model, version ident.Version) error {
 	if e.options.WeightStore == "" {
 		return sleep(ctx, e.options.LoadTime)
--- a/internal/standin/parts_test.go
+++ b/internal/standin/parts_test.go
@@ -24,7 +24,7 @@
 		t.Errorf("answer %q", answer)
 	}
 	if !strings.HasPrefix(ExpectedAnswer(tokens, 7, 9), answer) {
-		t.Error("a longer answer does not begin with the shorter one")
+		t.Error("the shorter answer is not a prefix of the longer one")
 	}
 	others := map[string]string{
 		"other prompt": ExpectedAnswer([]uint32{1, 2, 4}, 7, 4),
@@ -33,13 +33,14 @@
 	}
 	for name, other := range others {
 		if other == answer {
-			t.Errorf("%s: the same answer", name)
+			t.Errorf("%s: got the same answer", name)
 		}
 	}
 }
 
-// Requests wait for a slot; one that leaves must not keep a slot that is
-// granted at the same moment, or the engine would lose a slot for ever.
+// Queued requests get slots by priority. A request that is cancelled while it is
+// granted a slot must release it; otherwise the engine loses the slot
+// permanently.
 func TestBatchOrderAndAbandon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBatch(1, 3)
@@ -47,7 +48,7 @@
 			t.Fatal(err)
 		}
 		var order []string
-		leaving, leave := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 		wait := func(ctx context.Context, name string, priority int) {
 			go func() {
 				if b.acquire(ctx, priority, 10) == nil {
@@ -58,15 +59,15 @@
 			synctest.Wait()
 		}
 		wait(t.Context(), "late", 5)
-		wait(leaving, "gone", 0)
+		wait(cancelled, "gone", 0)
 		wait(t.Context(), "soon", 1)
 		if err := b.acquire(t.Context(), 0, 0); !errors.Is(err, errQueueFull) {
-			t.Errorf("beyond the bound: %v", err)
+			t.Errorf("request beyond the queue's bound: %v", err)
 		}
 		if _, queued, tokens := b.load(); queued != 3 || tokens != 30 {
 			t.Errorf("queued %d, tokens %d", queued, tokens)
 		}
-		leave()
+		cancel()
 		synctest.Wait()
 		b.release()
 		synctest.Wait()
@@ -74,14 +75,14 @@
 			t.Errorf("order %v, want %v", order, want)
 		}
 		if running, queued, tokens := b.load(); running != 0 || queued != 0 || tokens != 0 {
-			t.Errorf("left over: running %d, queued %d, tokens %d", running, queued, tokens)
+			t.Errorf("after all requests: running %d, queued %d, tokens %d", running, queued, tokens)
 		}
 	})
 }
 
-// Seeds the failure that the whole system must never show: a request names a
-// cached block that belongs to another prompt or other weights. The engine
-// must not use it and must count it.
+// A request names a cached block that belongs to another prompt or other
+// weights, a failure that the system must never cause. The cache must refuse
+// the block and count it.
 func TestBlockCacheCountsWrongUse(t *testing.T) {
 	own := content{Model: "m", Version: "v1", Prefix: 1}
 	wrong := map[string]content{
@@ -89,15 +90,15 @@
 		"other version": {Model: "m", Version: "v2", Prefix: 1},
 		"other adapter": {Model: "m", Version: "v1", Adapter: "a", Prefix: 1},
 	}
-	for name, asked := range wrong {
+	for name, requested := range wrong {
 		t.Run(name, func(t *testing.T) {
 			c := newBlockCache(2, func(port.CacheEventKind, port.BlockID, *port.SlotState) {})
 			c.put("b", own)
-			if c.use("b", asked) || c.wrong != 1 {
-				t.Errorf("used or not counted: wrong %d", c.wrong)
+			if c.use("b", requested) || c.wrong != 1 {
+				t.Errorf("block was used, or the use was not counted: wrong %d", c.wrong)
 			}
 			if !c.use("b", own) || c.wrong != 1 {
-				t.Error("the right use failed")
+				t.Error("use with the right content failed")
 			}
 		})
 	}
@@ -119,7 +120,7 @@
 	}
 }
 
-func TestOrderBook(t *testing.T) {
+func TestOrderTracker(t *testing.T) {
 	cases := map[string]struct {
 		checks bool
 		fence  uint64
@@ -131,25 +132,25 @@
 		"older, unchecked": {false, 4, port.OrderResult{Accepted: true}},
 	}
 	for name, c := range cases {
-		b := newOrderBook(c.checks)
-		b.take(port.Order{ID: "first", Fence: 5})
-		if got, repeat := b.take(port.Order{ID: "second", Fence: c.fence}); got != c.want || repeat {
+		b := newOrderTracker(c.checks)
+		b.decide(port.Order{ID: "first", Fence: 5})
+		if got, repeat := b.decide(port.Order{ID: "second", Fence: c.fence}); got != c.want || repeat {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
-		if _, repeat := b.take(port.Order{ID: "first", Fence: 5}); !repeat {
-			t.Errorf("%s: a repeat was not recognised", name)
+		if _, repeat := b.decide(port.Order{ID: "first", Fence: 5}); !repeat {
+			t.Errorf("%s: a repeated order was not recognised", name)
 		}
 	}
 }
 
-func TestLine(t *testing.T) {
+func TestRateQueue(t *testing.T) {
 	start := time.Unix(0, 0)
-	l := line{rate: 100, busyFrom: start}
+	l := rateQueue{rate: 100, busyFrom: start}
 	if got := l.reserve(start, 50); got != start.Add(500*time.Millisecond) {
-		t.Errorf("first done at %v", got)
+		t.Errorf("first work completes at %v", got)
 	}
 	if got := l.reserve(start, 100); got != start.Add(1500*time.Millisecond) {
-		t.Errorf("second done at %v", got)
+		t.Errorf("second work completes at %v", got)
 	}
 	steps := []struct {
 		at   time.Duration
@@ -163,17 +164,17 @@
 	answer := httptest.NewRecorder()
 	l.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, PathLink, strings.NewReader(`{"bytes_per_second":1000}`)))
 	if got := l.reserve(start.Add(time.Hour), 1000); answer.Code != http.StatusNoContent || got != start.Add(time.Hour+time.Second) {
-		t.Errorf("status %d, at the new rate done at %v", answer.Code, got)
+		t.Errorf("status %d, work at the new rate completes at %v", answer.Code, got)
 	}
-	unlimited := line{}
+	unlimited := rateQueue{}
 	if got := unlimited.reserve(start, 1<<40); got != start {
-		t.Errorf("unlimited line done at %v", got)
+		t.Errorf("work at an unlimited rate completes at %v", got)
 	}
 }
 
-// Versions load in LoadTime as long as few load at once. Beyond that all of
-// them slow down, which is why the system bounds loads at a time.
-func TestWeightsSlowWhenCrowded(t *testing.T) {
+// Up to FullSpeedLoads concurrent loads take LoadTime each. With more, all loads
+// slow down, which is why the system limits concurrent loads.
+func TestWeightsShareSpeed(t *testing.T) {
 	cases := []struct {
 		loads int
 		want  time.Duration
@@ -191,7 +192,7 @@
 			time.Sleep(c.want - 50*time.Millisecond)
 			synctest.Wait()
 			if served := s.Stats().Served; served != 0 {
-				t.Errorf("%d loads: %d done after %v", c.loads, served, time.Since(begin))
+				t.Errorf("%d loads: %d completed after %v", c.loads, served, time.Since(begin))
 			}
 			time.Sleep(100 * time.Millisecond)
 			synctest.Wait()
@@ -210,17 +211,17 @@
 			t.Errorf("accepted %+v", fault)
 		}
 	}
-	must := func(fault Fault) {
+	add := func(fault Fault) {
 		if err := f.Add(fault); err != nil {
 			t.Fatal(err)
 		}
 	}
-	must(Fault{Kind: FaultHung, Path: "/a", Count: 2})
-	must(Fault{Kind: FaultReset, Rate: 0.5})
-	must(Fault{Kind: FaultTruncated, Path: "/below/"})
+	add(Fault{Kind: FaultHung, Path: "/a", Count: 2})
+	add(Fault{Kind: FaultReset, Rate: 0.5})
+	add(Fault{Kind: FaultTruncated, Path: "/below/"})
 	for path, want := range map[string]bool{"/below/x": true, "/below/": true, "/below": false, "/x/below/": false} {
 		if _, ok := f.Take(FaultTruncated, path); ok != want {
-			t.Errorf("fault below a path at %s: %v, want %v", path, ok, want)
+			t.Errorf("fault for all paths below /below/ at %s: %v, want %v", path, ok, want)
 		}
 	}
 	strikes := map[string]int{}
@@ -239,7 +240,7 @@
 	}
 	f.Clear()
 	if _, ok := f.Take(FaultReset, "/a"); ok || f.Struck()[FaultHung] != 2 {
-		t.Error("a cleared fault struck, or strikes were forgotten")
+		t.Error("a cleared fault was applied, or Clear reset the counts")
 	}
 }
 
@@ -267,9 +268,9 @@
 	return table, states
 }
 
-// A store host restarts and a reader comes with what it knew before. It must
-// get the block only if the host kept it under the old generation; a host that
-// kept content under new generations refuses the old ones.
+// A store host restarts, and a reader uses slots and generations from before. It
+// must get a block only if the host kept it under the old generation; a host
+// that kept content under new generations must refuse the old ones.
 func TestSlotsAfterRestart(t *testing.T) {
 	now := time.Unix(100, 0)
 	cases := map[string]struct {
@@ -295,15 +296,15 @@
 			}
 			for _, state := range table.committed() {
 				if keep == keepDisk && state.Generation <= states["disk"].Generation {
-					t.Errorf("generation %d did not grow", state.Generation)
+					t.Errorf("generation %d did not increase", state.Generation)
 				}
 			}
 		})
 	}
 }
 
-// A writer reserves a slot and dies. The room must come back when the
-// reservation ends, and the dead writer's late bytes must find no slot.
+// A writer reserves a slot and crashes. The capacity must be available again
+// when the reservation expires, and a late write of that writer must fail.
 func TestSlotsExpire(t *testing.T) {
 	now := time.Unix(100, 0)
 	table, _ := newSlots(t, now)
@@ -320,7 +321,7 @@
 	}
 	now = now.Add(2 * time.Minute)
 	if third := reserve("b"); !third.Granted {
-		t.Errorf("room did not come back: %+v", third)
+		t.Errorf("capacity of the expired reservation is not available: %+v", third)
 	}
 	if err := table.write(first.State.Slot, first.State.Generation, []byte("late")); !errors.Is(err, errNoSlot) {
 		t.Errorf("late write: %v", err)
@@ -330,10 +331,10 @@
 	}
 }
 
-// Random writers and readers act on few blocks in any order. Whatever they do,
-// a slot that can be read has exactly the committed content, no tier exceeds
-// its capacity, and the room in use is that of the slots there are.
-func TestSlotsHoldTheirInvariants(t *testing.T) {
+// Random operations on few blocks, in any order, must keep the invariants: a
+// readable slot has exactly the committed content, no tier exceeds its capacity,
+// and the used capacity is the sum of the slots.
+func TestSlotInvariants(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 0))
 	table, _ := newSlots(t, time.Unix(0, 0))
 	now := time.Unix(0, 0)
@@ -376,15 +377,15 @@
 			continue
 		}
 		if int64(len(s.data)) != s.state.Bytes || xxhash.Sum64(s.data) != s.state.Checksum {
-			t.Fatalf("step %d: a readable slot of %s differs from what was committed", step, s.state.Block)
+			t.Fatalf("step %d: readable slot of %s differs from the committed content", step, s.state.Block)
 		}
 	}
 	for tier, status := range table.tiers {
 		if status.Used != used[tier] || status.Used > status.Capacity {
-			t.Fatalf("step %d: %s uses %d of %d, its slots %d", step, tier, status.Used, status.Capacity, used[tier])
+			t.Fatalf("step %d: %s uses %d of %d bytes, its slots %d", step, tier, status.Used, status.Capacity, used[tier])
 		}
 	}
 	if len(table.byName) != len(table.byBlock) {
-		t.Fatalf("step %d: %d names for %d blocks", step, len(table.byName), len(table.byBlock))
+		t.Fatalf("step %d: %d slot names for %d blocks", step, len(table.byName), len(table.byBlock))
 	}
 }
--- a/internal/standin/runlog.go
+++ b/internal/standin/runlog.go
@@ -9,39 +9,40 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// maxBegun bounds the remembered identities of begun requests.
+// maxBegun bounds the number of started requests that a requestRing keeps.
 const maxBegun = 1 << 16
 
-// Runs is what a stand-in has run, at PathRuns.
+// Runs is the answer of PathRuns: the requests that a stand-in has run.
 type Runs struct {
-	// Keys is how often a service ran each idempotency key.
+	// Keys is the number of runs of each idempotency key on a service.
 	Keys map[string]int `json:"keys,omitempty"`
-	// Begun lists the requests that an engine has begun, the oldest first;
-	// only the newest 65,536 are kept.
+	// Begun lists the requests that an engine has started, oldest first. Only
+	// the newest 65,536 are kept.
 	Begun []ident.Request `json:"begun,omitempty"`
 }
 
-// PathRuns lists what a stand-in has run.
+// PathRuns is the path that lists the requests that a stand-in has run.
 const PathRuns = "/runs"
 
-// RunLog writes a line for each run as it begins, so that the account of a
-// stand-in that is killed outlives it. Several stand-ins may share one.
+// RunLog writes a line at the start of each run, so that the runs of a killed
+// stand-in remain on record. Several stand-ins may share one RunLog.
 type RunLog struct {
 	mu  sync.Mutex
 	out io.Writer
 }
 
-// NewRunLog returns a log that writes to out.
+// NewRunLog returns a RunLog that writes to out.
 func NewRunLog(out io.Writer) *RunLog { return &RunLog{out: out} }
 
-// The kinds of line in a run log.
+// The kinds of lines in a run log.
 const (
 	RunKey     = "key"
 	RunRequest = "request"
 )
 
-// add writes one line of kind and value; a nil log writes nothing. A line that
-// can't be written breaks the account and with it every check on it.
+// add writes a line with kind and value; a nil log writes nothing. It panics if
+// the write fails, because an incomplete log invalidates every check based on
+// it.
 func (l *RunLog) add(kind, value string) {
 	if l == nil {
 		return
@@ -53,14 +54,14 @@
 	}
 }
 
-// begunRing remembers the newest identities.
-type begunRing struct {
+// requestRing holds the newest maxBegun request identities.
+type requestRing struct {
 	mu   sync.Mutex
 	ids  []ident.Request
 	next int
 }
 
-func (r *begunRing) add(id ident.Request) {
+func (r *requestRing) add(id ident.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.ids) < maxBegun {
@@ -71,7 +72,7 @@
 	r.next = (r.next + 1) % maxBegun
 }
 
-func (r *begunRing) list() []ident.Request {
+func (r *requestRing) list() []ident.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Concat(r.ids[r.next:], r.ids[:r.next])
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -14,27 +14,29 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// maxRunKeys bounds the idempotency keys whose runs a service counts.
+// maxRunKeys bounds the number of idempotency keys whose runs a service counts.
 const maxRunKeys = 1 << 20
 
-// ServiceOptions describe a replica of a stand-in plain service.
+// ServiceOptions configure a replica of a stand-in plain service.
 type ServiceOptions struct {
 	Upstream   ident.Upstream
 	DataCentre ident.DataCentre
 	Service    ident.Service
 	Announce   AnnounceOptions
-	// Slots is how many calls run at once; zero means 64.
+	// Slots is the number of calls that run concurrently; zero means 64.
 	Slots int
-	// RunTime is how long a call runs.
+	// RunTime is the run time of a call.
 	RunTime time.Duration
-	// RunLog receives the idempotency keys that the replica runs.
+	// RunLog records the idempotency keys that the replica runs.
 	RunLog *RunLog
-	// FaultSeed fixes which requests faults with a rate strike.
+	// FaultSeed seeds the choice of the requests that a fault with a Rate
+	// affects.
 	FaultSeed uint64
 }
 
-// Service is a replica of a stand-in plain service. It does not deduplicate:
-// it counts how often it ran each key, so that a second run shows.
+// Service is a replica of a stand-in plain service. It does not deduplicate
+// calls; it counts the runs of each idempotency key, so that a test can detect
+// a second run.
 type Service struct {
 	options     ServiceOptions
 	incarnation ident.Incarnation
@@ -63,7 +65,8 @@
 	return s
 }
 
-// Handler implements Upstream. Every path but the stand-in's own is a call.
+// Handler implements Upstream. A request for any path other than PathFaults,
+// PathRuns and PathStats is a call.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", guard(s.faults, s.handleCall))
@@ -122,8 +125,8 @@
 	}
 }
 
-// ServiceAnswer is the body of an answer: what was run, and which run of its
-// key it was.
+// ServiceAnswer is the body of an answer. Run is the number of runs of the
+// idempotency key so far, including this one.
 type ServiceAnswer struct {
 	Service  ident.Service  `json:"service"`
 	Upstream ident.Upstream `json:"upstream"`
@@ -141,7 +144,7 @@
 		upstreamapi.WriteError(w, http.StatusBadRequest, "invalid_request", "no request identity: "+err.Error())
 		return
 	}
-	body, err := io.ReadAll(r.Body) // bounded by guard
+	body, err := io.ReadAll(r.Body) // size is bounded by guard
 	if err != nil {
 		refuse(w, r, http.StatusBadRequest, err.Error())
 		return
@@ -153,7 +156,7 @@
 	defer s.batch.release()
 	key := r.Header.Get(upstreamapi.HeaderIdempotencyKey)
 	run := s.countRun(key)
-	// A call that has begun runs to its end, also when its caller has gone.
+	// A started call completes even if its caller disconnects.
 	_ = sleep(context.WithoutCancel(r.Context()), s.options.RunTime)
 	upstreamapi.SetAttempt(w.Header(), request, attempt)
 	upstreamapi.WriteJSON(w, http.StatusOK, ServiceAnswer{
@@ -168,7 +171,8 @@
 	})
 }
 
-// countRun counts a run of key and returns how many there were.
+// countRun counts a run of key and returns the number of runs so far. It
+// returns 1 if key is empty or can't be counted because of maxRunKeys.
 func (s *Service) countRun(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,32 +188,32 @@
 	return s.runs[key]
 }
 
-// Runs returns how often the replica ran a key.
+// Runs returns the number of times that the replica ran key.
 func (s *Service) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// ServiceStats are a replica's counts since its start.
+// ServiceStats are the counters of a replica since its start.
 type ServiceStats struct {
 	Upstream ident.Upstream `json:"upstream"`
 	Runs     uint64         `json:"runs"`
-	// Keys is the number of idempotency keys that were run, Doubled that of
-	// keys that were run more than once.
+	// Keys is the number of idempotency keys that were run, Doubled the
+	// number of those that were run more than once.
 	Keys    int                  `json:"keys"`
 	Doubled int                  `json:"doubled"`
 	Struck  map[FaultKind]uint64 `json:"faults_struck"`
 }
 
-// runsCopy returns the runs of each key.
+// runsCopy returns a copy of the run counts of the keys.
 func (s *Service) runsCopy() Runs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Runs{Keys: maps.Clone(s.runs)}
 }
 
-// Stats returns the replica's counts.
+// Stats returns the replica's counters.
 func (s *Service) Stats() ServiceStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -12,7 +12,7 @@
 	"github.com/lovagereach/lovagereach/internal/port"
 )
 
-// Errors of a slot table.
+// Errors returned by slotTable. Callers receive their texts.
 var (
 	errNoSlot       = errors.New("slot does not exist or has another generation")
 	errNotCommitted = errors.New("slot is not committed")
@@ -21,7 +21,7 @@
 	errBadReserve   = errors.New("block, tier, bytes or lifetime is out of range")
 )
 
-// What a restart keeps.
+// The values of StoreRestart.Keep.
 const (
 	keepNone  = "none"
 	keepDisk  = "disk"
@@ -30,17 +30,17 @@
 
 var restartKeeps = map[string]bool{keepNone: true, keepDisk: true, keepStale: true}
 
-// maxLifetime bounds how long a reservation may stay unwritten.
+// maxLifetime bounds the time between the reservation and the commit of a slot.
 const maxLifetime = 10 * time.Minute
 
-// slotTable is the slots of a store host.
+// slotTable holds the slots of a store host. It is not safe for concurrent use.
 type slotTable struct {
 	incarnation ident.Incarnation
 	generation  uint64
 	tiers       map[port.Tier]*port.TierStatus
 	byBlock     map[port.BlockID]*slot
 	byName      map[string]*slot
-	changed     func(port.CacheEventKind, port.BlockID, *port.SlotState)
+	onChange    func(port.CacheEventKind, port.BlockID, *port.SlotState)
 }
 
 type slot struct {
@@ -49,20 +49,21 @@
 	expires time.Time
 }
 
-func newSlotTable(memory, disk int64, incarnation ident.Incarnation, changed func(port.CacheEventKind, port.BlockID, *port.SlotState)) *slotTable {
+func newSlotTable(memory, disk int64, incarnation ident.Incarnation, onChange func(port.CacheEventKind, port.BlockID, *port.SlotState)) *slotTable {
 	t := &slotTable{
 		tiers: map[port.Tier]*port.TierStatus{
 			port.TierMemory: {Tier: port.TierMemory, Capacity: memory},
 			port.TierDisk:   {Tier: port.TierDisk, Capacity: disk},
 		},
-		changed: changed,
+		onChange: onChange,
 	}
 	t.restart(incarnation, keepNone)
 	return t
 }
 
-// restart begins a new life. Generations go on above those of every earlier
-// life, since they start at the incarnation, a time.
+// restart starts a new incarnation with the slots that keep selects.
+// Generations start at the incarnation, a timestamp, so that they are higher
+// than those of every previous incarnation.
 func (t *slotTable) restart(incarnation ident.Incarnation, keep string) {
 	t.incarnation = incarnation
 	t.generation = max(t.generation, uint64(incarnation))
@@ -77,13 +78,14 @@
 			continue
 		}
 		if keep == keepDisk {
-			t.rename(s)
+			t.assignGeneration(s)
 		}
 		t.insert(s)
 	}
 }
 
-func (t *slotTable) rename(s *slot) {
+// assignGeneration gives s the next generation and a slot name derived from it.
+func (t *slotTable) assignGeneration(s *slot) {
 	t.generation++
 	s.state.Generation = t.generation
 	s.state.Slot = "s" + strconv.FormatUint(t.generation, 36)
@@ -101,7 +103,7 @@
 	t.tiers[s.state.Tier].Used -= s.state.Bytes
 }
 
-// reserve makes a slot, or answers with the one the block already has.
+// reserve allocates a slot, or returns the state of the block's existing slot.
 func (t *slotTable) reserve(now time.Time, req port.ReserveRequest) (port.Reservation, error) {
 	tier := t.tiers[req.Tier]
 	if tier == nil || req.Block == "" || req.Bytes <= 0 || req.Lifetime <= 0 || req.Lifetime > maxLifetime {
@@ -118,12 +120,12 @@
 		state:   port.SlotState{Block: req.Block, Phase: port.SlotReserved, Bytes: req.Bytes, Tier: req.Tier},
 		expires: now.Add(req.Lifetime),
 	}
-	t.rename(s)
+	t.assignGeneration(s)
 	t.insert(s)
 	return port.Reservation{Granted: true, State: s.state}, nil
 }
 
-// expire removes reservations that were not committed in time.
+// expire removes the reservations whose lifetime passed without a commit.
 func (t *slotTable) expire(now time.Time) {
 	for _, s := range t.byBlock {
 		if s.state.Phase == port.SlotReserved && now.After(s.expires) {
@@ -132,7 +134,7 @@
 	}
 }
 
-// find returns the slot of a name if its generation matches.
+// find returns the slot with this name and generation, or errNoSlot.
 func (t *slotTable) find(name string, generation uint64) (*slot, error) {
 	s, ok := t.byName[name]
 	if !ok || s.state.Generation != generation {
@@ -141,7 +143,7 @@
 	return s, nil
 }
 
-// write fills a reserved slot. A committed slot is never written again.
+// write sets the content of a reserved slot. A committed slot is immutable.
 func (t *slotTable) write(name string, generation uint64, data []byte) error {
 	s, err := t.find(name, generation)
 	if err != nil {
@@ -157,7 +159,8 @@
 	return nil
 }
 
-// commit makes a slot readable if its content is what the writer meant.
+// commit makes a slot readable if its content has the length and checksum that
+// the writer reports.
 func (t *slotTable) commit(now time.Time, req port.CommitRequest) (port.SlotState, error) {
 	t.expire(now)
 	s, err := t.find(req.Slot, req.Generation)
@@ -175,7 +178,7 @@
 	s.state.Bytes = req.Bytes
 	s.state.Checksum = req.Checksum
 	state := s.state
-	t.changed(port.CacheStored, state.Block, &state)
+	t.onChange(port.CacheStored, state.Block, &state)
 	return state, nil
 }
 
@@ -191,7 +194,7 @@
 	return s.state, s.data, nil
 }
 
-// stat describes a block.
+// stat returns the state of a block's slot.
 func (t *slotTable) stat(block port.BlockID) port.SlotState {
 	if s, ok := t.byBlock[block]; ok {
 		return s.state
@@ -199,8 +202,8 @@
 	return port.SlotState{Block: block, Phase: port.SlotAbsent}
 }
 
-// free removes a block's slot of this generation. Freeing what is gone is
-// harmless; freeing a later generation is refused.
+// free removes a block's slot of this generation. It does nothing if the block
+// has no slot, and fails if the slot has another generation.
 func (t *slotTable) free(block port.BlockID, generation uint64) error {
 	s, ok := t.byBlock[block]
 	if !ok {
@@ -211,7 +214,7 @@
 	}
 	t.remove(s)
 	if s.state.Phase == port.SlotCommitted {
-		t.changed(port.CacheRemoved, block, nil)
+		t.onChange(port.CacheRemoved, block, nil)
 	}
 	return nil
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -12,23 +12,27 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// PathRestart makes a store host go through a restart; see StoreRestart.
+// PathRestart is the path that simulates a restart of a store host; see
+// StoreRestart.
 const PathRestart = "/restart"
 
-// StoreOptions describe a stand-in store host.
+// StoreOptions configure a stand-in store host.
 type StoreOptions struct {
 	Upstream   ident.Upstream
 	DataCentre ident.DataCentre
 	Announce   AnnounceOptions
-	// MemoryBytes and DiskBytes are the room in the tiers; zero means
+	// MemoryBytes and DiskBytes are the capacities of the tiers; zero means
 	// 64 MiB and 256 MiB.
 	MemoryBytes int64
 	DiskBytes   int64
-	// LinkRate is the host's link in bytes per second; zero is unlimited.
+	// LinkRate is the host's network bandwidth in bytes per second; zero means
+	// unlimited.
 	LinkRate float64
-	// DiskRate is the disk's reading and writing in bytes per second.
+	// DiskRate is the disk's bandwidth for reads and writes together, in bytes
+	// per second; zero means unlimited.
 	DiskRate float64
-	// FaultSeed fixes which requests faults with a rate strike.
+	// FaultSeed seeds the choice of the requests that a fault with a Rate
+	// affects.
 	FaultSeed uint64
 }
 
@@ -37,8 +41,8 @@
 	options   StoreOptions
 	faults    *Faults
 	announcer *announcer
-	link      line
-	disk      line
+	link      rateQueue
+	disk      rateQueue
 	leaving   atomic.Bool
 	counters  storeCounters
 
@@ -60,13 +64,13 @@
 	s := &Store{
 		options: options,
 		faults:  NewFaults(options.FaultSeed),
-		link:    line{rate: options.LinkRate},
-		disk:    line{rate: options.DiskRate},
+		link:    rateQueue{rate: options.LinkRate},
+		disk:    rateQueue{rate: options.DiskRate},
 	}
 	s.announcer = newAnnouncer(options.Announce, s, s.faults)
 	incarnation := NewIncarnation(time.Now())
 	s.slots = newSlotTable(options.MemoryBytes, options.DiskBytes, incarnation, s.announcer.record)
-	s.announcer.begin(incarnation)
+	s.announcer.startIncarnation(incarnation)
 	return s
 }
 
@@ -113,7 +117,7 @@
 // Faults implements Upstream.
 func (s *Store) Faults() *Faults { return s.faults }
 
-// SetLinkRate changes the rate of the host's link, in bytes per second.
+// SetLinkRate sets the host's network bandwidth in bytes per second.
 func (s *Store) SetLinkRate(rate float64) { s.link.setRate(rate) }
 
 func (s *Store) announcement() port.Announcement {
@@ -171,21 +175,21 @@
 	upstreamapi.WriteJSON(w, http.StatusOK, snapshot)
 }
 
-// StoreRestart says what a store host still has after a restart.
+// StoreRestart selects the content that a store host keeps over a restart.
 type StoreRestart struct {
 	// Keep is "none", "disk" (the disk tier under new generations) or "stale"
-	// (everything under its old generations, as a host does that came back
-	// from an old image and does not know it).
+	// (everything under the old generations, as a host restored from an old
+	// image keeps it without detecting the restore).
 	Keep string `json:"keep"`
 }
 
-// Restart gives the host a new incarnation.
+// Restart simulates a restart: the host has a new incarnation.
 func (s *Store) Restart(restart StoreRestart) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	incarnation := NewIncarnation(time.Now())
 	s.slots.restart(incarnation, restart.Keep)
-	s.announcer.begin(incarnation)
+	s.announcer.startIncarnation(incarnation)
 	s.announcer.announceNow()
 }
 
@@ -200,7 +204,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// StoreStats are a store host's counts since its start.
+// StoreStats are the counters of a store host since its start.
 type StoreStats struct {
 	Upstream     ident.Upstream       `json:"upstream"`
 	WrittenBytes uint64               `json:"written_bytes"`
@@ -213,7 +217,7 @@
 	Struck       map[FaultKind]uint64 `json:"faults_struck"`
 }
 
-// Stats returns the host's counts.
+// Stats returns the host's counters.
 func (s *Store) Stats() StoreStats {
 	s.mu.Lock()
 	tiers := s.slots.status()
--- a/internal/standin/storehttp.go
+++ b/internal/standin/storehttp.go
@@ -77,15 +77,15 @@
 	s.answer(w, r, struct{}{}, err)
 }
 
-// handleWrite takes a slot's content from an engine.
+// handleWrite stores a slot's content sent by an engine.
 func (s *Store) handleWrite(w http.ResponseWriter, r *http.Request) {
-	name, generation, ok := slotOf(w, r)
+	name, generation, ok := parseSlot(w, r)
 	if !ok {
 		return
 	}
 	data, err := upstreamapi.ReadBounded(r.Body, upstreamapi.MaxRequestBytes)
 	if err == nil {
-		err = s.wait(r, name, int64(len(data)))
+		err = s.awaitTransfer(r, name, int64(len(data)))
 	}
 	if err != nil {
 		s.answer(w, r, nil, err)
@@ -101,9 +101,9 @@
 	s.answer(w, r, struct{}{}, err)
 }
 
-// handleRead gives a slot's content to an engine.
+// handleRead returns a slot's content to an engine.
 func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
-	name, generation, ok := slotOf(w, r)
+	name, generation, ok := parseSlot(w, r)
 	if !ok {
 		return
 	}
@@ -111,7 +111,7 @@
 	state, data, err := s.slots.read(name, generation)
 	s.mu.Unlock()
 	if err == nil {
-		err = s.wait(r, name, int64(len(data)))
+		err = s.awaitTransfer(r, name, int64(len(data)))
 	}
 	if err != nil {
 		s.counters.refusedReads.Add(1)
@@ -126,8 +126,9 @@
 	_, _ = w.Write(data)
 }
 
-// wait holds a transfer back until link and disk have done it.
-func (s *Store) wait(r *http.Request, name string, size int64) error {
+// awaitTransfer waits for the time that a transfer of size bytes takes on the
+// link and, if the slot is on disk, on the disk.
+func (s *Store) awaitTransfer(r *http.Request, name string, size int64) error {
 	now := time.Now()
 	ready := s.link.reserve(now, size)
 	s.mu.Lock()
@@ -142,7 +143,9 @@
 	return sleep(r.Context(), time.Until(ready))
 }
 
-func slotOf(w http.ResponseWriter, r *http.Request) (string, uint64, bool) {
+// parseSlot returns the slot name and generation of a request. On failure it
+// writes the error answer.
+func parseSlot(w http.ResponseWriter, r *http.Request) (string, uint64, bool) {
 	generation, err := strconv.ParseUint(r.Header.Get(upstreamapi.HeaderGeneration), 10, 64)
 	if err != nil {
 		upstreamapi.WriteError(w, http.StatusBadRequest, "invalid_generation", err.Error())
@@ -151,6 +154,8 @@
 	return r.PathValue("slot"), generation, true
 }
 
+// decode decodes the request's body into v. On failure it writes the error
+// answer.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := upstreamapi.DecodeBounded(r.Body, upstreamapi.MaxRequestBytes, v); err != nil {
 		upstreamapi.WriteError(w, http.StatusBadRequest, "invalid_request", err.Error())
@@ -159,7 +164,7 @@
 	return true
 }
 
-// answer writes v, or the error in its place.
+// answer writes v, or err if it is not nil.
 func (s *Store) answer(w http.ResponseWriter, _ *http.Request, v any, err error) {
 	switch {
 	case err == nil:
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -8,34 +8,34 @@
 	"github.com/lovagereach/lovagereach/internal/upstreamapi"
 )
 
-// PathWeights is where engines fetch weights, followed by model and version.
+// PathWeights is the path prefix of weights, followed by model and version.
 const PathWeights = "/v1/weights/"
 
-// weightRetryDelay is how long an engine waits before it asks again.
+// weightRetryDelay is the delay before an engine retries a failed load.
 const weightRetryDelay = 100 * time.Millisecond
 
-// weightStep is how often the share of a load is worked out anew.
+// weightStep is the interval at which the speed of a load is recomputed.
 const weightStep = 10 * time.Millisecond
 
-// WeightOptions describe a stand-in weight store.
+// WeightOptions configure a stand-in weight store.
 type WeightOptions struct {
-	// LoadTime is how long a version loads when the store is not crowded.
+	// LoadTime is the time to load a version at full speed.
 	LoadTime time.Duration
-	// FullSpeedLoads is how many loads run at full speed at once; more share
-	// that speed. Zero means 3.
+	// FullSpeedLoads is the number of concurrent loads that run at full speed;
+	// more loads share the total speed of these. Zero means 3.
 	FullSpeedLoads int
 }
 
-// Weights is a stand-in weight store: a rate-limited place from which engines
-// load versions.
+// Weights is a stand-in weight store: a server with limited bandwidth from
+// which engines load versions.
 type Weights struct {
 	options WeightOptions
 	faults  *Faults
 
-	mu     sync.Mutex
-	active int
-	most   int
-	served uint64
+	mu        sync.Mutex
+	active    int
+	maxActive int
+	served    uint64
 }
 
 // NewWeights returns a weight store.
@@ -44,14 +44,15 @@
 	return &Weights{options: options, faults: NewFaults(0)}
 }
 
-// WeightStats are the counts of a weight store.
+// WeightStats are the counters of a weight store. Most is the highest number of
+// concurrent loads.
 type WeightStats struct {
 	Active int    `json:"active"`
 	Most   int    `json:"most_at_once"`
 	Served uint64 `json:"served"`
 }
 
-// Handler answers the weight store's HTTP interface.
+// Handler returns the handler of the weight store's HTTP interface.
 func (s *Weights) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathWeights+"{model}/{version}", guard(s.faults, s.handleLoad))
@@ -62,11 +63,11 @@
 	return mux
 }
 
-// Stats returns the store's counts.
+// Stats returns the store's counters.
 func (s *Weights) Stats() WeightStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return WeightStats{Active: s.active, Most: s.most, Served: s.served}
+	return WeightStats{Active: s.active, Most: s.maxActive, Served: s.served}
 }
 
 // Faults returns the store's faults.
@@ -93,7 +94,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active++
-	s.most = max(s.most, s.active)
+	s.maxActive = max(s.maxActive, s.active)
 }
 
 func (s *Weights) end() {
@@ -102,7 +103,7 @@
 	s.active--
 }
 
-// speed returns the speed of each load, 1 being full.
+// speed returns the speed of each load; 1 is full speed.
 func (s *Weights) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
