--- a/internal/loadgen/address.go
+++ b/internal/loadgen/address.go
@@ -15,23 +15,25 @@
 // Bounds on address answers.
 const (
 	maxAddressBytes = 64 << 10
-	// minKeep keeps an answer that may not be kept from causing a storm.
-	minKeep = 100 * time.Millisecond
-	// addressTimeout bounds one address request.
+	// minCacheTime is the minimum validity of a cached answer. It prevents a
+	// request storm after answers that must not be cached.
+	minCacheTime = 100 * time.Millisecond
+	// addressTimeout bounds an address request.
 	addressTimeout = 2 * time.Second
 )
 
-// addressBook tells one team's callers which entry to use. It keeps an answer
-// as long as the answer allows, and asks elsewhere when an entry fails.
-type addressBook struct {
+// resolver selects the entries for one team's callers. It caches an answer to an
+// address request as long as the answer allows, and queries another entry if one
+// fails.
+type resolver struct {
 	http  *http.Client
 	token string
 	seeds []string
 
-	mu      sync.Mutex
-	current []string
-	until   time.Time
-	asking  bool
+	mu         sync.Mutex
+	current    []string
+	expires    time.Time
+	refreshing bool
 }
 
 type addressAnswer struct {
@@ -40,13 +42,13 @@
 	KeepMS     int64    `json:"keep_ms"`
 }
 
-func newAddressBook(client *http.Client, token string, seeds []string) *addressBook {
-	return &addressBook{http: client, token: token, seeds: seeds}
+func newResolver(client *http.Client, token string, seeds []string) *resolver {
+	return &resolver{http: client, token: token, seeds: seeds}
 }
 
-// pick returns the entry for the n-th send of a request: the address answered
-// first, then its alternates in turn.
-func (b *addressBook) pick(ctx context.Context, n int) string {
+// pick returns the entry for attempt n of a request, counted from zero: first the
+// address of the answer, then its alternates in turn.
+func (b *resolver) pick(ctx context.Context, n int) string {
 	b.refresh(ctx)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,49 +59,49 @@
 	return known[n%len(known)]
 }
 
-// refresh asks for a new answer when the old one has run out. One caller asks,
-// the others go on with the old answer.
-func (b *addressBook) refresh(ctx context.Context) {
+// refresh requests a new answer if the cached one has expired. One goroutine
+// sends the request; the others continue with the expired answer.
+func (b *resolver) refresh(ctx context.Context) {
 	b.mu.Lock()
-	due := !b.asking && time.Now().After(b.until)
+	due := !b.refreshing && time.Now().After(b.expires)
 	if due {
-		b.asking = true
+		b.refreshing = true
 	}
 	candidates := slices.Concat(b.current, b.seeds)
 	b.mu.Unlock()
 	if !due {
 		return
 	}
-	answer, ok := b.askAny(ctx, candidates)
+	answer, ok := b.queryAny(ctx, candidates)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asking = false
-	b.until = time.Now().Add(minKeep)
+	b.refreshing = false
+	b.expires = time.Now().Add(minCacheTime)
 	if !ok {
 		return
 	}
 	b.current = append([]string{answer.Address}, answer.Alternates...)
-	b.until = time.Now().Add(max(minKeep, time.Duration(answer.KeepMS)*time.Millisecond))
+	b.expires = time.Now().Add(max(minCacheTime, time.Duration(answer.KeepMS)*time.Millisecond))
 }
 
-// forget drops an entry that failed, and its answer.
-func (b *addressBook) forget(entry string) {
+// invalidate removes an entry that failed and expires the cached answer.
+func (b *resolver) invalidate(entry string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.current = slices.DeleteFunc(b.current, func(known string) bool { return known == entry })
-	b.until = time.Time{}
+	b.expires = time.Time{}
 }
 
-func (b *addressBook) askAny(ctx context.Context, candidates []string) (addressAnswer, bool) {
+func (b *resolver) queryAny(ctx context.Context, candidates []string) (addressAnswer, bool) {
 	for _, entry := range candidates {
-		if answer, err := b.ask(ctx, entry); err == nil && answer.Address != "" {
+		if answer, err := b.query(ctx, entry); err == nil && answer.Address != "" {
 			return answer, true
 		}
 	}
 	return addressAnswer{}, false
 }
 
-func (b *addressBook) ask(ctx context.Context, entry string) (addressAnswer, error) {
+func (b *resolver) query(ctx context.Context, entry string) (addressAnswer, error) {
 	var answer addressAnswer
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
--- a/internal/loadgen/call.go
+++ b/internal/loadgen/call.go
@@ -15,12 +15,12 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// callJob is one call of a plain service, perhaps sent more than once.
+// callJob is a call of a plain service. It may be sent more than once.
 type callJob struct {
 	load    *CallLoad
 	key     string
 	body    string
-	twice   bool
+	resend  bool
 	overlap bool
 	due     time.Time
 	seed    uint64
@@ -31,12 +31,12 @@
 	if !load.Repeatable {
 		job.key = fmt.Sprintf("%s-%d-%d", load.Service, seed, serial)
 	}
-	job.twice = job.key != "" && random.Float64() < load.Resend
-	job.overlap = job.twice && random.IntN(2) == 0
+	job.resend = job.key != "" && random.Float64() < load.Resend
+	job.overlap = job.resend && random.IntN(2) == 0
 	return job
 }
 
-// callResult is what a caller saw of one send of a call.
+// callResult is the result of one attempt of a call, as seen by the caller.
 type callResult struct {
 	kind    outcome.Kind
 	detail  string
@@ -45,7 +45,7 @@
 	crossed bool
 }
 
-// call sends a call once.
+// call sends one attempt of a call.
 func (s *sender) call(ctx context.Context, entry string, job callJob, id ident.Request) callResult {
 	path := callers.PathServices + string(job.load.Service) + "/" + strings.TrimPrefix(job.load.Path, "/")
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, strings.NewReader(job.body))
@@ -59,11 +59,11 @@
 	}
 	resp, err := s.do(req, id)
 	if err != nil {
-		return callResult{kind: outcome.KindOf(err), detail: reasonOf(err)}
+		return callResult{kind: outcome.KindOf(err), detail: errorReason(err)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		kind, detail := refusal(resp)
+		kind, detail := parseRefusal(resp)
 		return callResult{kind: kind, detail: detail}
 	}
 	var answer standin.ServiceAnswer
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -1,7 +1,8 @@
-// Package loadgen drives a running system with open-loop load: prompts that
-// return, and calls of plain services that must run at most once. It checks
-// every answer against what the stand-in engines must say, and afterwards the
-// stand-ins' own accounts against what callers were told.
+// Package loadgen generates open-loop load on a running system: kept prompts with
+// new questions, and calls of plain services that must run at most once. It checks
+// each answer against the one that the stand-in engines must generate and, after
+// the load, the runs recorded by the stand-ins against the outcomes that callers
+// received.
 package loadgen
 
 import (
@@ -12,48 +13,52 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Options describe one run.
+// Options configure a run.
 type Options struct {
-	// Entries are callers' addresses to begin with; the address answers tell
-	// which to use from then on.
+	// Entries are the initial addresses of entries. The answers to address
+	// requests determine those used afterwards.
 	Entries []string
-	// Standins are addresses of stand-ins whose accounts are compared.
+	// Standins are the addresses of the stand-ins whose runs and counters are
+	// read.
 	Standins []string
-	// RunLog is the path of the stand-ins' run log. It holds the runs of
-	// stand-ins that were killed too and goes before their own accounts.
+	// RunLog is the path of the stand-ins' run log. It includes the runs of
+	// killed stand-ins and takes precedence over the runs that the stand-ins
+	// report themselves.
 	RunLog string
-	// Audit is where requests without an outcome are looked for; nil leaves
-	// that check out. Prompts must be of classes that are audited in full.
+	// Audit configures the audit in which requests without an outcome are looked
+	// up; nil disables that check. Prompts must be of classes that are audited
+	// completely.
 	Audit   *AuditOptions
 	Prompts []PromptLoad
 	Calls   []CallLoad
-	// Duration bounds the time in which requests are begun.
+	// Duration bounds the time during which requests are started.
 	Duration time.Duration
-	// MaxRequests bounds their number.
+	// MaxRequests bounds the number of requests.
 	MaxRequests int
-	// MaxOpen bounds the requests open at once; arrivals beyond it are
+	// MaxOpen bounds the number of open requests; arrivals beyond it are
 	// counted and not sent. Zero means DefaultMaxOpen.
 	MaxOpen int
-	// Timeout is how long a caller waits; zero means DefaultTimeout.
+	// Timeout bounds a request, including its retries; zero means
+	// DefaultTimeout.
 	Timeout time.Duration
-	// Stop, when closed, ends the arrivals early; open requests are finished.
+	// Stop, when closed, stops the arrivals early; open requests are completed.
 	Stop <-chan struct{}
-	// Seed fixes arrivals, prompts and keys.
+	// Seed determines arrivals, prompts and keys.
 	Seed uint64
-	// Fresh tells that the deployment has never seen prompts of this seed. All
-	// loads then have the same kept prompts, and the first request of a load
-	// for each of them must find nothing kept: what it found would be another
-	// team's.
+	// Fresh declares that the deployment has never received prompts of this
+	// seed. All loads then use the same kept prompts, and the first request of a
+	// load for each of them must reuse no tokens, since these would be from
+	// another team's prompt.
 	Fresh bool
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultMaxOpen = 4096
 	DefaultTimeout = 30 * time.Second
 )
 
-// PromptLoad is a stream of prompts of one team and class.
+// PromptLoad configures the prompts of one team and class.
 type PromptLoad struct {
 	Team  ident.Team
 	Token string
@@ -61,17 +66,18 @@
 	Model ident.Model
 	// Rate is in requests per second.
 	Rate float64
-	// Kept is the number of different long prompts; each request asks one of
-	// them a new question, so that each returns after Kept/Rate on average.
+	// Kept is the number of distinct long prompts. Each request appends a new
+	// question to one of them, so that each is reused after Kept/Rate seconds on
+	// average.
 	Kept int
-	// KeptTokens is the length of a kept prompt, QuestionTokens that of the
-	// question after it, AnswerTokens that of the answer.
+	// KeptTokens, QuestionTokens and AnswerTokens are the numbers of tokens of a
+	// kept prompt, of the question after it and of the answer.
 	KeptTokens     int
 	QuestionTokens int
 	AnswerTokens   int
 }
 
-// CallLoad is a stream of calls of a plain service.
+// CallLoad configures the calls of one plain service.
 type CallLoad struct {
 	Team    ident.Team
 	Token   string
@@ -79,17 +85,17 @@
 	Path    string
 	// Rate is in calls per second.
 	Rate float64
-	// Repeatable calls carry no idempotency key.
+	// Repeatable calls have no idempotency key.
 	Repeatable bool
-	// Resend is the share of keys that are sent twice, half of them while the
-	// first call is open, to another entry.
+	// Resend is the fraction of keys that are sent twice, half of them to
+	// another entry while the first call is open.
 	Resend float64
-	// MaxResends bounds how often a call without a definite outcome is sent
-	// again under its key.
+	// MaxResends bounds the retries of a call without a definite outcome under
+	// its key.
 	MaxResends int
 }
 
-// Validate reports the first field that can't be.
+// Validate returns an error for the first invalid field.
 func (o Options) Validate() error {
 	if len(o.Entries) == 0 {
 		return errors.New("entries: none given")
--- a/internal/loadgen/prompt.go
+++ b/internal/loadgen/prompt.go
@@ -16,35 +16,35 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// promptJob is one prompt to be sent.
+// promptJob is a prompt to be sent.
 type promptJob struct {
 	load    *PromptLoad
 	request ident.Request
 	tokens  []uint32
 	seed    uint64
-	// first is the first request of its load for this kept prompt.
+	// first is true for the first request of its load with this kept prompt.
 	first bool
-	// due is when the request arrives; times count from it, so that a
-	// client that lags does not hide the wait.
+	// due is the arrival time of the request. Times are measured from it, so
+	// that a delay of the client is not hidden.
 	due time.Time
 }
 
-// promptSource makes the requests of one load.
+// promptSource generates the requests of one load.
 type promptSource struct {
 	load   *PromptLoad
 	random *rand.Rand
-	// salt makes kept prompts differ from those of other sources.
+	// salt makes kept prompts distinct from those of sources with another salt.
 	salt uint64
 	sent map[int]bool
 }
 
-// next makes the next question to one of the kept prompts.
+// next returns a request with a new question to a random kept prompt.
 func (s *promptSource) next() promptJob {
 	load, random := s.load, s.random
 	kept := random.IntN(load.Kept)
 	first := !s.sent[kept]
 	s.sent[kept] = true
-	// A kept prompt has the same tokens whenever it returns.
+	// A kept prompt has the same tokens in each request.
 	own := rand.New(rand.NewPCG(s.salt, uint64(kept)))
 	tokens := make([]uint32, 0, load.KeptTokens+load.QuestionTokens)
 	for range load.KeptTokens {
@@ -64,7 +64,7 @@
 	return id
 }
 
-// promptResult is what a caller saw of one prompt.
+// promptResult is the result of a prompt, as seen by the caller.
 type promptResult struct {
 	kind       outcome.Kind
 	detail     string
@@ -75,12 +75,12 @@
 	reused     int
 	keptFrom   string
 	resumes    int
-	// crossed tells that a token was not the caller's own, short that an
-	// answer was given out as whole and was not.
+	// crossed is true if a token belongs to another answer, short if the answer
+	// was marked complete but is not.
 	crossed bool
 	short   bool
-	// unheard tells that no entry said what became of the request.
-	unheard bool
+	// noOutcome is true if no entry reported the outcome of the request.
+	noOutcome bool
 }
 
 // answerChunk is one event of an entry's stream.
@@ -99,7 +99,7 @@
 	Error *answerError `json:"error"`
 }
 
-// prompt sends one prompt to an entry and checks its answer.
+// prompt sends a prompt to an entry and checks the answer.
 func (s *sender) prompt(ctx context.Context, entry string, job promptJob) promptResult {
 	body, err := json.Marshal(map[string]any{
 		"model":      job.load.Model,
@@ -121,18 +121,18 @@
 	resp, err := s.do(req, job.request)
 	if err != nil {
 		kind := outcome.KindOf(err)
-		return promptResult{kind: kind, detail: reasonOf(err), unheard: kind == outcome.KindUnknown}
+		return promptResult{kind: kind, detail: errorReason(err), noOutcome: kind == outcome.KindUnknown}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		kind, detail := refusal(resp)
+		kind, detail := parseRefusal(resp)
 		return promptResult{kind: kind, detail: detail}
 	}
 	return readAnswer(resp, job)
 }
 
-// answerCheck compares an answer with what the engines must say.
-type answerCheck struct {
+// answerChecker compares an answer with the one that the engines must generate.
+type answerChecker struct {
 	job      promptJob
 	expected string
 	text     strings.Builder
@@ -141,7 +141,7 @@
 }
 
 func readAnswer(resp *http.Response, job promptJob) promptResult {
-	check := &answerCheck{
+	check := &answerChecker{
 		job:      job,
 		expected: standin.ExpectedAnswer(job.tokens, job.seed, job.load.AnswerTokens),
 		result:   promptResult{kind: outcome.KindUnknown, prompt: len(job.tokens), detail: "stream ended early"},
@@ -152,14 +152,14 @@
 		data, err := events.Next()
 		if err != nil {
 			check.result.detail = err.Error()
-			check.result.unheard = true
+			check.result.noOutcome = true
 			break
 		}
 		if string(data) == upstreamapi.EndOfStream {
-			check.end()
+			check.finish()
 			break
 		}
-		if !check.event(data) {
+		if !check.handleEvent(data) {
 			break
 		}
 	}
@@ -167,8 +167,8 @@
 	return check.result
 }
 
-// event takes one event and reports whether the stream goes on.
-func (c *answerCheck) event(data []byte) bool {
+// handleEvent checks an event and reports whether the stream continues.
+func (c *answerChecker) handleEvent(data []byte) bool {
 	var chunk answerChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
 		c.result.detail = err.Error()
@@ -193,11 +193,11 @@
 	if chunk.Choices[0].FinishReason != nil {
 		c.finished = true
 	}
-	c.token(chunk.Choices[0].Text)
+	c.handleToken(chunk.Choices[0].Text)
 	return true
 }
 
-func (c *answerCheck) token(text string) {
+func (c *answerChecker) handleToken(text string) {
 	if text == "" {
 		return
 	}
@@ -211,8 +211,8 @@
 	c.text.WriteString(text)
 }
 
-// end takes the announced end of a whole answer.
-func (c *answerCheck) end() {
+// finish handles the end-of-stream event.
+func (c *answerChecker) finish() {
 	c.result.kind, c.result.detail = outcome.KindDone, ""
 	c.result.short = !c.finished || c.text.Len() < len(c.expected)
 }
--- a/internal/loadgen/ledger.go
+++ b/internal/loadgen/recorder.go
@@ -14,30 +14,30 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Bounds of a ledger.
+// Bounds of a recorder.
 const (
 	maxExamples = 20
 	maxReasons  = 32
-	// Times are recorded in microseconds up to ten minutes.
+	// maxMicros is the longest recorded time, ten minutes in microseconds.
 	maxMicros         = 600_000_000
 	significantDigits = 3
 )
 
-// ledger collects what callers saw.
-type ledger struct {
+// recorder collects the results that callers received.
+type recorder struct {
 	fresh bool
 
-	mu       sync.Mutex
-	classes  map[string]*classLedger
-	keys     map[string]*keyLedger
-	refused  []ident.Request // prompts whose outcome was not-run
-	unheard  []ident.Request // prompts whose outcome nobody told
-	traces   TraceReport
-	examples []string
-	found    Violations
+	mu         sync.Mutex
+	classes    map[string]*classStats
+	keys       map[string]*keyStats
+	refused    []ident.Request // prompts with the outcome not-run
+	noOutcome  []ident.Request // prompts whose outcome the caller did not receive
+	traces     TraceReport
+	examples   []string
+	violations Violations
 }
 
-type classLedger struct {
+type classStats struct {
 	counts     [outcome.KindUnknown + 1]uint64
 	reasons    map[string]uint64
 	overflow   uint64
@@ -50,13 +50,13 @@
 	total      *hdrhistogram.Histogram
 }
 
-// keyLedger is what the callers of one idempotency key were told.
-type keyLedger struct {
+// keyStats counts the attempts with one idempotency key by outcome.
+type keyStats struct {
 	sends, notRun, done int
 }
 
-func newLedger(options Options) *ledger {
-	l := &ledger{fresh: options.Fresh, classes: make(map[string]*classLedger), keys: make(map[string]*keyLedger)}
+func newRecorder(options Options) *recorder {
+	l := &recorder{fresh: options.Fresh, classes: make(map[string]*classStats), keys: make(map[string]*keyStats)}
 	for i := range options.Prompts {
 		l.class(className(&options.Prompts[i]))
 	}
@@ -66,10 +66,10 @@
 	return l
 }
 
-func (l *ledger) class(name string) *classLedger {
+func (l *recorder) class(name string) *classStats {
 	c := l.classes[name]
 	if c == nil {
-		c = &classLedger{
+		c = &classStats{
 			reasons:    make(map[string]uint64),
 			firstToken: hdrhistogram.New(1, maxMicros, significantDigits),
 			total:      hdrhistogram.New(1, maxMicros, significantDigits),
@@ -79,8 +79,8 @@
 	return c
 }
 
-// count counts an outcome and, when it is not done, its reason.
-func (c *classLedger) count(kind outcome.Kind, reason string) {
+// count counts an outcome and its reason, if not empty.
+func (c *classStats) count(kind outcome.Kind, reason string) {
 	c.counts[kind]++
 	if reason == "" {
 		return
@@ -93,42 +93,42 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// A time beyond the histogram's range counts as its end.
+	// A time outside the histogram's range is recorded as the nearest bound.
 	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicros))
 }
 
-func (l *ledger) overflow(class string) {
+func (l *recorder) overflow(class string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.class(class).overflow++
 }
 
-// prompt takes what a caller saw of one prompt.
-func (l *ledger) prompt(job promptJob, result promptResult) {
+// recordPrompt records the result of a prompt.
+func (l *recorder) recordPrompt(job promptJob, result promptResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.class(className(job.load))
 	c.count(result.kind, result.detail)
 	if result.crossed {
-		l.found.Crossed++
-		l.example("crossed", job.request.String(), result.detail)
+		l.violations.Crossed++
+		l.addExample("crossed", job.request.String(), result.detail)
 	}
 	if result.kind == outcome.KindNotRun {
 		l.refused = append(l.refused, job.request)
 	}
-	if result.unheard && len(l.unheard) < maxUnheard {
-		l.unheard = append(l.unheard, job.request)
+	if result.noOutcome && len(l.noOutcome) < maxNoOutcome {
+		l.noOutcome = append(l.noOutcome, job.request)
 	}
 	if result.kind != outcome.KindDone {
 		return
 	}
 	if result.short {
-		l.found.Short++
-		l.example("short", job.request.String(), result.detail)
+		l.violations.Short++
+		l.addExample("short", job.request.String(), result.detail)
 	}
 	if l.fresh && job.first && result.reused > 0 {
-		l.found.Shared++
-		l.example("shared", job.request.String(), fmt.Sprintf("reused %d tokens on first sight", result.reused))
+		l.violations.Shared++
+		l.addExample("shared", job.request.String(), fmt.Sprintf("reused %d tokens on first sight", result.reused))
 	}
 	if result.resumes > 0 {
 		c.resumed++
@@ -145,15 +145,15 @@
 	record(c.total, result.total)
 }
 
-// call takes what a caller saw of one send of a call.
-func (l *ledger) call(job callJob, result callResult) {
+// recordCall records the result of one attempt of a call.
+func (l *recorder) recordCall(job callJob, result callResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.class(serviceName(job.load))
 	c.count(result.kind, result.detail)
 	if result.crossed {
-		l.found.Crossed++
-		l.example("crossed", job.key, result.detail)
+		l.violations.Crossed++
+		l.addExample("crossed", job.key, result.detail)
 	}
 	if result.kind == outcome.KindDone {
 		record(c.total, result.total)
@@ -162,11 +162,11 @@
 		return
 	}
 	if result.run > 1 {
-		l.example("second run answered", job.key, fmt.Sprint(result.run))
+		l.addExample("second run answered", job.key, fmt.Sprint(result.run))
 	}
 	key := l.keys[job.key]
 	if key == nil {
-		key = &keyLedger{}
+		key = &keyStats{}
 		l.keys[job.key] = key
 	}
 	key.sends++
@@ -178,41 +178,42 @@
 	}
 }
 
-func (l *ledger) example(kind, name, detail string) {
+func (l *recorder) addExample(kind, name, detail string) {
 	if len(l.examples) < maxExamples {
 		l.examples = append(l.examples, strings.TrimSpace(kind+" "+name+" "+detail))
 	}
 }
 
-func (l *ledger) note(text string) {
+func (l *recorder) addNote(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.example("note:", text, "")
+	l.addExample("note:", text, "")
 }
 
-// Check compares what callers were told with what upstreams ran.
-func (l *ledger) Check(ran Ran) {
+// Check compares the outcomes that callers received with the runs on upstreams,
+// and counts the violations.
+func (l *recorder) Check(ran Ran) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, key := range l.keys {
 		runs := ran.Keys[name]
 		if runs > 1 {
-			l.found.Doubled++
-			l.example("doubled", name, fmt.Sprintf("ran %d times", runs))
+			l.violations.Doubled++
+			l.addExample("doubled", name, fmt.Sprintf("ran %d times", runs))
 		}
 		if key.notRun == key.sends && runs > 0 {
-			l.found.FalseRefusals++
-			l.example("false refusal", name, "every answer said not run")
+			l.violations.FalseRefusals++
+			l.addExample("false refusal", name, "every answer said not run")
 		}
 		if key.done > 0 && runs == 0 {
-			l.found.NeverRun++
-			l.example("never run", name, "an answer said done")
+			l.violations.NeverRun++
+			l.addExample("never run", name, "an answer said done")
 		}
 	}
 	for _, id := range l.refused {
 		if ran.Requests[id] {
-			l.found.FalseRefusals++
-			l.example("false refusal", id.String(), "an engine began it")
+			l.violations.FalseRefusals++
+			l.addExample("false refusal", id.String(), "an engine began it")
 		}
 	}
 }
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -16,7 +16,7 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// Report is what one run has shown.
+// Report is the result of a run.
 type Report struct {
 	Seconds    float64       `json:"seconds"`
 	Seed       uint64        `json:"seed"`
@@ -25,12 +25,12 @@
 	Violations Violations    `json:"violations"`
 	// Keys is the number of idempotency keys that were used.
 	Keys int `json:"keys"`
-	// Traces tells what became of prompts of which callers never heard.
+	// Traces counts the prompts whose outcome callers did not receive.
 	Traces   TraceReport `json:"traces"`
 	Examples []string    `json:"examples,omitempty"`
 }
 
-// ClassReport is what callers of one class of prompts, or of one service, saw.
+// ClassReport is the result for one class of prompts or one service.
 type ClassReport struct {
 	Class    string `json:"class"`
 	Done     uint64 `json:"done"`
@@ -44,10 +44,11 @@
 	// FromCache and FromStore count answers that used a kept prompt.
 	FromCache uint64 `json:"from_cache"`
 	FromStore uint64 `json:"from_store"`
-	// FirstToken and Total count from the moment that a request was due.
+	// FirstToken and Total are measured from the time at which a request was
+	// due.
 	FirstToken Times `json:"first_token"`
 	Total      Times `json:"total"`
-	// Recomputed is the share of prompt tokens that were computed anew.
+	// Recomputed is the fraction of prompt tokens that were not reused.
 	Recomputed float64 `json:"recomputed"`
 }
 
@@ -59,51 +60,53 @@
 	Max float64 `json:"max_ms"`
 }
 
-// Link is what one stand-in's link carried, in bytes.
+// Link is the traffic on one stand-in's link in bytes.
 type Link struct {
 	Upstream       ident.Upstream `json:"upstream"`
 	In             uint64         `json:"in"`
 	Out            uint64         `json:"out"`
 	BytesPerSecond float64        `json:"bytes_per_second"`
-	// Rejected counts imported blocks that failed verification, Wrong cached
-	// blocks that were named by a request they do not belong to.
+	// Rejected is the number of imported blocks that failed verification, Wrong
+	// the number of cached blocks that a request named although they belong to
+	// another prompt, version or adapter.
 	Rejected uint64 `json:"rejected"`
 	Wrong    uint64 `json:"wrong"`
 }
 
-// Violations count what must never happen.
+// Violations counts events that must never happen.
 type Violations struct {
-	// Crossed counts answers with content that was not the caller's.
+	// Crossed counts answers with content of another request.
 	Crossed uint64 `json:"crossed"`
-	// Short counts answers given out as whole that were not.
+	// Short counts answers that were marked complete but were not.
 	Short uint64 `json:"short"`
-	// Shared counts prompts answered from what another team's left behind.
+	// Shared counts prompts that reused tokens of another team's prompt.
 	Shared uint64 `json:"shared"`
 	// Doubled counts idempotency keys that ran more than once.
 	Doubled uint64 `json:"doubled"`
-	// FalseRefusals counts requests said not to have run that ran.
+	// FalseRefusals counts requests that ran although the answer stated that
+	// they had not run.
 	FalseRefusals uint64 `json:"false_refusals"`
-	// Untraced counts prompts that ran, of whose outcome the caller never heard
-	// and of which the audit knows nothing.
+	// Untraced counts prompts that ran, whose outcome the caller did not receive
+	// and that have no audit record.
 	Untraced uint64 `json:"untraced"`
-	// NeverRun counts keys said to be done that no replica ran.
+	// NeverRun counts keys with the outcome done that no replica ran.
 	NeverRun uint64 `json:"never_run"`
-	// WrongBlocks counts kept blocks named by a request of another prompt,
-	// team, version or adapter.
+	// WrongBlocks counts kept blocks that a request named although they belong
+	// to another prompt, team, version or adapter.
 	WrongBlocks uint64 `json:"wrong_blocks"`
 }
 
-// Any reports whether anything happened that must not.
+// Any reports whether there is any violation.
 func (v Violations) Any() bool { return v != Violations{} }
 
-func (l *ledger) report(options Options, elapsed time.Duration, links []Link) *Report {
+func (l *recorder) report(options Options, elapsed time.Duration, links []Link) *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	report := &Report{
 		Seconds:    elapsed.Seconds(),
 		Seed:       options.Seed,
 		Links:      links,
-		Violations: l.found,
+		Violations: l.violations,
 		Keys:       len(l.keys),
 		Traces:     l.traces,
 		Examples:   l.examples,
@@ -117,7 +120,7 @@
 	return report
 }
 
-func (c *classLedger) report(name string) ClassReport {
+func (c *classStats) report(name string) ClassReport {
 	report := ClassReport{
 		Class:      name,
 		Done:       c.counts[outcome.KindDone],
@@ -160,7 +163,7 @@
 	"ttft_p50_ms", "ttft_p95_ms", "ttft_p99_ms", "total_p50_ms", "total_p95_ms", "total_p99_ms", "recomputed",
 }
 
-// WriteCSV writes one line for each class.
+// WriteCSV writes a header and one line per class.
 func (r *Report) WriteCSV(w io.Writer) error {
 	writer := csv.NewWriter(w)
 	_ = writer.Write(csvHeader) // Flush reports the error
@@ -181,10 +184,10 @@
 	return writer.Error()
 }
 
-// WriteText writes the report as a table for people.
+// WriteText writes the report as a human-readable table.
 func (r *Report) WriteText(w io.Writer) {
 	line := func(format string, args ...any) {
-		_, _ = fmt.Fprintf(w, format+"\n", args...) // a broken terminal changes nothing
+		_, _ = fmt.Fprintf(w, format+"\n", args...) // a failed write to the terminal is ignored
 	}
 	line("%-24s %7s %6s %7s %7s %9s %9s %9s %10s %6s %6s", "class", "done", "failed", "not-run", "unknown", "p50 ms", "p95 ms", "p99 ms", "recomputed", "cache", "store")
 	for _, c := range r.Classes {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -14,19 +14,19 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// runner is one run of the load.
+// runner is the state of a run.
 type runner struct {
 	options   Options
 	transport *httpsend.Transport
 	send      *sender
-	books     map[string]*addressBook
+	resolvers map[string]*resolver
 	slots     chan struct{}
-	ledger    *ledger
+	recorder  *recorder
 	work      sync.WaitGroup
 }
 
-// Run sends the load and returns what was seen. It ends once every request has
-// an outcome; ctx cuts them short.
+// Run sends the load and returns its report. It returns when every request has an
+// outcome; ctx cancels the requests.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -34,40 +34,40 @@
 	options.setDefaults()
 	r := newRunner(options)
 	defer r.transport.CloseIdleConnections()
-	before, err := readAccounts(ctx, r.transport, options.Standins)
+	before, err := readStats(ctx, r.transport, options.Standins)
 	if err != nil {
-		r.ledger.note("stand-in account missing at the start: " + err.Error())
+		r.recorder.addNote("stand-in account missing at the start: " + err.Error())
 	}
 	started := time.Now()
-	r.arrivals(ctx)
+	r.runArrivals(ctx)
 	r.work.Wait()
 	elapsed := time.Since(started)
-	// What was begun is checked even if the run was cut short.
+	// The started requests are checked even if the run was cancelled.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), checkTimeout)
 	defer cancel()
-	after, err := readAccounts(ctx, r.transport, options.Standins)
+	after, err := readStats(ctx, r.transport, options.Standins)
 	if err != nil {
-		r.ledger.note("stand-in account missing at the end: " + err.Error())
+		r.recorder.addNote("stand-in account missing at the end: " + err.Error())
 	}
-	ran, checked, err := r.ran(ctx)
+	ran, checked, err := r.readRan(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if checked {
-		r.ledger.Check(ran)
+		r.recorder.Check(ran)
 		if err := r.checkTraces(ctx, ran); err != nil {
 			return nil, err
 		}
 	}
-	return r.ledger.report(options, elapsed, linksOf(before, after, elapsed)), nil
+	return r.recorder.report(options, elapsed, linkReports(before, after, elapsed)), nil
 }
 
-// checkTimeout bounds the reading of the stand-ins' accounts at the end.
+// checkTimeout bounds the checks at the end of a run.
 const checkTimeout = 30 * time.Second
 
-// ran returns what upstreams have run, from the run log or else from the
-// stand-ins themselves; checked is false when neither is given.
-func (r *runner) ran(ctx context.Context) (ran Ran, checked bool, err error) {
+// readRan returns the runs on upstreams, from the run log if it is set, otherwise
+// from the stand-ins. checked is false if neither is configured.
+func (r *runner) readRan(ctx context.Context) (ran Ran, checked bool, err error) {
 	if r.options.RunLog == "" {
 		return readRuns(ctx, r.transport, r.options.Standins), len(r.options.Standins) > 0, nil
 	}
@@ -86,32 +86,33 @@
 		options:   options,
 		transport: transport,
 		send:      &sender{client: &http.Client{Transport: transport, CheckRedirect: noRedirect}},
-		books:     make(map[string]*addressBook),
+		resolvers: make(map[string]*resolver),
 		slots:     make(chan struct{}, options.MaxOpen),
-		ledger:    newLedger(options),
+		recorder:  newRecorder(options),
 	}
 	client := &http.Client{Transport: transport, Timeout: addressTimeout}
 	for _, load := range options.Prompts {
-		r.books[load.Token] = newAddressBook(client, load.Token, options.Entries)
+		r.resolvers[load.Token] = newResolver(client, load.Token, options.Entries)
 	}
 	for _, load := range options.Calls {
-		r.books[load.Token] = newAddressBook(client, load.Token, options.Entries)
+		r.resolvers[load.Token] = newResolver(client, load.Token, options.Entries)
 	}
 	return r
 }
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// arrival is one source of requests with its next arrival.
-type arrival struct {
+// arrivalSource generates the requests of one load; due is its next arrival.
+type arrivalSource struct {
 	rate   float64
 	due    time.Time
 	random *rand.Rand
-	begin  func(due time.Time, serial int)
+	send   func(due time.Time, serial int)
 }
 
-// arrivals begins requests at Poisson times, whatever became of those before.
-func (r *runner) arrivals(ctx context.Context) {
+// runArrivals starts requests at Poisson arrival times, independent of the
+// completion of earlier ones.
+func (r *runner) runArrivals(ctx context.Context) {
 	start := time.Now()
 	end := start.Add(r.options.Duration)
 	sources := r.sources(ctx, start)
@@ -125,21 +126,21 @@
 		if next.due.After(end) || !r.waitUntil(ctx, next.due) {
 			return
 		}
-		next.begin(next.due, serial)
+		next.send(next.due, serial)
 		next.advance()
 	}
 }
 
-func (a *arrival) advance() {
+func (a *arrivalSource) advance() {
 	a.due = a.due.Add(time.Duration(a.random.ExpFloat64() / a.rate * float64(time.Second)))
 }
 
-func (r *runner) sources(ctx context.Context, start time.Time) []*arrival {
-	var sources []*arrival
-	add := func(rate float64, begin func(*rand.Rand, time.Time, int)) {
+func (r *runner) sources(ctx context.Context, start time.Time) []*arrivalSource {
+	var sources []*arrivalSource
+	add := func(rate float64, send func(*rand.Rand, time.Time, int)) {
 		random := rand.New(rand.NewPCG(r.options.Seed, uint64(len(sources))))
-		source := &arrival{rate: rate, due: start, random: random}
-		source.begin = func(due time.Time, serial int) { begin(random, due, serial) }
+		source := &arrivalSource{rate: rate, due: start, random: random}
+		source.send = func(due time.Time, serial int) { send(random, due, serial) }
 		source.advance()
 		sources = append(sources, source)
 	}
@@ -167,12 +168,12 @@
 	return sources
 }
 
-// spawn runs f unless too much is open already.
+// spawn runs f in a goroutine, or counts an overflow if MaxOpen requests are open.
 func (r *runner) spawn(class string, f func()) {
 	select {
 	case r.slots <- struct{}{}:
 	default:
-		r.ledger.overflow(class)
+		r.recorder.overflow(class)
 		return
 	}
 	r.work.Go(func() {
@@ -184,20 +185,20 @@
 func (r *runner) prompt(ctx context.Context, job promptJob) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timeout)
 	defer cancel()
-	book := r.books[job.load.Token]
-	entry := book.pick(ctx, 0)
+	resolver := r.resolvers[job.load.Token]
+	entry := resolver.pick(ctx, 0)
 	result := r.send.prompt(ctx, entry, job)
 	if result.kind == outcome.KindNotRun || result.kind == outcome.KindUnknown {
-		book.forget(entry)
+		resolver.invalidate(entry)
 	}
-	r.ledger.prompt(job, result)
+	r.recorder.recordPrompt(job, result)
 }
 
-// resendPause is the time between two sends of a call without an outcome.
+// resendPause is the delay before a call without a definite outcome is retried.
 const resendPause = 250 * time.Millisecond
 
-// call sends a call, perhaps twice on purpose, and again as long as it has no
-// definite outcome and its load allows.
+// call sends a call, a second time if its job requires this, and retries it while
+// it has no definite outcome, up to MaxResends times.
 func (r *runner) call(ctx context.Context, job callJob) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timeout)
 	defer cancel()
@@ -209,7 +210,7 @@
 	}
 	last := r.callOnce(ctx, job, random, 0)
 	overlapping.Wait()
-	if job.twice && !job.overlap {
+	if job.resend && !job.overlap {
 		last = r.callOnce(ctx, job, random, 1)
 	}
 	for n := range job.load.MaxResends {
@@ -221,17 +222,18 @@
 }
 
 func (r *runner) callOnce(ctx context.Context, job callJob, random *rand.Rand, n int) outcome.Kind {
-	book := r.books[job.load.Token]
-	entry := book.pick(ctx, n)
+	resolver := r.resolvers[job.load.Token]
+	entry := resolver.pick(ctx, n)
 	result := r.send.call(ctx, entry, job, drawRequest(random))
 	if result.kind == outcome.KindNotRun || result.kind == outcome.KindUnknown {
-		book.forget(entry)
+		resolver.invalidate(entry)
 	}
-	r.ledger.call(job, result)
+	r.recorder.recordCall(job, result)
 	return result.kind
 }
 
-// waitUntil reports whether the run still goes on at the given time.
+// waitUntil waits until the given time. It returns false if the run is stopped or
+// ctx is done before.
 func (r *runner) waitUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -262,25 +264,27 @@
 
 func serviceName(load *CallLoad) string { return "service:" + string(load.Service) }
 
-// since returns how far a counter grew; one that fell began anew with a restart.
-func since(first, last uint64) uint64 {
+// counterDelta returns the increase of a counter. A counter that decreased was
+// reset by a restart of the process.
+func counterDelta(first, last uint64) uint64 {
 	if last < first {
 		return last
 	}
 	return last - first
 }
 
-// linksOf works out what each stand-in's link carried.
-func linksOf(before, after map[string]account, elapsed time.Duration) []Link {
+// linkReports returns the traffic on each stand-in's link between two readings of
+// its counters.
+func linkReports(before, after map[string]standinStats, elapsed time.Duration) []Link {
 	var links []Link
 	for address, last := range after {
 		first := before[address]
 		link := Link{
 			Upstream: last.Upstream,
-			In:       since(first.WrittenBytes, last.WrittenBytes) + since(first.ImportedBytes, last.ImportedBytes),
-			Out:      since(first.ReadBytes, last.ReadBytes) + since(first.ExportedBytes, last.ExportedBytes),
-			Rejected: since(first.Rejected, last.Rejected),
-			Wrong:    since(first.WrongBlocks, last.WrongBlocks),
+			In:       counterDelta(first.WrittenBytes, last.WrittenBytes) + counterDelta(first.ImportedBytes, last.ImportedBytes),
+			Out:      counterDelta(first.ReadBytes, last.ReadBytes) + counterDelta(first.ExportedBytes, last.ExportedBytes),
+			Rejected: counterDelta(first.Rejected, last.Rejected),
+			Wrong:    counterDelta(first.WrongBlocks, last.WrongBlocks),
 		}
 		link.BytesPerSecond = float64(link.In+link.Out) / elapsed.Seconds()
 		links = append(links, link)
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -19,7 +19,7 @@
 	"github.com/lovagereach/lovagereach/internal/standin"
 )
 
-// bug is a way in which fakeEntry breaks a promise.
+// bug is a violation that fakeEntry simulates.
 type bug string
 
 const (
@@ -30,11 +30,12 @@
 	bugDoubled      bug = "doubled"
 	bugFalseRefusal bug = "false refusal"
 	bugNeverRun     bug = "never run"
-	// bugDies is no bug of the entry's: it dies after the first token.
-	bugDies bug = "dies"
+	// bugCrashes aborts the connection after the first token, like a crash of
+	// the entry. It is not a violation.
+	bugCrashes bug = "dies"
 )
 
-// fakeEntry answers callers with the least that loadgen needs.
+// fakeEntry implements the minimum of an entry's callers API that loadgen needs.
 type fakeEntry struct {
 	bug     bug
 	address string
@@ -81,7 +82,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if f.bug == bugDies {
+		if f.bug == bugCrashes {
 			panic(http.ErrAbortHandler)
 		}
 		last := f.bug == bugShort && event.Index == body.MaxTokens-1
@@ -148,11 +149,11 @@
 	return server.Listener.Addr().String()
 }
 
-// Each bug is one that a caller would suffer from without noticing: a token of
-// somebody else's answer, an answer that ends early and looks whole, a prompt
-// answered from another team's kept prompt, a bid that ran twice, one that ran and was said not to have, one said done that no
-// replica ran under its key. The run must find each of them and nothing else,
-// and nothing at all in a system that keeps its promises.
+// Each bug is a violation that a caller cannot detect: a token of another answer,
+// an answer that ends early and looks complete, a prompt answered from another
+// team's kept prompt, a bid that ran twice, one that ran and was reported as not
+// run, one reported as done that no replica ran under its key. The run must report
+// exactly the simulated violation, and none for a correct system.
 func TestRunFindsViolations(t *testing.T) {
 	cases := map[bug]func(Violations) bool{
 		bugNone:         func(v Violations) bool { return v == Violations{} },
@@ -198,9 +199,9 @@
 	}
 }
 
-// An entry dies in the middle of answers, so that callers never hear what became
-// of them. The audit must know each such request, as open or with its outcome;
-// one that it does not know is lost without anybody noticing.
+// An entry crashes in the middle of answers, so that callers don't receive an
+// outcome. The audit must have a record of each such request, open or with its
+// outcome; a request without a record must be reported as untraced.
 func TestRunTracesLostPrompts(t *testing.T) {
 	cases := map[string]struct {
 		records string
@@ -214,7 +215,7 @@
 		t.Run(name, func(t *testing.T) {
 			standinEngine := standin.NewEngine(standin.EngineOptions{Models: []port.LoadedVersion{{Model: "m", Version: "v"}}})
 			engineAddress := serve(t, standinEngine.Handler())
-			fake := &fakeEntry{bug: bugDies, engine: engine.New(engineAddress, engine.Options{})}
+			fake := &fakeEntry{bug: bugCrashes, engine: engine.New(engineAddress, engine.Options{})}
 			fake.address = serve(t, fake)
 			operators := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path != "/v1/audit" || r.Header.Get("Authorization") != "Bearer operator" {
@@ -237,8 +238,9 @@
 	}
 }
 
-// The tool is told to stop. It must begin nothing more, finish what is open and
-// still check and report it; a report that left the check out would look clean.
+// Stop is closed during a run. The run must start no further requests, complete the
+// open ones, and still check and report them; without the check, the report would
+// show no violations.
 func TestRunStops(t *testing.T) {
 	standinService := standin.NewService(standin.ServiceOptions{Service: "clock"})
 	serviceAddress := serve(t, standinService.Handler())
@@ -283,11 +285,11 @@
 	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for field, spoil := range cases {
+	for field, invalidate := range cases {
 		options := good
-		spoil(&options)
+		invalidate(&options)
 		if err := options.Validate(); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
+			t.Errorf("%s: error %v does not name the field", field, err)
 		}
 	}
 }
--- a/internal/loadgen/send.go
+++ b/internal/loadgen/send.go
@@ -13,16 +13,17 @@
 	"github.com/lovagereach/lovagereach/outcome"
 )
 
-// errStatus is an HTTP status that was not expected.
+// errStatus is an error for an unexpected HTTP status.
 type errStatus int
 
 // Error implements error.
 func (s errStatus) Error() string { return fmt.Sprintf("status %d", int(s)) }
 
-// sender sends requests to entries as any caller does, each at most once.
+// sender sends requests to entries. It never retries a request itself.
 type sender struct{ client *http.Client }
 
-// do sends a request. Its error says not run only when no connection was made.
+// do sends a request. It returns *outcome.NotRun only if no connection was
+// established, otherwise *outcome.Unknown.
 func (s *sender) do(req *http.Request, id ident.Request) (*http.Response, error) {
 	req.Header.Set(callers.HeaderRequestID, id.String())
 	resp, err := s.client.Do(req)
@@ -39,8 +40,8 @@
 	return nil, &outcome.Unknown{Reason: outcome.ReasonConnectionLost, Detail: err.Error()}
 }
 
-// reasonOf names the cause of an error of do.
-func reasonOf(err error) string {
+// errorReason returns the reason of an error returned by do.
+func errorReason(err error) string {
 	var notRun *outcome.NotRun
 	var unknown *outcome.Unknown
 	switch {
@@ -53,16 +54,16 @@
 	}
 }
 
-// answerError is what an entry says of a request that is not done.
+// answerError is the error body of an entry's answer.
 type answerError struct {
 	Message string `json:"message"`
 	Code    string `json:"code"`
 	Outcome string `json:"outcome"`
 }
 
-// refusal reads an error answer: an entry's own, or one of a service that an
-// entry relays. Both carry the outcome in a header.
-func refusal(resp *http.Response) (outcome.Kind, string) {
+// parseRefusal returns the outcome and reason of an error answer, either of an
+// entry or of a service behind it. Both have the outcome in a header.
+func parseRefusal(resp *http.Response) (outcome.Kind, string) {
 	var body struct {
 		Error answerError `json:"error"`
 	}
--- a/internal/loadgen/standins.go
+++ b/internal/loadgen/standins.go
@@ -15,12 +15,12 @@
 	"github.com/lovagereach/lovagereach/internal/standin"
 )
 
-// maxAccountBytes bounds one stand-in's account.
-const maxAccountBytes = 64 << 20
+// maxStatsBytes bounds the size of a stand-in's answer.
+const maxStatsBytes = 64 << 20
 
-// account is what one stand-in says of itself; fields of other kinds stay
-// empty.
-type account struct {
+// standinStats holds the counters of a stand-in of any kind. Counters that its
+// kind doesn't have are zero.
+type standinStats struct {
 	Upstream      ident.Upstream `json:"upstream"`
 	WrittenBytes  uint64         `json:"written_bytes"`
 	ReadBytes     uint64         `json:"read_bytes"`
@@ -30,14 +30,14 @@
 	Rejected      uint64         `json:"imports_rejected"`
 }
 
-// readAll reads path from every stand-in. Those that can't be reached are left
-// out and named in the error.
+// readAll requests path from every stand-in and returns the answers by address.
+// The error joins those of the failed requests.
 func readAll[T any](ctx context.Context, transport *httpsend.Transport, addresses []string, path string) (map[string]T, error) {
 	found := make(map[string]T, len(addresses))
 	var failures []error
 	for _, address := range addresses {
 		var got T
-		if err := httpcall.NewCaller(transport, address).Get(ctx, path, maxAccountBytes, &got); err != nil {
+		if err := httpcall.NewCaller(transport, address).Get(ctx, path, maxStatsBytes, &got); err != nil {
 			failures = append(failures, err)
 			continue
 		}
@@ -46,12 +46,12 @@
 	return found, errors.Join(failures...)
 }
 
-func readAccounts(ctx context.Context, transport *httpsend.Transport, addresses []string) (map[string]account, error) {
-	return readAll[account](ctx, transport, addresses, standin.PathStats)
+func readStats(ctx context.Context, transport *httpsend.Transport, addresses []string) (map[string]standinStats, error) {
+	return readAll[standinStats](ctx, transport, addresses, standin.PathStats)
 }
 
-// readRuns sums up what all stand-ins have run. Store hosts run nothing and
-// answer with an error status, which is why failures are not reported here.
+// readRuns returns the sum of the runs on all stand-ins. It ignores errors, since
+// store hosts run nothing and answer with an error status.
 func readRuns(ctx context.Context, transport *httpsend.Transport, addresses []string) Ran {
 	found, _ := readAll[standin.Runs](ctx, transport, addresses, standin.PathRuns)
 	ran := NewRan()
@@ -66,8 +66,9 @@
 	return ran
 }
 
-// ReadRunLog reads the lines that standin.RunLog writes. A last line without an
-// end is that of a process killed while it wrote, before it began the run.
+// ReadRunLog reads a log written by standin.RunLog. An incomplete last line is
+// ignored: it was written by a process that was killed during the write, before it
+// started the run.
 func ReadRunLog(r io.Reader) (Ran, error) {
 	ran := NewRan()
 	reader := bufio.NewReader(r)
@@ -105,13 +106,14 @@
 	return nil
 }
 
-// Ran is what upstreams have run, by their own account.
+// Ran holds the runs that upstreams recorded: the number of runs of each
+// idempotency key, and the requests that engines started.
 type Ran struct {
 	Keys     map[string]int
 	Requests map[ident.Request]bool
 }
 
-// NewRan returns an empty account.
+// NewRan returns an empty Ran.
 func NewRan() Ran {
 	return Ran{Keys: make(map[string]int), Requests: make(map[ident.Request]bool)}
 }
--- a/internal/loadgen/traced.go
+++ b/internal/loadgen/traced.go
@@ -10,34 +10,36 @@
 	"github.com/lovagereach/lovagereach/internal/adapter/operators/apiclient"
 )
 
-// AuditOptions tell where to ask what became of requests.
+// AuditOptions configure the access to the audit.
 type AuditOptions struct {
 	// Servers are the URLs of the control hosts' operators' listeners.
 	Servers []string
-	// Token is an operator's.
+	// Token is an operator's token.
 	Token string
 }
 
-// TraceReport is what the audit says of prompts that an engine began and of
-// whose outcome the caller never heard.
+// TraceReport counts the prompts that an engine started and whose outcome the
+// caller did not receive, by their state in the audit.
 type TraceReport struct {
+	// Unheard is the number of these prompts.
 	Unheard int `json:"unheard"`
-	// Closed have an outcome in the audit, Open are listed as having none.
+	// Closed is the number with an outcome in the audit, Open the number that
+	// the audit lists without one.
 	Closed int `json:"closed"`
 	Open   int `json:"open"`
 }
 
-// maxUnheard bounds the remembered requests.
-const maxUnheard = 1 << 14
+// maxNoOutcome bounds the number of recorded requests without an outcome.
+const maxNoOutcome = 1 << 14
 
-// traceRecord is the part of an audit record that is looked at.
+// traceRecord is the part of an audit record that is evaluated.
 type traceRecord struct {
 	Closed bool `json:"closed"`
 }
 
-// checkTraces asks the audit for each prompt that ran and of which its caller
-// never heard, as when its entry died. One that the audit does not know would
-// be lost without anybody noticing.
+// checkTraces queries the audit for each prompt that ran and whose caller did not
+// receive an outcome, such as after a crash of its entry. A prompt without an
+// audit record is lost without any trace.
 func (r *runner) checkTraces(ctx context.Context, ran Ran) error {
 	options := r.options.Audit
 	if options == nil {
@@ -47,17 +49,17 @@
 	if err != nil {
 		return err
 	}
-	for _, id := range r.ledger.unheardRan(ran) {
-		records, err := traces(ctx, client, id)
+	for _, id := range r.recorder.runsWithoutOutcome(ran) {
+		records, err := auditRecords(ctx, client, id)
 		if err != nil {
 			return fmt.Errorf("audit of %s: %w", id, err)
 		}
-		r.ledger.trace(id, records)
+		r.recorder.recordTrace(id, records)
 	}
 	return nil
 }
 
-func traces(ctx context.Context, client *apiclient.Client, id ident.Request) ([]traceRecord, error) {
+func auditRecords(ctx context.Context, client *apiclient.Client, id ident.Request) ([]traceRecord, error) {
 	var answer struct {
 		Records []json.RawMessage `json:"records"`
 	}
@@ -78,12 +80,13 @@
 	return records, nil
 }
 
-// unheardRan returns the prompts that ran and of which the caller never heard.
-func (l *ledger) unheardRan(ran Ran) []ident.Request {
+// runsWithoutOutcome returns the prompts that ran and whose caller did not receive
+// an outcome.
+func (l *recorder) runsWithoutOutcome(ran Ran) []ident.Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var ids []ident.Request
-	for _, id := range l.unheard {
+	for _, id := range l.noOutcome {
 		if ran.Requests[id] {
 			ids = append(ids, id)
 		}
@@ -91,15 +94,15 @@
 	return ids
 }
 
-// trace counts what the audit knows of one request.
-func (l *ledger) trace(id ident.Request, records []traceRecord) {
+// recordTrace counts a request by its audit records.
+func (l *recorder) recordTrace(id ident.Request, records []traceRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.traces.Unheard++
 	switch {
 	case len(records) == 0:
-		l.found.Untraced++
-		l.example("untraced", id.String(), "an engine began it, the caller heard nothing, the audit knows nothing")
+		l.violations.Untraced++
+		l.addExample("untraced", id.String(), "an engine began it, the caller heard nothing, the audit knows nothing")
 	case records[0].Closed:
 		l.traces.Closed++
 	default:
