--- a/internal/simtree/doc.go
+++ b/internal/simtree/doc.go
@@ -1,5 +1,5 @@
-// Package simtree runs one leader, relays and entries in one process and in
-// virtual time: the step functions of package relay, a queue of messages and
-// nothing else. It serves tests of the in-force rule under faults and the
-// measurements behind docs/CAPACITY.md.
+// Package simtree simulates a leader, relays and entries in one process and in
+// virtual time. It consists of the step functions of package relay and a message
+// queue. It is used by tests of the in-force rule under faults and by the
+// measurements for docs/CAPACITY.md.
 package simtree
--- a/internal/simtree/node.go
+++ b/internal/simtree/node.go
@@ -10,25 +10,25 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// nodeTick is how often a relay looks for silent children.
+// nodeTick is the interval at which a relay checks its children for timeouts.
 const nodeTick = 100 * time.Millisecond
 
 // node is a relay or an entry.
 type node struct {
-	host ident.Host
-	end  end
-	rate float64
-	role member.Role
-	// entry is set for entries, relay for relays.
+	host    ident.Host
+	process process
+	rate    float64
+	role    member.Role
+	// entry is nil for a relay, relay is nil for an entry.
 	entry       *relay.Child
 	relay       *relay.Relay
 	link        *relay.Link
 	parents     []string
 	incarnation int
 	acked       config.Revision
-	// wake is the number of the renewal timer that counts; earlier ones were
-	// replaced.
-	wake int
+	// timerID is the number of the current renewal timer. Timers with a lower
+	// number have been replaced and do nothing.
+	timerID int
 }
 
 func (n *node) child() *relay.Child {
@@ -45,26 +45,26 @@
 
 func (w *World) newEntry(i int, parents []string) *node {
 	n := w.newNode(fmt.Sprintf("entry-%04d", i), i, member.RoleEntry, parents)
-	// Only a relay's options can be refused.
+	// start returns an error only for invalid options of a relay.
 	_ = w.start(n)
 	return n
 }
 
 func (w *World) newNode(host string, i int, role member.Role, parents []string) *node {
 	n := &node{host: ident.Host(host), role: role, rate: w.rate(), parents: parents}
-	n.end = end{host: n.host, dataCentre: w.dataCentre(i)}
+	n.process = process{host: n.host, dataCentre: w.dataCentre(i)}
 	w.byHost[n.host] = n
 	return n
 }
 
-// start begins a new life of a process.
+// start starts a new incarnation of a process.
 func (w *World) start(n *node) error {
 	n.incarnation++
-	n.end.life++
-	n.end.alive = true
+	n.process.incarnation++
+	n.process.alive = true
 	n.acked = 0
 	now := w.clock(n.rate)
-	claim := claimOf(&n.end, n.role, n.incarnation)
+	claim := claimOf(&n.process, n.role, n.incarnation)
 	phase := time.Duration(w.random.Int64N(int64(relay.RenewEvery)))
 	n.link = relay.NewLink(n.host, n.parents, now, phase)
 	if n.role == member.RoleEntry {
@@ -74,31 +74,32 @@
 		if n.relay, err = relay.NewRelay(claim, relay.RelayOptions(), now); err != nil {
 			return err
 		}
-		w.tick(n, n.end.life)
+		w.tickRelay(n, n.process.incarnation)
 	}
-	w.arm(n)
+	w.scheduleRenewal(n)
 	return nil
 }
 
-// Kill ends a process without a word.
-func (w *World) Kill(host ident.Host) { w.byHost[host].end.alive = false }
+// Kill stops a process without a departure announcement.
+func (w *World) Kill(host ident.Host) { w.byHost[host].process.alive = false }
 
-// Restart begins a new life of a process that was killed.
+// Restart kills a process, if it is alive, and starts a new incarnation.
 func (w *World) Restart(host ident.Host) error {
 	n := w.byHost[host]
-	n.end.alive = false
+	n.process.alive = false
 	return w.start(n)
 }
 
-// Cut parts data centres from each other; nil heals.
+// Cut drops the messages between the data centres for which cut returns true. A
+// nil cut restores all links.
 func (w *World) Cut(cut func(from, to ident.DataCentre) bool) {
 	if cut == nil {
 		cut = func(_, _ ident.DataCentre) bool { return false }
 	}
-	w.cut = cut
+	w.blocked = cut
 }
 
-// Relays and Entries list the hosts.
+// Relays lists the hosts of relays.
 func (w *World) Relays() []ident.Host { return hostsOf(w.relays) }
 
 // Entries lists the hosts of entries.
@@ -112,40 +113,39 @@
 	return hosts
 }
 
-// Traffic returns what a process has sent and received; the leader's with an
-// empty host.
+// Traffic returns the traffic of a process; an empty host means the leader.
 func (w *World) Traffic(host ident.Host) Traffic {
 	if host == "" {
-		return w.root.end.traffic
+		return w.root.process.traffic
 	}
-	return w.byHost[host].end.traffic
+	return w.byHost[host].process.traffic
 }
 
-// Child returns an entry's or relay's link to its parent, for its state.
+// Child returns the state of an entry or relay as a child of its parent.
 func (w *World) Child(host ident.Host) *relay.Child { return w.byHost[host].child() }
 
-func (w *World) tick(n *node, life int) {
-	if !n.end.alive || n.end.life != life {
+func (w *World) tickRelay(n *node, incarnation int) {
+	if !n.process.alive || n.process.incarnation != incarnation {
 		return
 	}
 	n.relay.Tick(w.clock(n.rate))
-	w.ackUp(n)
-	w.after(nodeTick, func() { w.tick(n, life) })
+	w.sendAck(n)
+	w.after(nodeTick, func() { w.tickRelay(n, incarnation) })
 }
 
-// arm sets the timer for the next renewal, in place of an earlier one.
-func (w *World) arm(n *node) {
-	n.wake++
-	wake := n.wake
+// scheduleRenewal sets the timer for the next renewal and replaces the previous one.
+func (w *World) scheduleRenewal(n *node) {
+	n.timerID++
+	timerID := n.timerID
 	wait := n.link.Next().Sub(w.clock(n.rate))
 	w.after(max(wait, time.Millisecond), func() {
-		if !n.end.alive || n.wake != wake {
+		if !n.process.alive || n.timerID != timerID {
 			return
 		}
 		if !w.clock(n.rate).Before(n.link.Next()) {
 			w.renew(n)
 		}
-		w.arm(n)
+		w.scheduleRenewal(n)
 	})
 }
 
@@ -166,11 +166,11 @@
 	}
 	if ident.Host(parent) == rootName {
 		r := w.root
-		w.send(&n.end, &r.end, renewal, func() { w.renewAtRoot(r, n, renewal) })
+		w.send(&n.process, &r.process, renewal, func() { w.renewAtRoot(r, n, renewal) })
 		return
 	}
 	up := w.byHost[ident.Host(parent)]
-	w.send(&n.end, &up.end, renewal, func() { w.renewAtRelay(up, n, renewal) })
+	w.send(&n.process, &up.process, renewal, func() { w.renewAtRelay(up, n, renewal) })
 }
 
 func (w *World) attach(n *node) {
@@ -187,11 +187,11 @@
 	if w.faults.FullTerm && answer.Refused == relay.RefusedNoLease {
 		answer.Refused, answer.Term = "", relay.DefaultTerm
 	}
-	w.send(&up.end, &from.end, answer, func() { w.renewed(from, answer) })
+	w.send(&up.process, &from.process, answer, func() { w.handleRenewed(from, answer) })
 	w.pushFromRelay(up, from)
 }
 
-func (w *World) renewed(n *node, answer relay.Renewed) {
+func (w *World) handleRenewed(n *node, answer relay.Renewed) {
 	now := w.clock(n.rate)
 	var effect relay.Effect
 	if n.relay != nil {
@@ -202,10 +202,10 @@
 	if n.link.Answered(now, answer, effect) {
 		w.attach(n)
 	}
-	w.settle(n, effect)
+	w.applyEffect(n, effect)
 }
 
-func (w *World) pushed(n *node, update config.Update) {
+func (w *World) handleUpdate(n *node, update config.Update) {
 	now := w.clock(n.rate)
 	var effect relay.Effect
 	if n.relay != nil {
@@ -213,11 +213,12 @@
 	} else {
 		effect = n.entry.Pushed(update)
 	}
-	w.settle(n, effect)
+	w.applyEffect(n, effect)
 }
 
-// settle passes a change on downwards and upwards.
-func (w *World) settle(n *node, effect relay.Effect) {
+// applyEffect pushes a changed configuration to the children and acknowledges it
+// to the parent.
+func (w *World) applyEffect(n *node, effect relay.Effect) {
 	if effect.Err != nil {
 		panic(fmt.Sprintf("simtree: %s: %v", n.host, effect.Err))
 	}
@@ -229,13 +230,13 @@
 		n.link.Moved(now, n.child().Serving(now))
 	}
 	if effect.ConfigChanged && n.relay != nil {
-		w.pushBelow(n)
+		w.pushToChildren(n)
 	}
-	w.ackUp(n)
-	w.arm(n)
+	w.sendAck(n)
+	w.scheduleRenewal(n)
 }
 
-func (w *World) pushBelow(n *node) {
+func (w *World) pushToChildren(n *node) {
 	for _, m := range n.relay.Parent().Children() {
 		if m.State != member.StateDown {
 			w.pushFromRelay(n, w.byHost[m.Host])
@@ -245,12 +246,13 @@
 
 func (w *World) pushFromRelay(n, child *node) {
 	if update := n.relay.Push(child.host); !update.Empty() {
-		w.send(&n.end, &child.end, update, func() { w.pushed(child, update) })
+		w.send(&n.process, &child.process, update, func() { w.handleUpdate(child, update) })
 	}
 }
 
-// ackUp tells the parent what more is in force here.
-func (w *World) ackUp(n *node) {
+// sendAck acknowledges to the parent the revisions that are newly in force here
+// and below.
+func (w *World) sendAck(n *node) {
 	ack, changed := w.ackOf(n)
 	if !changed {
 		return
@@ -258,13 +260,13 @@
 	parent := ident.Host(n.link.Parent())
 	if parent == rootName {
 		r := w.root
-		w.send(&n.end, &r.end, ack, func() { r.parent.Ack(ack) })
+		w.send(&n.process, &r.process, ack, func() { r.parent.Ack(ack) })
 		return
 	}
 	up := w.byHost[parent]
-	w.send(&n.end, &up.end, ack, func() {
+	w.send(&n.process, &up.process, ack, func() {
 		up.relay.ChildAck(ack)
-		w.ackUp(up)
+		w.sendAck(up)
 	})
 }
 
--- a/internal/simtree/root.go
+++ b/internal/simtree/root.go
@@ -9,16 +9,17 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// rootTick is how often the leader looks for silent children.
+// rootTick is the interval at which the leader checks its children for timeouts.
 const rootTick = 100 * time.Millisecond
 
-// reattachGrace is how long the children of a lost relay have to attach
-// elsewhere before they are taken for down.
+// reattachGrace is the time that the children of a lost relay have to attach to
+// another parent before they are considered down.
 const reattachGrace = 4 * time.Second
 
-// root is the leader of the control group; the group's log is a State here.
+// root is the leader of the control group. A config.State replaces the group's
+// log.
 type root struct {
-	end       end
+	process   process
 	rate      float64
 	state     *config.State
 	directory *member.Directory
@@ -26,8 +27,8 @@
 	epoch     uint64
 }
 
-// lead makes a new leader over the committed state.
-func (w *World) lead(state *config.State, epoch uint64) error {
+// startLeader starts a new leader with the committed state.
+func (w *World) startLeader(state *config.State, epoch uint64) error {
 	directory, err := member.NewDirectory(member.DirectoryOptions{
 		MaxMembers: member.DefaultMaxMembers,
 		History:    member.DefaultHistory,
@@ -37,7 +38,7 @@
 		return err
 	}
 	r := &root{
-		end:       end{host: rootName, dataCentre: w.dataCentre(0), alive: true, life: int(epoch)},
+		process:   process{host: rootName, dataCentre: w.dataCentre(0), alive: true, incarnation: int(epoch)},
 		rate:      w.rate(),
 		state:     state,
 		directory: directory,
@@ -53,10 +54,10 @@
 }
 
 // ChangeLeader replaces the leader. The new one has the committed configuration
-// and knows no process.
+// and an empty membership.
 func (w *World) ChangeLeader() error {
-	w.root.end.alive = false
-	return w.lead(w.root.state, w.root.epoch+1)
+	w.root.process.alive = false
+	return w.startLeader(w.root.state, w.root.epoch+1)
 }
 
 func (w *World) tickRoot(r *root) {
@@ -70,16 +71,17 @@
 	for _, m := range changes {
 		if m.Role == member.RoleRelay && m.State == member.StateDown {
 			host := m.Host
-			w.after(reattachGrace, func() { w.relayLost(r, host) })
+			w.after(reattachGrace, func() { w.markChildrenLost(r, host) })
 		}
 	}
 	r.directory.Tick(now)
-	w.observe()
+	w.recordInForce()
 	w.after(rootTick, func() { w.tickRoot(r) })
 }
 
-// relayLost gives up the children of a relay unless it has come back.
-func (w *World) relayLost(r *root, host ident.Host) {
+// markChildrenLost reports the relay's children to the directory as lost, unless
+// the relay has attached again.
+func (w *World) markChildrenLost(r *root, host ident.Host) {
 	for _, m := range r.parent.Children() {
 		if m.Host == host && m.State != member.StateDown {
 			return
@@ -98,11 +100,11 @@
 
 func (w *World) pushFromRoot(r *root, child *node) {
 	if update := r.parent.Push(child.host); !update.Empty() {
-		w.send(&r.end, &child.end, update, func() { w.pushed(child, update) })
+		w.send(&r.process, &child.process, update, func() { w.handleUpdate(child, update) })
 	}
 }
 
-// Change commits a change of the configuration and pushes it.
+// Change commits a new configuration and pushes it to the children.
 func (w *World) Change(doc config.Document, id string) config.Result {
 	r := w.root
 	base := r.state.Current()
@@ -127,13 +129,13 @@
 // Directory returns the leader's membership.
 func (w *World) Directory() *member.Directory { return w.root.directory }
 
-// renewAtRoot answers a renewal at the leader.
+// renewAtRoot handles a renewal at the leader.
 func (w *World) renewAtRoot(r *root, from *node, renewal relay.Renewal) {
 	now := w.clock(r.rate)
 	answer := r.parent.Renew(now, renewal, relay.DefaultTerm)
 	if answer.Verdict == member.VerdictAccepted {
 		r.directory.Merge(now, from.host, renewal.Descendants)
 	}
-	w.send(&r.end, &from.end, answer, func() { w.renewed(from, answer) })
+	w.send(&r.process, &from.process, answer, func() { w.handleRenewed(from, answer) })
 	w.pushFromRoot(r, from)
 }
--- a/internal/simtree/scale_test.go
+++ b/internal/simtree/scale_test.go
@@ -7,14 +7,15 @@
 	"github.com/lovagereach/lovagereach/lease"
 )
 
-// Bounds at the size the users have set as target: 670 entries behind 49
-// relays and the leader.
+// Bounds at the target size set by the users: 670 entries behind 49 relays and
+// the leader.
 const (
 	targetEntries = 670
 	targetRelays  = 49
-	// budgetBytesPerSecond is half of what control may cost an entry.
+	// budgetBytesPerSecond is half of an entry's budget of control traffic.
 	budgetBytesPerSecond = 6500
-	// inForceLimit is the limit for a change with one relay lost.
+	// inForceLimit bounds the time until a change is in force with one relay
+	// lost.
 	inForceLimit = 4 * time.Second
 )
 
@@ -34,9 +35,9 @@
 	return all
 }
 
-// At the target size a change must be in force everywhere within four seconds
-// although a relay died just before, and steady control traffic must stay
-// under half of its budget for every entry.
+// At the target size, a change must be in force at every entry within four seconds
+// although a relay crashed just before, and the control traffic without changes
+// must stay below half of its budget for every entry.
 func TestTargetSize(t *testing.T) {
 	w := newWorld(t, Options{Seed: 3, Relays: targetRelays, Entries: targetEntries, DataCentres: 7, Delay: 5 * time.Millisecond}, Faults{})
 	w.Run(5 * time.Second)
@@ -51,18 +52,18 @@
 	if rate > budgetBytesPerSecond {
 		t.Errorf("steady control traffic of %.0f B/s exceeds %d", rate, budgetBytesPerSecond)
 	}
-	revision := change(t, w, 1)
+	revision := changeToken(t, w, 1)
 	took, _ := w.RunUntil(10*time.Second, func() bool { return w.InForce() >= revision })
 	t.Logf("in force everywhere after %s", took)
 	w.Kill("relay-007")
-	revision = change(t, w, 2)
+	revision = changeToken(t, w, 2)
 	took, ok := w.RunUntil(10*time.Second, func() bool { return w.InForce() >= revision })
 	t.Logf("in force everywhere after %s with one relay lost", took)
 	if !ok || took > inForceLimit {
 		t.Errorf("in force after %s with one relay lost, limit %s", took, inForceLimit)
 	}
 	if took > lease.GranterTerm(2*time.Second)+time.Second {
-		t.Errorf("a lost relay delays a change by %s, more than one lease", took)
+		t.Errorf("a lost relay delays a change by %s, more than one lease plus 1 s", took)
 	}
 	w.Run(5 * time.Second)
 	if got := w.ServingCount(); got != targetEntries {
--- a/internal/simtree/simtree_test.go
+++ b/internal/simtree/simtree_test.go
@@ -11,8 +11,8 @@
 	"github.com/lovagereach/lovagereach/lease"
 )
 
-// checkEvery is how often a test looks for a violation.
-const checkEvery = 20 * time.Millisecond
+// checkInterval is the virtual time between two checks for a violation.
+const checkInterval = 20 * time.Millisecond
 
 func document(teams int) config.Document {
 	doc := config.Document{
@@ -53,8 +53,8 @@
 	return w
 }
 
-// change gives team 0 a new token.
-func change(t *testing.T, w *World, variant int) config.Revision {
+// changeToken commits a new token for team 0 and returns the revision.
+func changeToken(t *testing.T, w *World, variant int) config.Revision {
 	t.Helper()
 	doc := w.Document()
 	doc.Teams[0] = team(0, variant)
@@ -65,8 +65,8 @@
 	return result.Revision
 }
 
-// disturb lets one random fault happen.
-func disturb(t *testing.T, w *World, random *rand.Rand) {
+// injectFault causes one random fault, or none.
+func injectFault(t *testing.T, w *World, random *rand.Rand) {
 	t.Helper()
 	all := append(w.Relays(), w.Entries()...)
 	victim := all[random.IntN(len(all))]
@@ -90,9 +90,9 @@
 	}
 }
 
-// runDisturbed lets changes and faults happen for a minute and returns the
-// first violation.
-func runDisturbed(t *testing.T, seed uint64, faults Faults) (w *World, violation error) {
+// runWithFaults makes random changes and faults for a minute of virtual time and
+// returns the first violation.
+func runWithFaults(t *testing.T, seed uint64, faults Faults) (w *World, violation error) {
 	t.Helper()
 	w = newWorld(t, Options{
 		Seed: seed, Relays: 3, Entries: 9, DataCentres: 3,
@@ -101,25 +101,24 @@
 	}, faults)
 	random := rand.New(rand.NewPCG(seed, 3))
 	for step := 0; w.Now() < time.Minute; step++ {
-		w.Run(checkEvery)
+		w.Run(checkInterval)
 		if err := w.Check(); err != nil {
 			return w, err
 		}
 		if random.IntN(60) == 0 {
-			change(t, w, 1000+step)
+			changeToken(t, w, 1000+step)
 		}
 		if random.IntN(80) == 0 {
-			disturb(t, w, random)
+			injectFault(t, w, random)
 		}
 	}
 	return w, nil
 }
 
-// Relays and entries die, restart and are cut off, messages get lost, clocks
-// drift and leaders change, all at random. A caller must never be served by a
-// revision older than one that an operator was told is in force. The same runs
-// with one mistake seeded each must end in such a violation, or the check would
-// prove nothing.
+// Relays and entries crash, restart and are partitioned, messages are lost, clocks
+// drift and leaders change, all at random. No entry may serve with a revision older
+// than one reported to an operator as in force. The same runs with one seeded bug
+// each must cause such a violation; otherwise the check has no effect.
 func TestNoEntryServesBehindTheRevisionInForce(t *testing.T) {
 	const seeds = 6
 	cases := []struct {
@@ -136,7 +135,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			found := 0
 			for seed := range uint64(seeds) {
-				w, violation := runDisturbed(t, seed, c.faults)
+				w, violation := runWithFaults(t, seed, c.faults)
 				if violation != nil {
 					found++
 					if !c.broken {
@@ -144,20 +143,20 @@
 					}
 				}
 				if !c.broken && w.reported < w.Committed()/3 {
-					t.Errorf("seed %d: only %d of %d revisions got in force; the run proves little", seed, w.reported, w.Committed())
+					t.Errorf("seed %d: only %d of %d revisions came into force, too few for the check", seed, w.reported, w.Committed())
 				}
 			}
 			if c.broken && found == 0 {
-				t.Errorf("%d runs did not notice it", seeds)
+				t.Errorf("no violation found in %d runs", seeds)
 			}
 			t.Logf("violations in %d of %d runs", found, seeds)
 		})
 	}
 }
 
-// A relay dies right before a change. Its entries attach elsewhere; the change
-// is in force once the lease of the dead relay has run out, and all entries
-// serve again.
+// A relay crashes just before a change. Its entries must attach to other relays,
+// the change must be in force when the lease of the crashed relay has expired, and
+// all entries must serve again.
 func TestChangeWithOneRelayLost(t *testing.T) {
 	w := newWorld(t, Options{Seed: 1, Relays: 4, Entries: 40, DataCentres: 2, Delay: 1500 * time.Microsecond}, Faults{})
 	w.Run(5 * time.Second)
@@ -165,7 +164,7 @@
 		t.Fatalf("%d of 40 entries serve", got)
 	}
 	w.Kill("relay-001")
-	revision := change(t, w, 1)
+	revision := changeToken(t, w, 1)
 	took, ok := w.RunUntil(8*time.Second, func() bool { return w.InForce() >= revision })
 	if limit := lease.GranterTerm(2 * time.Second); !ok || took > limit {
 		t.Errorf("in force after %s, want at most one lease of %s", took, limit)
@@ -179,14 +178,14 @@
 	}
 }
 
-// A data centre is cut off for an hour and healed. Its entries stop serving
-// within a lease; changes go on in force without them; after the healing they
-// serve again at the latest revision, and the membership is whole.
-func TestPartedForAnHour(t *testing.T) {
+// A data centre is partitioned for an hour. Its entries must stop serving within a
+// lease, and changes must come into force without them. After the partition, they
+// must serve again with the latest revision, and the membership must be complete.
+func TestPartitionForAnHour(t *testing.T) {
 	w := newWorld(t, Options{Seed: 2, Relays: 3, Entries: 12, DataCentres: 3, Delay: 1500 * time.Microsecond}, Faults{})
 	w.Run(5 * time.Second)
 	w.Cut(func(from, to ident.DataCentre) bool { return (from == "dc-2") != (to == "dc-2") })
-	revision := change(t, w, 1)
+	revision := changeToken(t, w, 1)
 	if took, ok := w.RunUntil(8*time.Second, func() bool { return w.InForce() >= revision }); !ok {
 		t.Errorf("not in force after %s", took)
 	}
@@ -197,7 +196,7 @@
 	w.Cut(nil)
 	w.Run(10 * time.Second)
 	if got := w.ServingCount(); got != 12 {
-		t.Errorf("%d of 12 entries serve after the healing", got)
+		t.Errorf("%d of 12 entries serve after the partition", got)
 	}
 	for _, host := range w.Entries() {
 		child := w.Child(host)
@@ -205,7 +204,7 @@
 			t.Errorf("%s is at revision %d, not %d", host, child.Revision(), revision)
 		}
 		if alive := len(child.Members().Alive(1, "")); alive != 12 {
-			t.Errorf("%s knows %d entries to live", host, alive)
+			t.Errorf("%s has %d live entries in its membership, want 12", host, alive)
 		}
 	}
 }
--- a/internal/simtree/world.go
+++ b/internal/simtree/world.go
@@ -13,33 +13,35 @@
 	"github.com/lovagereach/lovagereach/relay"
 )
 
-// FrameOverhead is what a message costs on the network besides its own bytes:
-// the WebSocket frame, the TLS record and the IP and TCP headers of one packet.
+// FrameOverhead is the network overhead of a message in bytes: the WebSocket
+// frame, the TLS record and the IP and TCP headers of one packet.
 const FrameOverhead = 8 + 29 + 52
 
 // rootName is the address of the leader.
 const rootName ident.Host = "root"
 
-// Options describe a World.
+// Options configure a World.
 type Options struct {
 	Seed uint64
-	// Relays may be zero; entries then attach to the leader.
+	// Relays is the number of relays; if zero, entries attach to the leader.
 	Relays  int
 	Entries int
-	// DataCentres spreads the processes; the leader is in the first.
+	// DataCentres is the number of data centres over which the processes are
+	// spread; the leader is in the first one.
 	DataCentres int
-	// Delay is the one-way time between any two processes.
+	// Delay is the minimum one-way delay between any two processes; a random
+	// jitter of up to a quarter is added.
 	Delay time.Duration
-	// Loss is the share of messages lost, 0 to 1.
+	// Loss is the fraction of messages lost, 0 to 1.
 	Loss float64
-	// Drift is how far clocks run apart, as a share; each process draws its
-	// own rate within it.
+	// Drift is the maximum relative deviation of a process's clock rate; each
+	// process has a random rate within it.
 	Drift float64
-	// Document is the first configuration.
+	// Document is the initial configuration.
 	Document config.Document
 }
 
-// World is the deployment. It is not safe for concurrent use.
+// World is a simulated deployment. It is not safe for concurrent use.
 type World struct {
 	opts    Options
 	random  *rand.Rand
@@ -50,42 +52,42 @@
 	relays  []*node
 	entries []*node
 	byHost  map[ident.Host]*node
-	cut     func(from, to ident.DataCentre) bool
-	// reported is the highest revision that the root has told to be in force.
+	blocked func(from, to ident.DataCentre) bool
+	// reported is the highest revision that the leader has reported as in force.
 	reported config.Revision
-	// broken is the first violation of the in-force rule.
-	broken error
-	faults Faults
+	// violation is the first violation of the in-force rule that Check found.
+	violation error
+	faults    Faults
 }
 
-// Faults are mistakes seeded into the processes, to show that Check finds them.
+// Faults are bugs seeded into the processes, to verify that Check detects them.
 type Faults struct {
-	// FullTerm: relays grant leases that outlast their own.
+	// FullTerm makes relays grant leases that are longer than their own.
 	FullTerm bool
-	// AckOnReceipt: relays acknowledge what they hold, not what is in force
-	// below them.
+	// AckOnReceipt makes relays acknowledge the revision that they hold instead
+	// of the one that is in force below them.
 	AckOnReceipt bool
-	// IgnoreLease: entries serve without a valid lease.
+	// IgnoreLease makes entries serve without a valid lease.
 	IgnoreLease bool
 }
 
 var epochStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// New returns a world at time zero, in which nothing has been sent yet.
+// New returns a World at virtual time zero, before any message is sent.
 func New(opts Options, faults Faults) (*World, error) {
 	w := &World{
-		opts:   opts,
-		random: rand.New(rand.NewPCG(opts.Seed, 11)),
-		byHost: make(map[ident.Host]*node),
-		cut:    func(_, _ ident.DataCentre) bool { return false },
-		faults: faults,
+		opts:    opts,
+		random:  rand.New(rand.NewPCG(opts.Seed, 11)),
+		byHost:  make(map[ident.Host]*node),
+		blocked: func(_, _ ident.DataCentre) bool { return false },
+		faults:  faults,
 	}
 	state := config.NewState()
 	first := config.Command{RequestID: "first", Author: "simtree", Delta: config.Diff(state.Current(), &opts.Document)}
 	if result := state.Apply(first); result.Verdict != config.VerdictApplied {
 		return nil, fmt.Errorf("simtree: first configuration: %v", result.Problems)
 	}
-	if err := w.lead(state, 1); err != nil {
+	if err := w.startLeader(state, 1); err != nil {
 		return nil, err
 	}
 	if err := w.populate(); err != nil {
@@ -123,16 +125,16 @@
 	return 1 + w.opts.Drift*(2*w.random.Float64()-1)
 }
 
-// clock returns a process's own clock.
+// clock returns the current time on the clock of a process with this rate.
 func (w *World) clock(rate float64) time.Time {
 	return epochStart.Add(time.Duration(float64(w.now) * rate))
 }
 
-// Now returns the virtual time since the start.
+// Now returns the virtual time elapsed since the start.
 func (w *World) Now() time.Duration { return w.now }
 
-// event is something that happens at a time. order breaks ties, so that equal
-// seeds give equal runs.
+// event is a function scheduled at a virtual time. Events at the same time run in
+// ascending order, so that runs with equal seeds are identical.
 type event struct {
 	at    time.Duration
 	order uint64
@@ -162,7 +164,7 @@
 	heap.Push(&w.queue, event{at: w.now + delay, order: w.order, run: run})
 }
 
-// Run lets the given time pass.
+// Run advances the virtual time by d.
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
@@ -173,8 +175,8 @@
 	w.now = end
 }
 
-// RunUntil lets time pass until done holds, at most limit. It reports how long
-// that took.
+// RunUntil advances the virtual time until done returns true, by at most limit. It
+// returns the time elapsed and the result of done.
 func (w *World) RunUntil(limit time.Duration, done func() bool) (time.Duration, bool) {
 	start := w.now
 	for !done() {
@@ -189,18 +191,18 @@
 	return w.now - start, true
 }
 
-// end is a process that can be written to.
-type end struct {
+// process is the network endpoint of a simulated process.
+type process struct {
 	host       ident.Host
 	dataCentre ident.DataCentre
 	alive      bool
-	// life changes with each restart: messages to an earlier life are lost,
-	// like those on a connection that is gone.
-	life    int
-	traffic Traffic
+	// incarnation changes with each restart. Messages to a previous incarnation
+	// are lost, as on a closed connection.
+	incarnation int
+	traffic     Traffic
 }
 
-// Traffic counts what a process sent and received for control.
+// Traffic counts the control messages that a process sent and received.
 type Traffic struct {
 	Messages int
 	Bytes    int
@@ -211,61 +213,63 @@
 	t.Bytes += bytes
 }
 
-// send carries a message, which is encoded to know its size.
-func (w *World) send(from, to *end, message any, deliver func()) {
+// send schedules the delivery of a message, unless it is lost, and counts its
+// encoded size.
+func (w *World) send(from, to *process, message any, deliver func()) {
 	size := len(wire.MustMarshal(message)) + FrameOverhead
 	from.traffic.add(size)
 	if w.lost(from, to) {
 		return
 	}
-	life := to.life
+	incarnation := to.incarnation
 	jitter := time.Duration(w.random.Int64N(int64(w.opts.Delay/4) + 1))
 	w.after(w.opts.Delay+jitter, func() {
-		if !to.alive || to.life != life || w.cut(from.dataCentre, to.dataCentre) {
+		if !to.alive || to.incarnation != incarnation || w.blocked(from.dataCentre, to.dataCentre) {
 			return
 		}
 		to.traffic.add(size)
 		deliver()
-		w.observe()
+		w.recordInForce()
 	})
 }
 
-func (w *World) lost(from, to *end) bool {
-	if !from.alive || !to.alive || w.cut(from.dataCentre, to.dataCentre) {
+func (w *World) lost(from, to *process) bool {
+	if !from.alive || !to.alive || w.blocked(from.dataCentre, to.dataCentre) {
 		return true
 	}
 	return w.opts.Loss > 0 && w.random.Float64() < w.opts.Loss
 }
 
-// observe checks the in-force rule after something happened.
-func (w *World) observe() {
-	if !w.root.end.alive {
+// recordInForce updates reported with the revision that the leader reports as in
+// force.
+func (w *World) recordInForce() {
+	if !w.root.process.alive {
 		return
 	}
 	w.reported = max(w.reported, w.root.parent.InForce(w.clock(w.root.rate)))
 }
 
-// Check returns the first violation of the in-force rule found so far: an
-// entry that would take a new request under a revision older than one reported
-// as in force.
+// Check returns the first violation of the in-force rule found so far: an entry
+// that would accept a new request with a revision older than one reported as in
+// force.
 func (w *World) Check() error {
-	if w.broken != nil {
-		return w.broken
+	if w.violation != nil {
+		return w.violation
 	}
-	w.observe()
+	w.recordInForce()
 	for _, n := range w.entries {
 		if !w.Serving(n.host) {
 			continue
 		}
 		if held := n.child().Revision(); held < w.reported {
-			w.broken = fmt.Errorf("at %s %s serves by revision %d while %d is in force", w.now, n.host, held, w.reported)
-			return w.broken
+			w.violation = fmt.Errorf("at %s: %s serves with revision %d while %d is in force", w.now, n.host, held, w.reported)
+			return w.violation
 		}
 	}
 	return nil
 }
 
-func claimOf(e *end, role member.Role, incarnation int) member.Member {
+func claimOf(e *process, role member.Role, incarnation int) member.Member {
 	return member.Member{
 		Host:       e.host,
 		DataCentre: e.dataCentre,
@@ -277,10 +281,10 @@
 	}
 }
 
-// Serving reports whether an entry would take a new request now.
+// Serving reports whether an entry would accept a new request now.
 func (w *World) Serving(host ident.Host) bool {
 	n := w.byHost[host]
-	if n == nil || !n.end.alive {
+	if n == nil || !n.process.alive {
 		return false
 	}
 	if w.faults.IgnoreLease {
@@ -289,7 +293,7 @@
 	return n.child().Serving(w.clock(n.rate))
 }
 
-// ServingCount returns how many entries would take a new request now.
+// ServingCount returns the number of entries that would accept a new request now.
 func (w *World) ServingCount() int {
 	count := 0
 	for _, n := range w.entries {
