--- a/internal/capacity/bounds_test.go
+++ b/internal/capacity/bounds_test.go
@@ -13,9 +13,10 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// The intervals of upstreams follow from these sizes. If a message grows beyond
-// what PaceFor assumes, daemons pass their budget without any sign of it.
-func TestPaceAssumesWhatMessagesCost(t *testing.T) {
+// The report intervals of upstreams are computed from these message sizes. If a
+// message grows beyond the size that ReportIntervalsFor assumes, daemons exceed
+// their traffic budget unnoticed.
+func TestReportIntervalsAssumeMessageSizes(t *testing.T) {
 	checks := []struct {
 		path    string
 		message any
@@ -37,7 +38,7 @@
 	}
 }
 
-// Messages whose size must not grow with the deployment.
+// The size of these messages must not grow with the deployment.
 func TestBytesOfOneMessage(t *testing.T) {
 	delta := oneTeamDelta(1_000_000, 27_000, 1)
 	checks := map[string]struct {
@@ -49,13 +50,13 @@
 	}
 	for name, c := range checks {
 		if size := len(wire.MustMarshal(c.message)); size > c.bound {
-			t.Errorf("%s has %d B, at most %d", name, size, c.bound)
+			t.Errorf("%s has %d B, want at most %d", name, size, c.bound)
 		}
 	}
 }
 
-// What a daemon costs the tree must not depend on how many others there are.
-func TestTrafficOfADaemonIsIndependentOfTheOthers(t *testing.T) {
+// The tree's traffic at one daemon must not depend on the number of other daemons.
+func TestDaemonTrafficIsIndependentOfSize(t *testing.T) {
 	few, err := entryTraffic(70)
 	if err != nil {
 		t.Fatal(err)
@@ -69,6 +70,7 @@
 	}
 }
 
+// Bounds the allocations of one step of frequent operations.
 func TestAllocationsOfOneStep(t *testing.T) {
 	directory, err := summariesOf(TargetCells)
 	if err != nil {
@@ -86,7 +88,7 @@
 		}
 	}
 	if n := testing.AllocsPerRun(10, share); n > 0 {
-		t.Errorf("the shares of 1,000 teams allocate %.0f times in each pool", n)
+		t.Errorf("setting the shares of 1,000 teams allocates %.0f times in each pool", n)
 	}
 	registry, err := registryOf(100)
 	if err != nil {
@@ -101,69 +103,71 @@
 	if n := testing.AllocsPerRun(100, report); n > 2 {
 		t.Errorf("a load report allocates %.0f times", n)
 	}
-	few, many := looksForLoads(100), looksForLoads(10_000)
-	if many > few+64 { // lists and maps that double
-		t.Errorf("a look for runners to load allocates %.0f times among 100, %.0f among 10,000", few, many)
+	few, many := scheduleAllocs(100), scheduleAllocs(10_000)
+	if many > few+64 { // slices and maps that grow by doubling
+		t.Errorf("a load schedule allocates %.0f times for 100 runners, %.0f for 10,000", few, many)
 	}
 }
 
-// The leader dies, and its successor knows no daemon: all attach anew, through
-// their relays. The successor must hear from the relays, not from every daemon,
-// or a large deployment drowns its new leader just when it is needed.
+// The leader crashes, and its successor has an empty membership: all daemons attach
+// again through their relays. The successor must receive messages from the relays,
+// not from each daemon; otherwise a large deployment overloads its new leader.
 func TestLeaderChangeCostsMessagesOfRelaysOnly(t *testing.T) {
 	const daemons = 140
-	messages, _, err := rejoin(daemons, relaysFor(daemons))
+	messages, _, err := leaderChangeCost(daemons, relaysFor(daemons))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if limit := 4 * float64(relaysFor(daemons)); messages > limit {
-		t.Errorf("%.0f messages beyond the steady ones, at most %.0f", messages, limit)
+		t.Errorf("%.0f messages beyond the steady ones, want at most %.0f", messages, limit)
 	}
-	direct, _, err := rejoin(daemons, 0)
+	direct, _, err := leaderChangeCost(daemons, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if direct < float64(daemons) {
-		t.Errorf("%.0f messages without relays: the count does not see the daemons", direct)
+		t.Errorf("only %.0f messages without relays: those of the daemons are not counted", direct)
 	}
 }
 
-// Two regions lose each other. Daemons away from the leader stop serving when
-// their lease ends, those beside it go on, and after the healing all serve
-// again within seconds, at no cost that grows with the time parted.
-func TestPartedRegionsHeal(t *testing.T) {
+// Two regions are partitioned. Daemons outside the leader's region must stop serving
+// when their lease expires, those inside it continue. After the partition all must
+// serve again within seconds, at a cost independent of its duration.
+func TestPartitionedRegionsRecover(t *testing.T) {
 	const daemons = 70
-	short, err := partFor(daemons, time.Minute)
+	short, err := measurePartition(daemons, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	long, err := partFor(daemons, 5*time.Minute)
+	long, err := measurePartition(daemons, 5*time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if short.serving < daemons/3 || short.serving >= daemons {
-		t.Errorf("%.0f of %d serve while parted", short.serving, daemons)
+		t.Errorf("%.0f of %d daemons serve during the partition", short.serving, daemons)
 	}
-	if long.heal > 10*time.Second || long.healBytes > 1.5*short.healBytes+4096 {
-		t.Errorf("healing after a minute %+v, after five %+v", short, long)
+	if long.recovery > 10*time.Second || long.recoveryBytes > 1.5*short.recoveryBytes+4096 {
+		t.Errorf("recovery after a minute %+v, after five %+v", short, long)
 	}
 }
 
-// looksForLoads is how often one look for runners whose turn it is to load allocates.
-func looksForLoads(runners int) float64 {
-	live, namings := lackingFleet(runners)
+// scheduleAllocs returns the number of allocations for scheduling the next load
+// steps.
+func scheduleAllocs(runners int) float64 {
+	live, targets := outdatedFleet(runners)
 	schedule := rollout.NewSchedule(rollout.Options{AtOnce: 3, Bound: 15 * time.Second, Notice: 200 * time.Millisecond})
 	now := probeStart.Add(9 * time.Second)
-	return testing.AllocsPerRun(10, func() { schedule.Next(live, namings, now) })
+	return testing.AllocsPerRun(10, func() { schedule.Next(live, targets, now) })
 }
 
-// What is told and kept of requests that end upstreams is bounded, however many end.
+// The state of the quarantine and its message to an entry must stay bounded,
+// however many upstreams crash.
 func TestQuarantineIsBounded(t *testing.T) {
-	const toldMost, heldMost = 10 << 10, 2 << 20
-	if size := verdictBytes(); size > toldMost {
-		t.Errorf("an entry is told %d B, at most %d", size, toldMost)
+	const maxAnswerBytes, maxHeapBytes = 10 << 10, 2 << 20
+	if size := quarantineAnswerBytes(); size > maxAnswerBytes {
+		t.Errorf("the message to an entry has %d B, want at most %d", size, maxAnswerBytes)
 	}
-	if bytes := HeapBytes(func() any { return quarantineOf(4 * quarantine.MaxCrashes) }); bytes > heldMost {
-		t.Errorf("%.0f B are held, at most %d", bytes, heldMost)
+	if bytes := HeapBytes(func() any { return quarantineOf(4 * quarantine.MaxCrashes) }); bytes > maxHeapBytes {
+		t.Errorf("the tracker holds %.0f B, want at most %d", bytes, maxHeapBytes)
 	}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -7,28 +7,29 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement.
+// Point is the measured value at one size.
 type Point struct {
 	Size  float64
 	Value float64
 }
 
-// Fit is a line through measurements: value = Base + Slope*size.
+// Fit is a line fitted to measurements: value = Base + Slope*size.
 type Fit struct {
 	Base  float64
 	Slope float64
-	// Spread is the largest distance of a measurement from the line, as a
-	// share of the largest measured value. It tells how far to trust the line.
+	// Spread is the largest deviation of a measurement from the line, as a
+	// fraction of the largest measured value. It indicates the quality of the
+	// fit.
 	Spread float64
 }
 
-// MinPoints is the smallest number of sizes a slope is taken from.
+// MinPoints is the minimum number of sizes for a fit.
 const MinPoints = 3
 
-// ErrTooFewPoints reports fewer sizes than MinPoints.
+// ErrTooFewPoints is returned for fewer sizes than MinPoints.
 var ErrTooFewPoints = errors.New("capacity: a slope needs at least three sizes")
 
-// FitLine fits a line by least squares.
+// FitLine fits a line to points by least squares.
 func FitLine(points []Point) (Fit, error) {
 	if len(points) < MinPoints {
 		return Fit{}, ErrTooFewPoints
@@ -59,9 +60,9 @@
 // At returns the line's value at a size.
 func (f Fit) At(size float64) float64 { return f.Base + f.Slope*size }
 
-// GrowthExponent returns the power with which the values grow between the
-// smallest and the largest size: 1 is linear, 0 is constant. It is 0 when a
-// value is not above zero.
+// GrowthExponent returns the exponent of the power law through the first and the
+// last point: 1 means linear growth, 0 constant. It returns 0 if a value or size
+// of these is not above zero or the last size is not above the first.
 func GrowthExponent(points []Point) float64 {
 	if len(points) < 2 {
 		return 0
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -14,17 +14,17 @@
 		t.Errorf("fit %+v", fit)
 	}
 	if _, err := FitLine([]Point{{1, 1}, {2, 2}}); err == nil {
-		t.Error("a slope from two sizes is accepted")
+		t.Error("a fit of two sizes is accepted")
 	}
 }
 
-func TestFitLineTellsWhenItIsNoLine(t *testing.T) {
+func TestFitLineSpreadOfQuadraticGrowth(t *testing.T) {
 	fit, err := FitLine([]Point{{10, 100}, {100, 10000}, {1000, 1000000}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if fit.Spread < 0.005 {
-		t.Errorf("a square passes for a line with spread %g", fit.Spread)
+		t.Errorf("quadratic growth is fitted with a spread of only %g", fit.Spread)
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestRunTakesTheMeasurementAtTheTarget(t *testing.T) {
+func TestRunUsesMeasurementAtTarget(t *testing.T) {
 	probe := Probe{Sizes: []int{1, 2, 4}, Target: 4, Measure: func(size int) (float64, error) {
 		return float64(size * size), nil
 	}}
--- a/internal/capacity/memory_test.go
+++ b/internal/capacity/memory_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// State held at one size, with half as much again allowed. A field added to a
-// record that a daemon holds by the thousand shows here.
+// Bounds the heap size of the state of each kind at one size; the bounds leave 50%
+// of headroom. Guards against a new field in a record of which a daemon holds
+// thousands.
 func TestBytesHeld(t *testing.T) {
 	checks := map[string]struct {
 		measure func(int) (float64, error)
@@ -29,8 +30,8 @@
 	}
 }
 
-// The heartbeats of one group and their growth: shared frames must spare the
-// frames of all groups but one.
+// Bounds the heartbeat traffic of one group and its growth with the number of
+// groups: with shared frames, further groups must add no frame overhead.
 func TestBytesOfHeartbeats(t *testing.T) {
 	one, err := heartbeatBytes(1, true)
 	if err != nil {
@@ -41,9 +42,9 @@
 		t.Fatal(err)
 	}
 	if one > 13_000 {
-		t.Errorf("one group costs its leader %.0f B/s", one)
+		t.Errorf("heartbeats of one group cost its leader %.0f B/s", one)
 	}
 	if many > 8*one {
-		t.Errorf("16 groups cost %.0f B/s, one %.0f", many, one)
+		t.Errorf("heartbeats of 16 groups cost %.0f B/s, of one %.0f B/s", many, one)
 	}
 }
--- a/internal/capacity/probe.go
+++ b/internal/capacity/probe.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Unit is what a probe measures in.
+// Unit is the unit of a probe's values.
 type Unit string
 
-// The units of probes. Counts are the same on every run; times are not.
+// The units of probes. Counts are identical in every run; times are not.
 const (
 	UnitBytes       Unit = "B"
 	UnitNanoseconds Unit = "ns"
@@ -21,20 +21,20 @@
 
 // Probe measures one quantity at several sizes.
 type Probe struct {
-	// Role is the kind of process that pays, such as "entry".
+	// Role is the kind of process that has the cost, such as "entry".
 	Role string
-	// Name says what is measured, SizeName what the size counts.
+	// Name describes the measured quantity, SizeName what the sizes count.
 	Name     string
 	SizeName string
 	Unit     Unit
 	Sizes    []int
-	// Target is the size the users' target asks for.
+	// Target is the size in the users' target deployment.
 	Target int
-	// Measure returns the value at one size.
+	// Measure returns the value at the given size.
 	Measure func(size int) (float64, error)
 }
 
-// Result is a probe with its measurements.
+// Result holds the measurements of a probe.
 type Result struct {
 	Probe    Probe
 	Points   []Point
@@ -43,8 +43,8 @@
 	Exponent float64
 }
 
-// Run measures every size. When the target is among the sizes the result there
-// is the measurement itself; otherwise it is the line's.
+// Run measures at every size. If the target is one of the sizes, AtTarget is the
+// measurement there; otherwise it is the value of the fitted line.
 func (p Probe) Run() (Result, error) {
 	result := Result{Probe: p}
 	for _, size := range p.Sizes {
@@ -69,7 +69,8 @@
 	return result, nil
 }
 
-// HeapBytes returns the growth of the live heap while build's result is held.
+// HeapBytes returns the size in bytes by which the result of build increases the
+// live heap.
 func HeapBytes(build func() any) float64 {
 	before := liveHeap()
 	held := build()
@@ -87,14 +88,14 @@
 }
 
 // A time is the median of several rounds, so that a disturbance of the machine
-// spoils a round and not the result.
+// affects only one round and not the result.
 const (
 	rounds    = 5
 	roundTime = 40 * time.Millisecond
 	warmUp    = 10 * time.Millisecond
 )
 
-// NanosecondsPerOp returns the median time of op.
+// NanosecondsPerOp returns the median time of op in nanoseconds.
 func NanosecondsPerOp(op func()) float64 {
 	count := 0
 	for start := time.Now(); time.Since(start) < warmUp; count++ {
--- a/internal/capacity/probes_cell.go
+++ b/internal/capacity/probes_cell.go
@@ -13,14 +13,15 @@
 )
 
 var (
-	// cellSizes are numbers of runners in one cell, fleetSizes in all cells.
+	// cellSizes are numbers of runners in one cell, fleetSizes in all cells
+	// together.
 	cellSizes  = []int{20, 50, 100, 120}
 	fleetSizes = []int{21, 1_200, TargetRunners}
 	// promptSizes are numbers of kept prompts in one cell.
 	promptSizes = []int{200, 700, 1_400}
 )
 
-// blocksPerPrompt is the length of a typical kept prompt in blocks.
+// blocksPerPrompt is the typical length of a kept prompt in blocks.
 const blocksPerPrompt = 12
 
 var probeStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -52,8 +53,8 @@
 	return registry, nil
 }
 
-// CellProbes measure what a cell costs the daemons that own it, and what the
-// cells of others cost a daemon.
+// CellProbes returns the probes of the cost of a cell for the daemons that own it,
+// and of other cells for a daemon.
 func CellProbes() []Probe {
 	return []Probe{{
 		Role: "cell owner", Name: "runners held", SizeName: "runners in the cell", Unit: UnitBytes,
@@ -119,7 +120,7 @@
 	key := upstream.EnginePool(ident.Cell{Model: "model-00", DataCentre: "centre-0"}, "v1", "")
 	var out []upstream.Candidate
 	if out = registry.Pick(probeStart, random, key, 8, out[:0]); len(out) == 0 {
-		return 0, fmt.Errorf("nobody is offered in %v", key)
+		return 0, fmt.Errorf("no candidate in %v", key)
 	}
 	return NanosecondsPerOp(func() { out = registry.Pick(probeStart, random, key, 8, out[:0]) }), nil
 }
--- a/internal/capacity/probes_config.go
+++ b/internal/capacity/probes_config.go
@@ -45,7 +45,7 @@
 	return doc
 }
 
-// oneTeamDelta changes the token of one team.
+// oneTeamDelta returns a delta that changes the token of one team.
 func oneTeamDelta(from config.Revision, teams, variant int) config.Delta {
 	return config.Delta{
 		From:  from,
@@ -54,7 +54,8 @@
 	}
 }
 
-// ConfigProbes measure what configuration costs an entry or relay.
+// ConfigProbes returns the probes of the cost of configuration for an entry or
+// relay.
 func ConfigProbes() []Probe {
 	return []Probe{{
 		Role: "entry", Name: "configuration held", SizeName: "teams", Unit: UnitBytes,
--- a/internal/capacity/probes_control.go
+++ b/internal/capacity/probes_control.go
@@ -14,8 +14,8 @@
 // childSizes are numbers of children of one parent.
 var childSizes = []int{9, 14, 49, 200}
 
-// ControlProbes measure the control group's state machine, a parent's work for
-// each child, and what operators' tools do with a configuration.
+// ControlProbes returns the probes of the control group's state machine, of a
+// parent's work per child, and of the work of operators' tools on a configuration.
 func ControlProbes() []Probe {
 	return []Probe{{
 		Role: "control voter", Name: "configuration state held", SizeName: "teams", Unit: UnitBytes,
@@ -34,18 +34,19 @@
 		Sizes: runnerSizes, Target: TargetRunners, Measure: scheduleTime,
 	}, {
 		Role: "leader", Name: "time of one look at the oldest weights allowed", SizeName: "models", Unit: UnitNanoseconds,
-		Sizes: []int{1, 4, 17}, Target: TargetModels, Measure: floorTime,
+		Sizes: []int{1, 4, 17}, Target: TargetModels, Measure: minimumVersionTime,
 	}}
 }
 
-// runnerSizes are numbers of model runners that one leader orders.
+// runnerSizes are numbers of model runners to which one leader sends orders.
 var runnerSizes = []int{18, 57, 1_000, 12_000}
 
-// lackingFleet are runners of one model that lack one of two versions named 8 s apart.
-func lackingFleet(runners int) ([]roster.Upstream, *rollout.TargetVersions) {
-	namings := rollout.NewTargetVersions()
-	namings.Record("m", 2, probeStart)
-	namings.Record("m", 3, probeStart.Add(8*time.Second))
+// outdatedFleet returns runners of one model that have not loaded the newest
+// version, and two target versions set 8 s apart.
+func outdatedFleet(runners int) ([]roster.Upstream, *rollout.TargetVersions) {
+	targets := rollout.NewTargetVersions()
+	targets.Record("m", 2, probeStart)
+	targets.Record("m", 3, probeStart.Add(8*time.Second))
 	live := make([]roster.Upstream, runners)
 	for i := range live {
 		live[i] = roster.Upstream{
@@ -53,25 +54,25 @@
 			Loaded: []roster.Loaded{{Model: "m", Version: uint64(1 + i%2)}},
 		}
 	}
-	return live, namings
+	return live, targets
 }
 
 func scheduleTime(runners int) (float64, error) {
-	live, namings := lackingFleet(runners)
+	live, targets := outdatedFleet(runners)
 	schedule := rollout.NewSchedule(rollout.Options{AtOnce: 3, Bound: 15 * time.Second, Notice: 200 * time.Millisecond})
-	return NanosecondsPerOp(func() { schedule.Next(live, namings, probeStart.Add(9*time.Second)) }), nil
+	return NanosecondsPerOp(func() { schedule.Next(live, targets, probeStart.Add(9*time.Second)) }), nil
 }
 
-func floorTime(models int) (float64, error) {
-	namings, floor := rollout.NewTargetVersions(), rollout.NewMinimumVersions()
+func minimumVersionTime(models int) (float64, error) {
+	targets, minimum := rollout.NewTargetVersions(), rollout.NewMinimumVersions()
 	for model := range models {
 		for version := uint64(2); version < 66; version++ {
-			namings.Record(fmt.Sprint("model-", model), version, probeStart)
+			targets.Record(fmt.Sprint("model-", model), version, probeStart)
 		}
 	}
 	now := probeStart.Add(time.Minute)
 	none := func() []rollout.Runner { return nil }
-	return NanosecondsPerOp(func() { floor.Raise(namings.Clone(), none, probeStart, 15*time.Second, now) }), nil
+	return NanosecondsPerOp(func() { minimum.Raise(targets.Clone(), none, probeStart, 15*time.Second, now) }), nil
 }
 
 func stateOf(teams int) (*config.State, error) {
--- a/internal/capacity/probes_home.go
+++ b/internal/capacity/probes_home.go
@@ -14,22 +14,23 @@
 )
 
 var (
-	// homeSizes are numbers of prompts at one home; PromptsPerDaemon lies below
-	// the first, so that the busiest home is inside the range.
+	// homeSizes are numbers of prompts at one home. The first is the average,
+	// so that the range includes the busiest home.
 	homeSizes = []int{PromptsPerDaemon, 1_000, 5_000, 16_000}
-	// sharedSizes are numbers of teams with shares set in one pool, waitingSizes
-	// of teams that wait in it.
+	// sharedSizes are numbers of teams with a share in one pool, waitingSizes
+	// numbers of teams with waiting requests.
 	sharedSizes    = []int{10, 1_000, TargetTeams}
 	waitingSizes   = []int{10, 400, 4_000}
 	candidateSizes = []int{2, 4, 8, 16}
 )
 
 const (
-	blockBytes  = 1 << 20
-	runningSame = 64
+	blockBytes = 1 << 20
+	poolSlots  = 64
 )
 
-// HomeProbes measure the decisions of prompts' homes and of admission.
+// HomeProbes returns the probes of the decisions of prompts' homes and of
+// admission.
 func HomeProbes() []Probe {
 	return []Probe{{
 		Role: "home", Name: "kept prompts held", SizeName: "prompts", Unit: UnitBytes,
@@ -70,7 +71,8 @@
 	return use
 }
 
-// managerOf holds prompts of which half the blocks are kept.
+// managerOf returns a manager with this number of prompts, half of whose blocks
+// are kept.
 func managerOf(prompts int) (*keep.Manager, error) {
 	m, err := keep.NewManager(keep.Options{
 		MaxPrompts: prompts + 1, MaxBlocks: (prompts + 1) * blocksPerPrompt, MaxCopies: prompts * blocksPerPrompt,
@@ -164,7 +166,7 @@
 		shares := sharesOf(teams)
 		pools := make([]*admit.Controller, TargetModels)
 		for i := range pools {
-			pools[i] = poolOf(runningSame)
+			pools[i] = poolOf(poolSlots)
 			if err := pools[i].SetShares(shares); err != nil {
 				failed = err
 			}
@@ -174,9 +176,9 @@
 	return bytes, failed
 }
 
-// offerTime keeps 400 requests waiting, at most one for each team.
+// offerTime measures with 400 requests waiting, spread evenly over the teams.
 func offerTime(teams int) (float64, error) {
-	c := poolOf(runningSame)
+	c := poolOf(poolSlots)
 	if err := c.SetShares(sharesOf(teams)); err != nil {
 		return 0, err
 	}
@@ -189,7 +191,7 @@
 			running = append(running, requestID(next))
 		}
 	}
-	for range runningSame + waiting {
+	for range poolSlots + waiting {
 		offer()
 	}
 	if len(running) == 0 {
--- a/internal/capacity/probes_ledger.go
+++ b/internal/capacity/probes_ledger.go
@@ -23,7 +23,8 @@
 // groupVoters is the number of members of one group.
 const groupVoters = 3
 
-// LedgerProbes measure the groups that keep outcomes, and the audit.
+// LedgerProbes returns the probes of the groups that store outcomes, and of the
+// audit.
 func LedgerProbes() []Probe {
 	return []Probe{{
 		Role: "ledger group member", Name: "outcomes held", SizeName: "keys", Unit: UnitBytes,
@@ -89,7 +90,7 @@
 	return bytes, failed
 }
 
-// ledgerTime lets time run so that as many keys expire as come.
+// ledgerTime advances the time so that as many keys expire as are added.
 func ledgerTime(keys int) (float64, error) {
 	l, err := ledgerOf(keys)
 	if err != nil {
@@ -104,7 +105,8 @@
 	}), nil
 }
 
-// group passes messages between members at once, without disks and links.
+// group is a quorum group whose messages are delivered immediately, without disks
+// and network.
 type group struct {
 	members map[ident.Host]*quorum.Node
 	leader  *quorum.Node
@@ -128,17 +130,17 @@
 		g.members[m.Host] = node
 	}
 	g.leader = g.members[membership.Voters[0].Host]
-	g.pump()
+	g.exchangeMessages()
 	g.now = g.now.Add(quorum.DefaultElectionMax)
 	g.leader.Tick(g.now)
-	g.pump()
+	g.exchangeMessages()
 	if g.leader.Status().Role != quorum.RoleLeader {
 		return nil, fmt.Errorf("group %d has no leader", number)
 	}
 	return g, nil
 }
 
-func (g *group) pump() {
+func (g *group) exchangeMessages() {
 	for busy := true; busy; {
 		busy = false
 		for _, n := range g.members {
@@ -166,7 +168,7 @@
 func (g *group) heartbeat() {
 	g.now = g.now.Add(quorum.DefaultHeartbeat)
 	g.leader.Tick(g.now)
-	g.pump()
+	g.exchangeMessages()
 }
 
 func groupsOf(count int) ([]*group, error) {
@@ -181,8 +183,9 @@
 	return groups, nil
 }
 
-// heartbeatBytes counts what the leaders' host sends and receives. Bundled, the
-// messages of all groups to and from one host share a frame and packet.
+// heartbeatBytes returns the bytes per second that the leaders' host sends and
+// receives. If bundled, the messages of all groups to and from one host share a
+// frame and packet.
 func heartbeatBytes(count int, bundled bool) (float64, error) {
 	groups, err := groupsOf(count)
 	if err != nil {
@@ -198,7 +201,7 @@
 		sum += g.bytes
 	}
 	if bundled {
-		// Each beat has one frame to and one from every other voter.
+		// Each heartbeat has one frame to and one from every other voter.
 		frames := beats * 2 * (groupVoters - 1)
 		sum -= simtree.FrameOverhead * frames * (count - 1)
 	}
--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -7,51 +7,53 @@
 	"github.com/lovagereach/lovagereach/quarantine"
 )
 
-// endSizes are numbers of upstreams whose ends are remembered, up to the bound.
-var endSizes = []int{16, 64, quarantine.MaxCrashes}
+// crashSizes are numbers of upstream crashes in the tracker, up to its bound.
+var crashSizes = []int{16, 64, quarantine.MaxCrashes}
 
-// endedWith is how many requests each was running.
-const endedWith = 16
+// requestsPerCrash is the number of requests running at each crash.
+const requestsPerCrash = 16
 
-// QuarantineProbes measure what the ends of upstreams cost the hosts that judge by them.
+// QuarantineProbes returns the probes of the cost of upstream crashes for the hosts
+// that decide on quarantine.
 func QuarantineProbes() []Probe {
 	probe := func(name string, unit Unit, measure func(int) (float64, error)) Probe {
 		return Probe{
 			Role: "control voter", Name: name, SizeName: "ends of upstreams", Unit: unit,
-			Sizes: endSizes, Target: quarantine.MaxCrashes, Measure: measure,
+			Sizes: crashSizes, Target: quarantine.MaxCrashes, Measure: measure,
 		}
 	}
 	return []Probe{
-		probe("ends of upstreams held", UnitBytes, func(ends int) (float64, error) {
-			return HeapBytes(func() any { return quarantineOf(ends) }), nil
+		probe("ends of upstreams held", UnitBytes, func(crashes int) (float64, error) {
+			return HeapBytes(func() any { return quarantineOf(crashes) }), nil
 		}),
-		probe("time to take in one end", UnitNanoseconds, func(ends int) (float64, error) {
-			l, next := quarantineOf(ends-1), endAt(ends)
+		probe("time to take in one end", UnitNanoseconds, func(crashes int) (float64, error) {
+			l, next := quarantineOf(crashes-1), crashAt(crashes)
 			return NanosecondsPerOp(func() { l.Ended(next); l.Forget(next.Life) }), nil
 		}),
 	}
 }
 
-// quarantineOf remembers ends, under each of which other requests were running but one.
-func quarantineOf(ends int) *quarantine.Tracker {
+// quarantineOf returns a tracker with this number of crashes. One request was
+// running at all of them, the others at one crash each.
+func quarantineOf(crashes int) *quarantine.Tracker {
 	l := quarantine.NewTracker()
-	for i := range ends {
-		l.Ended(endAt(i))
+	for i := range crashes {
+		l.Ended(crashAt(i))
 	}
 	return l
 }
 
-func endAt(i int) quarantine.Crash {
+func crashAt(i int) quarantine.Crash {
 	e := quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{{1}}}
-	for n := range endedWith - 1 {
+	for n := range requestsPerCrash - 1 {
 		e.Prints = append(e.Prints, quarantine.Fingerprint{2, byte(i), byte(i >> 8), byte(n)})
 	}
 	return e
 }
 
-// verdictBytes is the size of what an entry is told when all that can be is held and
-// suspected.
-func verdictBytes() int {
+// quarantineAnswerBytes returns the size of the message to an entry with the
+// maximum number of quarantined and suspected fingerprints.
+func quarantineAnswerBytes() int {
 	prints := make([]quarantine.Fingerprint, quarantine.MaxTold)
 	return len(wire.MustMarshal([][]quarantine.Fingerprint{prints, prints}))
 }
--- a/internal/capacity/probes_reports.go
+++ b/internal/capacity/probes_reports.go
@@ -19,11 +19,11 @@
 	followedSizes = []int{21, 54, 100, 400}
 )
 
-// followedAtTarget is how many runners one daemon follows on average.
+// followedAtTarget is the average number of runners that one daemon follows.
 const followedAtTarget = 54
 
 // ownReportEvery and announceEvery are the intervals of the stand-ins: of load
-// reports when none is prescribed, and of announcements.
+// reports if no entry requests one, and of announcements.
 const (
 	ownReportEvery = 500 * time.Millisecond
 	announceEvery  = time.Second
@@ -61,7 +61,8 @@
 	return batch
 }
 
-// ReportProbes measure what upstreams send to the daemons that follow them.
+// ReportProbes returns the probes of the messages that upstreams send to the
+// daemons that follow them.
 func ReportProbes() []Probe {
 	return []Probe{{
 		Role: "cell owner", Name: "one announcement on the wire", SizeName: "loaded versions", Unit: UnitBytes,
@@ -129,7 +130,7 @@
 	return bytes * float64(followed) / every.Seconds(), err
 }
 
-// mostCells counts the cells of the daemon that owns the most.
+// mostCells returns the number of cells of the daemon that owns the most.
 func mostCells(daemons int) (float64, error) {
 	table := cell.NewTable(cell.Options{})
 	var members []cell.Member
--- a/internal/capacity/probes_tree.go
+++ b/internal/capacity/probes_tree.go
@@ -14,14 +14,16 @@
 var daemonSizes = []int{9, 70, 200, TargetDaemons}
 
 const (
-	// daemonsPerRelay keeps the relays within the hosts set aside for control.
+	// daemonsPerRelay is the number of daemons behind one relay. It limits the
+	// relays to the hosts reserved for control.
 	daemonsPerRelay = 14
-	// directDaemons is up to how many daemons attach to the leader itself.
+	// directDaemons is the maximum number of daemons that attach directly to the
+	// leader.
 	directDaemons = 32
-	// settle is the virtual time until every lease is held.
-	settle = 10 * time.Second
-	// measured is the virtual time over which traffic is counted.
-	measured = 10 * time.Second
+	// settleTime is the virtual time after which every daemon must hold a lease.
+	settleTime = 10 * time.Second
+	// measureTime is the virtual time over which traffic is counted.
+	measureTime = 10 * time.Second
 )
 
 func relaysFor(daemons int) int {
@@ -47,15 +49,15 @@
 	if err != nil {
 		return nil, err
 	}
-	world.Run(settle)
+	world.Run(settleTime)
 	if serving := world.ServingCount(); serving != daemons {
-		return nil, fmt.Errorf("%d of %d daemons hold a lease after %s", serving, daemons, settle)
+		return nil, fmt.Errorf("%d of %d daemons hold a lease after %s", serving, daemons, settleTime)
 	}
 	return world, nil
 }
 
-// TreeProbes measure the tree that carries leases, configuration and
-// membership, in virtual time.
+// TreeProbes returns the probes of the tree that distributes leases, configuration
+// and membership, in virtual time.
 func TreeProbes() []Probe {
 	probe := func(role, name string, unit Unit, measure func(int) (float64, error)) Probe {
 		return Probe{Role: role, Name: name, SizeName: "daemons", Unit: unit, Sizes: daemonSizes, Target: TargetDaemons, Measure: measure}
@@ -71,7 +73,7 @@
 	}
 }
 
-// busiest returns the largest growth of traffic among hosts while run happens.
+// busiest returns the largest increase of traffic in bytes among hosts during run.
 func busiest(world *simtree.World, hosts []ident.Host, run func()) float64 {
 	before := make(map[ident.Host]int, len(hosts))
 	for _, host := range hosts {
@@ -85,50 +87,51 @@
 	return float64(most)
 }
 
-func steady(daemons int, hosts func(*simtree.World) []ident.Host) (float64, error) {
+func steadyTraffic(daemons int, hosts func(*simtree.World) []ident.Host) (float64, error) {
 	world, err := newTree(daemons)
 	if err != nil {
 		return 0, err
 	}
-	bytes := busiest(world, hosts(world), func() { world.Run(measured) })
-	return bytes / measured.Seconds(), nil
+	bytes := busiest(world, hosts(world), func() { world.Run(measureTime) })
+	return bytes / measureTime.Seconds(), nil
 }
 
 func entryTraffic(daemons int) (float64, error) {
-	return steady(daemons, (*simtree.World).Entries)
+	return steadyTraffic(daemons, (*simtree.World).Entries)
 }
 
-// relayTraffic is zero where there are no relays.
+// relayTraffic returns zero if there are no relays.
 func relayTraffic(daemons int) (float64, error) {
-	return steady(daemons, (*simtree.World).Relays)
+	return steadyTraffic(daemons, (*simtree.World).Relays)
 }
 
 func leaderTraffic(daemons int) (float64, error) {
-	return steady(daemons, func(*simtree.World) []ident.Host { return []ident.Host{""} })
+	return steadyTraffic(daemons, func(*simtree.World) []ident.Host { return []ident.Host{""} })
 }
 
-// changeOne commits a change of one team and returns its revision.
+// changeOne commits a change of one team and returns the revision.
 func changeOne(world *simtree.World, variant int) config.Revision {
 	doc := world.Document()
 	doc.Teams[0] = sampleTeam(0, variant)
 	return world.Change(doc, fmt.Sprint("change-", variant)).Revision
 }
 
-// changeTraffic subtracts the steady traffic over the same time.
+// changeTraffic returns the bytes per change at the busiest daemon, without the
+// steady traffic during the same time.
 func changeTraffic(daemons int) (float64, error) {
 	world, err := newTree(daemons)
 	if err != nil {
 		return 0, err
 	}
 	const changes = 20
-	quiet := busiest(world, world.Entries(), func() { world.Run(changes * time.Second) })
-	busy := busiest(world, world.Entries(), func() {
+	steady := busiest(world, world.Entries(), func() { world.Run(changes * time.Second) })
+	total := busiest(world, world.Entries(), func() {
 		for i := range changes {
 			changeOne(world, i+1)
 			world.Run(time.Second)
 		}
 	})
-	return (busy - quiet) / changes, nil
+	return (total - steady) / changes, nil
 }
 
 func timeInForce(daemons int, loss bool) (float64, error) {
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -10,14 +10,14 @@
 func All() []Probe {
 	var probes []Probe
 	for _, group := range [][]Probe{
-		ConfigProbes(), TreeProbes(), CellProbes(), ReportProbes(), HomeProbes(), LedgerProbes(), ControlProbes(), QuarantineProbes(), DayProbes(),
+		ConfigProbes(), TreeProbes(), CellProbes(), ReportProbes(), HomeProbes(), LedgerProbes(), ControlProbes(), QuarantineProbes(), FailureProbes(),
 	} {
 		probes = append(probes, group...)
 	}
 	return probes
 }
 
-// RunAll runs the probes in order, telling progress to log.
+// RunAll runs the probes in order and writes a progress line for each to log.
 func RunAll(probes []Probe, log io.Writer) ([]Result, error) {
 	results := make([]Result, 0, len(probes))
 	for _, probe := range probes {
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("%s (%s)", strings.Join(parts, ", "), r.Probe.SizeName)
 }
 
-// quantity formats a value with a readable multiple of its unit.
+// quantity formats a value with a unit prefix that suits its magnitude.
 func quantity(value float64, unit Unit) string {
 	switch unit {
 	case UnitBytes, UnitBytesPerSec:
@@ -67,8 +67,8 @@
 	}
 }
 
-// scaled picks the prefix that leaves the value readable. A step of zero means
-// a time, with prefixes below one.
+// scaled formats a value with the first prefix under which it is less than step.
+// A step of zero means a time in seconds, with prefixes below one.
 func scaled(value, step float64, unit string, prefixes ...string) string {
 	if step == 0 {
 		return scaledTime(value)
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The deployment that the users have set as target.
+// The target size of the deployment, set by the users.
 const (
 	TargetDaemons        = 670
 	TargetRunners        = 12_000
@@ -15,7 +15,7 @@
 	TargetFailuresPerDay = 120
 )
 
-// Limits on what control may cost one daemon.
+// Limits on the cost of control for one daemon.
 const (
 	LimitCoreShare      = 0.013
 	LimitBytes          = 32 << 20
@@ -24,17 +24,17 @@
 
 // Derived sizes.
 const (
-	// TargetCells is the number of cells when each holds about a hundred
-	// runners and each model runs in each data centre.
+	// TargetCells is the number of cells if every model runs in every data
+	// centre; each cell then has about a hundred runners.
 	TargetCells = TargetModels * TargetDataCentres
-	// RunnersPerCell follows from it.
+	// RunnersPerCell is the number of runners in one cell.
 	RunnersPerCell = TargetRunners / TargetCells
-	// OwnersPerCell is how many entry daemons follow one cell.
+	// OwnersPerCell is the number of entry daemons that follow one cell.
 	OwnersPerCell = 3
-	// PromptsPerDaemon is how many prompts have their home at one daemon.
+	// PromptsPerDaemon is the number of prompts whose home is one daemon.
 	PromptsPerDaemon = TargetPrompts / TargetDaemons
 	secondsPerDay    = 86_400
 )
 
-// CellsPerDaemon is how many cells one daemon owns on average.
+// CellsPerDaemon is the average number of cells that one daemon owns.
 const CellsPerDaemon = float64(TargetCells*OwnersPerCell) / TargetDaemons
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -18,23 +18,24 @@
 )
 
 const (
-	// PacketHeader is what each packet costs besides its content: an IPv4
-	// header of 20 bytes and a TCP header of 32 with timestamps. The link
-	// layer's frame is not counted.
+	// PacketHeader is the overhead of a packet in bytes: an IPv4 header of 20
+	// bytes and a TCP header of 32 bytes with timestamps. The frame of the link
+	// layer is not counted.
 	PacketHeader = 52
-	// packetContent is what one packet of 1,500 bytes carries.
+	// packetContent is the content of a packet of 1,500 bytes.
 	packetContent = 1_448
-	// acknowledgements is the packets without content in one exchange on a
-	// connection that stays open: the answer acknowledges the request, and one
+	// acknowledgements is the number of packets without content per exchange on
+	// a persistent connection: the answer acknowledges the request, and one
 	// packet acknowledges the answer.
 	acknowledgements = 1
 )
 
-// exchanges is how many requests are averaged; the first opens the connection
-// and is not counted.
+// exchanges is the number of requests over which a cost is averaged. The request
+// that opens the connection is not counted.
 const exchanges = 16
 
-// nullSink accepts everything. Entries names as many as own one cell.
+// nullSink accepts every message. Its Assignment lists as many entries as own one
+// cell.
 type nullSink struct{}
 
 func (nullSink) Announce(port.Announcement) (announce.Assignment, error) {
@@ -43,7 +44,7 @@
 func (nullSink) Load(port.LoadReport) error            { return nil }
 func (nullSink) Events(port.CacheEvents) (bool, error) { return false, nil }
 
-// countedListener counts what is read and written by its connections.
+// countedListener counts the bytes read and written on its connections.
 type countedListener struct {
 	net.Listener
 	read, written atomic.Int64
@@ -74,7 +75,7 @@
 	return n, err
 }
 
-// exchange is a listener on loopback and a caller of it.
+// exchange is an announcement listener on loopback with a client.
 type exchange struct {
 	listener *countedListener
 	server   *http.Server
@@ -83,7 +84,7 @@
 	message  any
 }
 
-// newExchange opens the connection with a first message.
+// newExchange starts the listener and opens the connection by a first message.
 func newExchange(path string, message any) (*exchange, error) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// ExchangeBytes returns what one message to an announcement listener costs on
-// the wire: request, answer and the packets that carry both.
+// ExchangeBytes returns the bytes on the wire for one message to an announcement
+// listener: request, answer and the headers of their packets.
 func ExchangeBytes(path string, message any) (float64, error) {
 	x, err := newExchange(path, message)
 	if err != nil {
@@ -134,7 +135,8 @@
 	return request + answer + PacketHeader*float64(packets(request)+packets(answer)+acknowledgements), nil
 }
 
-// exchangeTime returns the time of one message over loopback, both sides.
+// exchangeTime returns the time in nanoseconds of one message over loopback, for
+// client and server together.
 func exchangeTime(path string, message any) (float64, error) {
 	x, err := newExchange(path, message)
 	if err != nil {
@@ -154,15 +156,15 @@
 	return int(content+packetContent-1) / packetContent
 }
 
-// discard is an answer that nobody reads.
+// discard is an http.ResponseWriter that discards the answer.
 type discard struct{ header http.Header }
 
 func (d *discard) Header() http.Header         { return d.header }
 func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
 func (d *discard) WriteHeader(int)             {}
 
-// handlingTime is the time of the listener's handler for one message, without
-// the socket.
+// handlingTime returns the time in nanoseconds that the listener's handler takes
+// for one message, without the network.
 func handlingTime(sink announce.Sink, path string, body []byte) (float64, error) {
 	handler := announce.NewHandler(sink, metrics.NewSet())
 	request, err := http.NewRequest(http.MethodPost, "http://entry"+path, nil)
