--- a/internal/simload/bound.go
+++ b/internal/simload/bound.go
@@ -7,11 +7,11 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// recomputeBound is the share of prompt tokens that even a clairvoyant must
-// compute: one pool of all room for blocks, no links, and the block whose next
-// use is farthest away evicted first. Blocks are of equal size, for which that
-// rule is the best there is; a real policy also loses to links, copies in
-// several places and broken chains.
+// recomputeBound returns a lower bound of the fraction of prompt tokens that any
+// policy must compute. It assumes a single pool of the capacity of all caches and
+// store hosts, no links, and eviction of the block whose next use is farthest in
+// the future, which is optimal for blocks of equal size. A real policy also loses
+// to links, duplicate copies and broken chains.
 func recomputeBound(w *Workload, requests []*request) float64 {
 	capacity := w.Engines*w.engine.cacheBlocks + len(w.Stores)*(w.store.memoryBlocks+w.store.diskBlocks)
 	uses := nextUses(requests)
@@ -42,8 +42,8 @@
 	return float64(computed) / float64(max(prompt, 1))
 }
 
-// nextUses gives, for each block of each request, the index of the next request
-// that has the block.
+// nextUses returns, for each block of each request, the index of the next request
+// with the block, math.MaxInt if none.
 func nextUses(requests []*request) [][]int {
 	next := make(map[prefix.BlockID]int)
 	out := make([][]int, len(requests))
--- a/internal/simload/cache.go
+++ b/internal/simload/cache.go
@@ -7,43 +7,44 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// origin is the truth about a block's content, kept outside everything that
-// the policy sees, so that the checker can tell a wrong block from a right one.
+// origin is the actual origin of a block's content. No policy can access it; the
+// checker uses it to detect wrong blocks.
 type origin struct {
 	team    ident.Team
 	version ident.Version
 }
 
-// held is a block in a cache or tier.
-type held struct {
+// cachedBlock is a block in a cache or tier.
+type cachedBlock struct {
 	id     prefix.BlockID
 	origin origin
 	pins   int
-	// generation is that of the slot in a store host.
+	// generation is the generation of the slot on a store host.
 	generation uint64
 	where      *list.Element
 }
 
-// cache holds blocks and evicts the least recently used one without a pin.
+// cache holds blocks and evicts the least recently used unpinned block.
 type cache struct {
 	capacity int
-	blocks   map[prefix.BlockID]*held
+	blocks   map[prefix.BlockID]*cachedBlock
 	recent   *list.List // of *held, least recent at the back
-	// gone is called for each evicted block. Without it nothing is evicted.
-	gone func(*held)
+	// onEvict is called for each evicted block. If nil, nothing is evicted.
+	onEvict func(*cachedBlock)
 }
 
-func newCache(capacity int, gone func(*held)) *cache {
+func newCache(capacity int, onEvict func(*cachedBlock)) *cache {
 	return &cache{
 		capacity: capacity,
-		blocks:   make(map[prefix.BlockID]*held),
+		blocks:   make(map[prefix.BlockID]*cachedBlock),
 		recent:   list.New(),
-		gone:     gone,
+		onEvict:  onEvict,
 	}
 }
 
-// put adds a block. It returns nil when everything held is pinned.
-func (c *cache) put(id prefix.BlockID, from origin) *held {
+// put adds a block. It returns nil if the cache is full and no block can be
+// evicted.
+func (c *cache) put(id prefix.BlockID, from origin) *cachedBlock {
 	if h := c.blocks[id]; h != nil {
 		c.recent.MoveToFront(h.where)
 		return h
@@ -51,23 +52,23 @@
 	if len(c.blocks) >= c.capacity && !c.evict() {
 		return nil
 	}
-	h := &held{id: id, origin: from}
+	h := &cachedBlock{id: id, origin: from}
 	h.where = c.recent.PushFront(h)
 	c.blocks[id] = h
 	return h
 }
 
 func (c *cache) evict() bool {
-	if c.gone == nil {
+	if c.onEvict == nil {
 		return false
 	}
 	for e := c.recent.Back(); e != nil; e = e.Prev() {
-		h := e.Value.(*held)
+		h := e.Value.(*cachedBlock)
 		if h.pins > 0 {
 			continue
 		}
 		c.remove(h.id)
-		c.gone(h)
+		c.onEvict(h)
 		return true
 	}
 	return false
@@ -80,9 +81,9 @@
 	}
 }
 
-// longest returns the held beginning of blocks.
-func (c *cache) longest(blocks []prefix.BlockID) []*held {
-	var out []*held
+// longest returns the longest cached prefix of blocks.
+func (c *cache) longest(blocks []prefix.BlockID) []*cachedBlock {
+	var out []*cachedBlock
 	for _, id := range blocks {
 		h := c.blocks[id]
 		if h == nil {
@@ -93,8 +94,8 @@
 	return out
 }
 
-// touch marks blocks as used, the first of the chain as the most recent one.
-func (c *cache) touch(blocks []*held) {
+// markUsed marks blocks as used, the first of the chain as most recent.
+func (c *cache) markUsed(blocks []*cachedBlock) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		c.recent.MoveToFront(blocks[i].where)
 	}
--- a/internal/simload/clairvoyant.go
+++ b/internal/simload/clairvoyant.go
@@ -6,17 +6,18 @@
 	"github.com/lovagereach/lovagereach/route"
 )
 
-// newClairvoyant returns the product's policy as one entry that sees the true
-// queue of every engine and the true blocks of every cache and store host.
+// newClairvoyant returns the product's policy with a single entry that has exact
+// knowledge of the queue of every engine and the blocks of every cache and store
+// host.
 func newClairvoyant(r Run) policy {
 	r.Tuning.Exact = true
-	// One entry sends what several do otherwise.
+	// The single entry sends the load of all entries.
 	r.Tuning.Admit.Limit.Initial = admit.DefaultInitial * r.Workload.Entries
 	return newCluster(r)
 }
 
-// offerExact lists the engines with their true state, those that hold most of
-// the prompt first.
+// offerExact returns the engines with their exact state, sorted by the length of
+// the cached prefix, longest first.
 func (en *entry) offerExact(j *job) []route.Candidate {
 	var out []route.Candidate
 	for _, e := range en.cluster.sim.engines {
@@ -36,7 +37,7 @@
 	return out[:min(len(out), route.MaxCandidates)]
 }
 
-// locateExact finds the true copy of a block, memory before disk.
+// locateExact returns an existing copy of a block, in memory rather than on disk.
 func (en *entry) locateExact(id prefix.BlockID) (prefix.StoredCopy, bool) {
 	var best prefix.StoredCopy
 	found := false
--- a/internal/simload/clock.go
+++ b/internal/simload/clock.go
@@ -1,12 +1,11 @@
 // Package simload measures the policy in virtual time.
 //
-// It models engines (slots, prefill by priority in chunks, a prefix cache that
-// evicts the least recently used block), store hosts with memory, disk and
-// limited links, and two workloads with fixed seeds. What decides is the real
-// thing: packages upstream, prefix, keep, route and admit, driven by a queue of
-// events, beside baselines on the same model. It is not a cluster simulator:
-// nothing of the system's own processes, connections or failures in transport
-// is modelled.
+// It models engines (slots, prefill by priority in chunks, an LRU prefix cache),
+// store hosts with memory, disk and limited links, and two workloads with fixed
+// seeds. Decisions are made by the production packages upstream, prefix, keep,
+// route and admit, driven by an event queue, and by baselines on the same model.
+// It is not a cluster simulator: the system's own processes, connections and
+// transport failures are not modelled.
 package simload
 
 import (
@@ -14,11 +13,11 @@
 	"time"
 )
 
-// epoch is virtual time zero, a morning on which a clock auction opens.
+// epoch is virtual time zero, the morning of a day with a clock auction.
 var epoch = time.Date(2030, 5, 6, 5, 0, 0, 0, time.UTC)
 
-// clock is a queue of events in virtual time. Events at the same time run in
-// the order in which they were added, so that every run is the same.
+// clock is an event queue in virtual time. Events at the same time run in the order
+// in which they were added, so that runs are reproducible.
 type clock struct {
 	at     time.Duration
 	added  uint64
@@ -31,10 +30,10 @@
 	run   func()
 }
 
-// now returns the virtual time for the packages under test.
+// now returns the virtual time as a time.Time, for the packages under test.
 func (c *clock) now() time.Time { return epoch.Add(c.at) }
 
-// after runs f once d has passed.
+// after runs f after the delay d.
 func (c *clock) after(d time.Duration, f func()) {
 	c.added++
 	heap.Push(&c.events, event{at: c.at + max(d, 0), order: c.added, run: f})
--- a/internal/simload/cluster.go
+++ b/internal/simload/cluster.go
@@ -200,7 +200,7 @@
 // expireStores forgets the store hosts whose lease has run out.
 func (c *cluster) expireStores() {
 	for _, st := range c.sim.stores {
-		if st.alive || c.sim.clock.at-st.diedAt < announceLease {
+		if st.alive || c.sim.clock.at-st.crashedAt < announceLease {
 			continue
 		}
 		for _, en := range c.live() {
@@ -230,7 +230,7 @@
 func (c *cluster) cacheEvents(name ident.Upstream, events []prefix.Event) {
 	incarnation := c.incarnation(name)
 	for _, en := range c.live() {
-		en.keeper.evicted(name, incarnation, events)
+		en.keeper.recordEvictions(name, incarnation, events)
 		result := en.directory.Apply(prefix.Batch{Upstream: name, Incarnation: incarnation, Events: events})
 		if result == prefix.NeedsSnapshot {
 			c.sim.clock.after(snapshotDelay, func() { c.repair(en, name) })
@@ -263,7 +263,7 @@
 func (c *cache) list() []prefix.HeldBlock {
 	out := make([]prefix.HeldBlock, 0, len(c.blocks))
 	for at := c.recent.Back(); at != nil; at = at.Prev() {
-		out = append(out, prefix.HeldBlock{Block: at.Value.(*held).id})
+		out = append(out, prefix.HeldBlock{Block: at.Value.(*cachedBlock).id})
 	}
 	return out
 }
@@ -283,7 +283,7 @@
 	}
 	c.sim.clock.after(networkDelay, func() {
 		if c.sim.down[home] {
-			c.sim.again(j)
+			c.sim.retry(j)
 			return
 		}
 		if !j.finished {
@@ -328,6 +328,6 @@
 		if j.engine != nil {
 			j.engine.cancel(j)
 		}
-		c.sim.again(j)
+		c.sim.retry(j)
 	}
 }
--- a/internal/simload/engine.go
+++ b/internal/simload/engine.go
@@ -7,16 +7,17 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// engineSpec is what all engines of a workload have in common.
+// engineSpec holds the parameters shared by the engines of a workload.
 type engineSpec struct {
 	slots       int
-	prefillRate float64 // tokens a second
+	prefillRate float64 // tokens per second
 	cacheBlocks int
-	linkRate    float64 // bytes a second
+	linkRate    float64 // bytes per second
 	tokenTime   time.Duration
-	// chunkTokens is how much prefill runs before the queue is looked at again.
+	// chunkTokens is the number of tokens of prefill between two checks of the
+	// queue.
 	chunkTokens int
-	// overlaps tells that prefill begins while blocks are still arriving.
+	// overlaps makes prefill start while blocks are still being imported.
 	overlaps bool
 }
 
@@ -33,23 +34,23 @@
 	check       *checker
 	version     ident.Version
 
-	queue   jobHeap // waiting for a slot
-	prefill jobHeap // holding a slot, prompt not yet computed
+	queue   jobQueue // waiting for a slot
+	prefill jobQueue // holding a slot, prompt not yet computed
 	running int
 	busy    bool
 	// current is the job whose chunk is being computed.
 	current *job
 	leaving bool
-	// silent engines announce nothing any more.
+	// silent stops the announcements.
 	silent bool
-	// dead engines answer nothing and finish nothing.
+	// dead is true after a crash: the engine neither answers nor completes jobs.
 	dead bool
-	// unverified engines use what they import without a check. Only the test
-	// of the checker sets it.
+	// unverified makes the engine use imported blocks without verification. It
+	// is set only by the test of the checker.
 	unverified bool
 	active     []*job
 	arrived    uint64
-	// computed counts prompt tokens computed.
+	// computed is the number of prompt tokens computed.
 	computed int64
 }
 
@@ -59,7 +60,7 @@
 		link: &link{clock: &s.clock, rate: spec.linkRate}, check: &s.check, version: firstVersion,
 	}
 	e.feed = newFeed(s, e.name)
-	e.cache = newCache(spec.cacheBlocks, func(h *held) { e.feed.removed(h.id) })
+	e.cache = newCache(spec.cacheBlocks, func(h *cachedBlock) { e.feed.removed(h.id) })
 	return e
 }
 
@@ -74,7 +75,7 @@
 	e.start()
 }
 
-// start gives free slots to waiting jobs.
+// start assigns free slots to queued jobs.
 func (e *engine) start() {
 	for e.running < e.spec.slots && e.queue.len() > 0 {
 		j := e.queue.pop()
@@ -96,8 +97,8 @@
 	if j == nil {
 		return
 	}
-	if !j.looked {
-		e.look(j)
+	if !j.lookedUp {
+		e.lookUp(j)
 		if !j.ready() {
 			e.prefill.push(j)
 			e.compute()
@@ -118,16 +119,16 @@
 	})
 }
 
-// look finds the cached beginning of the prompt and pins it.
-func (e *engine) look(j *job) {
-	j.looked = true
+// lookUp finds the cached prefix of the prompt and pins it.
+func (e *engine) lookUp(j *job) {
+	j.lookedUp = true
 	j.prefillAt = e.clock.at
 	reused := e.cache.longest(j.req.blocks)
 	for _, h := range reused {
 		e.check.read(j, h.origin)
 		h.pins++
 	}
-	e.cache.touch(reused)
+	e.cache.markUsed(reused)
 	j.pinned = append(j.pinned, reused...)
 	j.position = min(len(reused)*blockTokens, j.req.tokens-1)
 	j.reused = j.position
@@ -140,29 +141,30 @@
 		return
 	}
 	if j.position >= j.importFrom && j.position < j.importTo && !j.importing {
-		e.take(j)
+		e.useImported(j)
 	}
 	if j.position < j.req.tokens {
 		e.prefill.push(j)
 		return
 	}
-	e.first(j)
+	e.finishPrefill(j)
 }
 
-// importDone lets a job go on that waited for its blocks.
+// importDone continues a job that waited for its import.
 func (e *engine) importDone(j *job) {
 	j.importing = false
 	if j.state != jobPrefill {
 		return
 	}
-	if j.looked && j.position >= j.importFrom && j.position < j.importTo {
-		e.take(j)
+	if j.lookedUp && j.position >= j.importFrom && j.position < j.importTo {
+		e.useImported(j)
 	}
 	e.compute()
 }
 
-// take uses blocks that arrived while the job computed those before them.
-func (e *engine) take(j *job) {
+// useImported skips the prefill of blocks that were imported while the job computed
+// those before them.
+func (e *engine) useImported(j *job) {
 	first := j.position / blockTokens
 	for _, id := range j.req.blocks[first:] {
 		h := e.cache.blocks[id]
@@ -180,8 +182,9 @@
 	j.importTo = 0
 }
 
-// first ends prefill: the prompt's blocks are now in the cache.
-func (e *engine) first(j *job) {
+// finishPrefill finishes prefill: it adds the prompt's blocks to the cache and
+// starts decoding.
+func (e *engine) finishPrefill(j *job) {
 	j.state = jobDecode
 	for i := len(j.req.blocks) - 1; i >= 0; i-- {
 		id := j.req.blocks[i]
@@ -224,7 +227,7 @@
 	j.pinned = nil
 }
 
-// cancel takes a job out because its caller has left.
+// cancel removes a job whose caller has left.
 func (e *engine) cancel(j *job) {
 	if e.dead {
 		return
@@ -240,7 +243,8 @@
 	}
 }
 
-// queuedTokens is the prompt work that the engine has accepted and not done.
+// queuedTokens returns the number of accepted prompt tokens that are not yet
+// computed.
 func (e *engine) queuedTokens() int64 {
 	total := int64(0)
 	if e.current != nil {
--- a/internal/simload/entry.go
+++ b/internal/simload/entry.go
@@ -248,7 +248,7 @@
 	en.planner.Observe(o)
 	en.inFlight.End(route.Prompt(j.req.blocks[0]), id)
 	en.observeBlocks(j)
-	en.keeper.used(j)
+	en.keeper.recordUse(j)
 }
 
 func (en *entry) observeBlocks(j *job) {
--- a/internal/simload/export.go
+++ b/internal/simload/export.go
@@ -5,21 +5,21 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// exporter carries out one export: it reserves, writes and commits block after
-// block, in the background.
+// exporter executes an export: it reserves, writes and commits its blocks one at a
+// time, in the background.
 type exporter struct {
 	engine      *engine
 	store       *store
 	tier        prefix.Tier
 	blocks      []prefix.BlockID
 	incarnation ident.Incarnation
-	// reserved, committed and failed report each block's steps.
+	// reserved, committed and failed are called on the steps of each block.
 	reserved  func(prefix.BlockID, reservation)
 	committed func(prefix.BlockID, prefix.Copy)
 	failed    func(prefix.BlockID, exportFailure)
 }
 
-// exportFailure is why a granted block was not written.
+// exportFailure is the reason why a granted block was not written.
 type exportFailure uint8
 
 const (
@@ -45,13 +45,13 @@
 	}
 }
 
-func (x *exporter) write(h *held) {
+func (x *exporter) write(h *cachedBlock) {
 	h.pins++
 	path := []*link{x.engine.link, x.store.link}
 	if x.tier == prefix.Disk {
 		path = append(path, x.store.disk)
 	}
-	through(path, blockBytes, true, func() {
+	sendThrough(path, blockBytes, true, func() {
 		h.pins--
 		copied, ok := x.store.commit(h.id, h.origin, x.incarnation)
 		if ok {
--- a/internal/simload/fault.go
+++ b/internal/simload/fault.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Fault is something that fails at one time of a run.
+// Fault is a failure at a given time of a run.
 type Fault struct {
 	Name string
 	At   time.Duration
-	// Lasts is how long, zero for good.
+	// Lasts is the duration, zero for a permanent fault.
 	Lasts time.Duration
 	apply func(*sim)
 	undo  func(*sim)
@@ -33,26 +33,26 @@
 	return strings.Join(names, "+")
 }
 
-// slowedTo is the part of its rate that a slow link keeps.
-const slowedTo = 0.1
+// slowLinkFactor is the factor by which the rate of a slow link is reduced.
+const slowLinkFactor = 0.1
 
-// faultsOf lists the faults of a workload. Each begins a third into the part
-// that is measured.
+// faultsOf returns the faults of a workload. Each starts after one third of the
+// measured part of the run.
 func faultsOf(w *Workload) []Fault {
 	at := w.WarmUp + (w.Duration-w.WarmUp)/3
 	lasts := (w.Duration - w.WarmUp) / 6
 	return []Fault{
-		{Name: "store-dies", At: at, apply: func(s *sim) { s.stores[0].die(s.clock.at) }},
+		{Name: "store-dies", At: at, apply: func(s *sim) { s.stores[0].crash(s.clock.at) }},
 		{Name: "store-returns-empty", At: at, Lasts: lasts,
-			apply: func(s *sim) { s.stores[0].die(s.clock.at) },
-			undo:  func(s *sim) { s.stores[0].back() }},
+			apply: func(s *sim) { s.stores[0].crash(s.clock.at) },
+			undo:  func(s *sim) { s.stores[0].restart() }},
 		{Name: "store-full", At: at, apply: func(s *sim) { s.stores[0].full = true }},
 		{Name: "link-slow", At: at, Lasts: lasts,
-			apply: func(s *sim) { s.stores[0].link.rate *= slowedTo },
-			undo:  func(s *sim) { s.stores[0].link.rate /= slowedTo }},
-		{Name: "entry-dies", At: at, apply: func(s *sim) { s.entryDies(0) }},
+			apply: func(s *sim) { s.stores[0].link.rate *= slowLinkFactor },
+			undo:  func(s *sim) { s.stores[0].link.rate /= slowLinkFactor }},
+		{Name: "entry-dies", At: at, apply: func(s *sim) { s.crashEntry(0) }},
 		{Name: "engine-leaves", At: at, apply: func(s *sim) { s.engines[0].leaving = true }},
-		{Name: "engine-dies", At: at, apply: func(s *sim) { s.engines[1].die(s) }},
+		{Name: "engine-dies", At: at, apply: func(s *sim) { s.engines[1].crash(s) }},
 		{Name: "version-swap", At: at, apply: func(s *sim) { s.swapVersion() }},
 		{Name: "events-lost", At: at, Lasts: lasts,
 			apply: func(s *sim) { s.loseEvents(true) },
@@ -60,7 +60,8 @@
 	}
 }
 
-// loseEvents drops the cache events of half of the engines and one store host.
+// loseEvents sets whether the cache events of half of the engines and of one store
+// host are dropped.
 func (s *sim) loseEvents(lost bool) {
 	for i, e := range s.engines {
 		if i%2 == 0 {
@@ -70,20 +71,20 @@
 	s.stores[0].feed.lost = lost
 }
 
-// retryDelay is how long a caller takes to notice a lost connection, ask for
-// another address and send again.
+// retryDelay is the time in which a caller detects a lost connection, requests
+// another address and resends its request.
 const retryDelay = 200 * time.Millisecond
 
-// entryDies ends one entry. Its callers come again at another one.
-func (s *sim) entryDies(index int) {
+// crashEntry stops one entry. Its callers retry at another one.
+func (s *sim) crashEntry(index int) {
 	s.down[index] = true
 	if p, ok := s.policy.(interface{ entryDied(int) }); ok {
 		p.entryDied(index)
 	}
 }
 
-// die ends an engine without a word. Its callers come again.
-func (e *engine) die(s *sim) {
+// crash stops an engine without a departure announcement. Its callers retry.
+func (e *engine) crash(s *sim) {
 	e.leaving, e.silent, e.dead = true, true, true
 	e.incarnation++
 	var lost []*job
@@ -91,13 +92,13 @@
 	lost = append(lost, e.active...)
 	e.queue.items, e.prefill.items, e.active = nil, nil, nil
 	for _, j := range lost {
-		s.again(j)
+		s.retry(j)
 	}
 }
 
-// again lets a caller send its request anew after its connection was lost. The
-// new job stands in for the old one, whose late events then change nothing.
-func (s *sim) again(old *job) {
+// retry resends a request after its connection was lost. A new job replaces the
+// old one, whose later events have no effect.
+func (s *sim) retry(old *job) {
 	if old.finished {
 		return
 	}
--- a/internal/simload/feed.go
+++ b/internal/simload/feed.go
@@ -7,7 +7,8 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// feed publishes cache events in batches, late, and at times with gaps.
+// feed publishes cache events in batches, with a delay and, while lost is set, with
+// gaps.
 type feed struct {
 	sim      *sim
 	upstream ident.Upstream
@@ -17,7 +18,7 @@
 	lost bool
 }
 
-// feedDelay is how late a batch of cache events is.
+// feedDelay is the delay of a batch of cache events.
 const feedDelay = 250 * time.Millisecond
 
 func newFeed(s *sim, upstream ident.Upstream) feed {
--- a/internal/simload/job.go
+++ b/internal/simload/job.go
@@ -16,7 +16,7 @@
 	jobGone
 )
 
-// job is one request on its way.
+// job is one attempt to serve a request.
 type job struct {
 	req      *request
 	arrived  time.Duration
@@ -27,22 +27,24 @@
 	sent     time.Duration
 	// expectedTokens is the prompt work that the sender expects.
 	expectedTokens int
-	looked         bool
+	lookedUp       bool
 	position       int
 	reused         int
 	computed       int
-	pinned         []*held
-	// importFrom and importTo bound the tokens being imported while the job
-	// already runs.
+	pinned         []*cachedBlock
+	// importFrom and importTo bound the tokens that are imported while the job
+	// runs.
 	importing bool
-	// overlapped jobs were sent before their import had ended.
+	// overlapped is true if the job was sent before its import was complete.
 	overlapped           bool
 	importFrom, importTo int
 
 	queuedAt, startedAt, prefillAt time.Duration
-	// successor is the job that a lost one was replaced by.
+	// successor is the job that replaced this one after its connection was
+	// lost.
 	successor *job
-	// sources are the blocks to import once another's import has ended.
+	// sources are the blocks to import after another job's import has
+	// completed.
 	sources         []source
 	decision        route.Decision
 	candidate       route.Candidate
@@ -52,7 +54,7 @@
 	finished        bool
 }
 
-// nextStop is the token up to which prefill may run now.
+// nextStop returns the token up to which prefill may run now.
 func (j *job) nextStop() int {
 	if j.importTo > 0 && j.position < j.importFrom {
 		return j.importFrom
@@ -60,23 +62,23 @@
 	return j.req.tokens
 }
 
-// ready tells whether prefill can go on: at the blocks that are still arriving
-// it waits for them.
+// ready reports whether prefill can continue. It must wait when it reaches blocks
+// that are still being imported.
 func (j *job) ready() bool {
 	if !j.importing {
 		return true
 	}
-	return j.importFrom > 0 && (!j.looked || j.position < j.importFrom)
+	return j.importFrom > 0 && (!j.lookedUp || j.position < j.importFrom)
 }
 
 func (j *job) expected() int {
-	if j.looked {
+	if j.lookedUp {
 		return j.req.tokens - j.position
 	}
 	return j.expectedTokens
 }
 
-// latest is the job that now stands for the request.
+// latest returns the current job of the request.
 func (j *job) latest() *job {
 	for j.successor != nil {
 		j = j.successor
@@ -100,21 +102,21 @@
 	j.onDone(j)
 }
 
-// jobHeap orders jobs by priority, then by arrival.
-type jobHeap struct{ items []*job }
+// jobQueue orders jobs by priority, then by arrival.
+type jobQueue struct{ items []*job }
 
-func (h *jobHeap) len() int { return len(h.items) }
+func (h *jobQueue) len() int { return len(h.items) }
 
-func (h *jobHeap) before(a, b *job) bool {
+func (h *jobQueue) before(a, b *job) bool {
 	if a.priority != b.priority {
 		return a.priority < b.priority
 	}
 	return a.order < b.order
 }
 
-// push keeps the items sorted: queues are short, and a sorted slice lets
-// popReady pass over jobs that wait for their import.
-func (h *jobHeap) push(j *job) {
+// push inserts a job and keeps the items sorted. Queues are short, and a sorted
+// slice allows popReady to skip jobs that wait for their import.
+func (h *jobQueue) push(j *job) {
 	at := len(h.items)
 	for at > 0 && h.before(j, h.items[at-1]) {
 		at--
@@ -124,9 +126,9 @@
 	h.items[at] = j
 }
 
-func (h *jobHeap) pop() *job { return h.takeAt(0) }
+func (h *jobQueue) pop() *job { return h.takeAt(0) }
 
-func (h *jobHeap) popReady() *job {
+func (h *jobQueue) popReady() *job {
 	for i, j := range h.items {
 		if j.ready() {
 			return h.takeAt(i)
@@ -135,13 +137,13 @@
 	return nil
 }
 
-func (h *jobHeap) takeAt(i int) *job {
+func (h *jobQueue) takeAt(i int) *job {
 	j := h.items[i]
 	h.items = append(h.items[:i], h.items[i+1:]...)
 	return j
 }
 
-func (h *jobHeap) remove(j *job) {
+func (h *jobQueue) remove(j *job) {
 	for i, other := range h.items {
 		if other == j {
 			h.takeAt(i)
--- a/internal/simload/keeper.go
+++ b/internal/simload/keeper.go
@@ -9,10 +9,10 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// planPeriod is how often each entry plans exports and frees.
+// planPeriod is the interval at which each entry plans exports and frees.
 const planPeriod = 100 * time.Millisecond
 
-// keeper carries out what one entry's keep.Manager decides.
+// keeper executes the decisions of one entry's keep.Manager.
 type keeper struct {
 	entry   *entry
 	manager *keep.Manager
@@ -31,8 +31,8 @@
 	return &keeper{entry: en, manager: manager, random: rand.New(rand.NewPCG(uint64(en.index), 5))}
 }
 
-// used tells of a prompt that an engine now holds.
-func (k *keeper) used(j *job) {
+// recordUse records that an engine now holds a prompt.
+func (k *keeper) recordUse(j *job) {
 	if k.entry.cluster.tuning.NoStore {
 		return
 	}
@@ -47,7 +47,7 @@
 	return prefix.Scope{Team: r.team, Model: theModel, Version: r.version}
 }
 
-// report tells the manager of a store host's room.
+// report passes a store host's capacity and load to the manager.
 func (k *keeper) report(st *store, linkBusy float64) {
 	status := keep.StoreStatus{
 		Store: st.name, Incarnation: st.incarnation, DataCentre: st.dc,
@@ -73,7 +73,7 @@
 	for _, f := range plan.Frees {
 		st := k.entry.cluster.stores[f.Store]
 		st.free(f.Block, f.Generation)
-		// A slot that is gone already is as good as freed.
+		// A slot that no longer exists counts as freed.
 		k.manager.Freed(k.entry.now(), f.ID, st.alive)
 	}
 }
@@ -116,16 +116,16 @@
 	r := keep.Reservation{Granted: answer == granted, Full: answer == tierFull, Incarnation: st.incarnation}
 	switch answer {
 	case granted:
-		// The commit of this slot is the host's next one for this block.
+		// The host's next commit of this block is that of this slot.
 		r.Copy = prefix.Copy{Slot: "slot", Generation: st.reservedGeneration(id)}
-	case already:
+	case alreadyStored:
 		h, tier := st.find(id)
 		r.Committed, r.Copy = true, copyOf(h, tier)
 	}
 	k.manager.Reserved(now, copyID, r)
 }
 
-// pins holds the copies that an import reads.
+// pin pins the copies that an import reads.
 func (k *keeper) pin(j *job, sources []source) []keep.PinID {
 	var pins []keep.PinID
 	for _, src := range sources {
@@ -142,8 +142,9 @@
 	}
 }
 
-// evicted tells of blocks that an engine or store host has no more.
-func (k *keeper) evicted(name ident.Upstream, incarnation ident.Incarnation, events []prefix.Event) {
+// recordEvictions records the blocks that an engine has evicted; events of store hosts
+// are ignored.
+func (k *keeper) recordEvictions(name ident.Upstream, incarnation ident.Incarnation, events []prefix.Event) {
 	if k.entry.cluster.engines[name] == nil {
 		return
 	}
--- a/internal/simload/link.go
+++ b/internal/simload/link.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// link moves pieces one after another at a fixed rate. Pieces of many
-// transfers alternate, because a transfer keeps only a few in the queue.
-// Background pieces go when nothing else waits.
+// link transfers pieces sequentially at a fixed rate. Pieces of concurrent
+// transfers alternate, because each transfer queues only a few pieces at a time.
+// Background pieces are sent only if no other piece is queued.
 type link struct {
 	clock *clock
-	// rate is in bytes a second and may change while pieces move.
+	// rate is in bytes per second. It may change during transfers.
 	rate                   float64
 	urgent, background     []piece
 	moving                 bool
@@ -29,10 +29,10 @@
 		l.urgent = append(l.urgent, p)
 	}
 	l.bytes += bytes
-	l.next()
+	l.startNext()
 }
 
-func (l *link) next() {
+func (l *link) startNext() {
 	if l.moving {
 		return
 	}
@@ -50,16 +50,16 @@
 	l.busy += took
 	l.clock.after(took, func() {
 		l.moving = false
-		l.next()
+		l.startNext()
 		p.done()
 	})
 }
 
-// through sends a piece over links one after another.
-func through(links []*link, bytes int64, background bool, done func()) {
+// sendThrough sends a piece over several links in sequence.
+func sendThrough(links []*link, bytes int64, background bool, done func()) {
 	if len(links) == 0 {
 		done()
 		return
 	}
-	links[0].send(bytes, background, func() { through(links[1:], bytes, background, done) })
+	links[0].send(bytes, background, func() { sendThrough(links[1:], bytes, background, done) })
 }
--- a/internal/simload/plan.go
+++ b/internal/simload/plan.go
@@ -18,7 +18,7 @@
 	if ok || en.cluster.sim.swapped == 0 || j.req.version == secondVersion {
 		return decision, sources, ok
 	}
-	en.cluster.sim.rename(j.req, secondVersion)
+	en.cluster.sim.setVersion(j.req, secondVersion)
 	return en.planVersion(j)
 }
 
--- a/internal/simload/plot.go
+++ b/internal/simload/plot.go
@@ -17,8 +17,9 @@
 	barWidth   = 16
 )
 
-// WritePlot draws, for each workload without faults, the 95th percentile of the
-// tightest class and the share recomputed under each policy.
+// WritePlot draws, for each workload and policy, the 95th percentile of the first
+// token in the class with the tightest target and the recomputed fraction. It uses
+// the results without faults, or all results if there are none.
 func WritePlot(path string, results []Result) error {
 	var quiet []Result
 	for _, r := range results {
--- a/internal/simload/plotfile.go
+++ b/internal/simload/plotfile.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// plotColor returns one of a few colours that are told apart without hue.
+// plotColor returns one of five colours that can be distinguished by brightness.
 func plotColor(i int) color.Color {
 	colors := []color.Color{
 		color.Gray{Y: 200}, color.Gray{Y: 150}, color.Gray{Y: 90},
--- a/internal/simload/prefetch.go
+++ b/internal/simload/prefetch.go
@@ -7,8 +7,8 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// prefetch brings a prompt back to the least loaded engine before its expected
-// return.
+// prefetch imports the blocks of a prompt into the least loaded engine before the
+// expected next request.
 func (k *keeper) prefetch(f keep.Prefetch) {
 	e := k.pickEngine(f.Scope)
 	if e == nil {
@@ -29,12 +29,13 @@
 			slow:       pin.Source.Copy.Tier == prefix.Disk,
 		})
 	}
-	// No request waits for the blocks: they may be evicted again.
-	nobody := &job{state: jobGone}
-	k.entry.cluster.sim.startImport(e, nobody, sources, func(*importer) { k.unpin(pins) })
+	// No request waits for the blocks, so that they may be evicted again.
+	noJob := &job{state: jobGone}
+	k.entry.cluster.sim.startImport(e, noJob, sources, func(*importer) { k.unpin(pins) })
 }
 
-// pickEngine returns the least loaded idle engine for the scope.
+// pickEngine returns the least loaded engine with a free slot for the scope, nil if
+// none.
 func (k *keeper) pickEngine(scope prefix.Scope) *engine {
 	en := k.entry
 	var best *engine
@@ -42,7 +43,7 @@
 	for _, dc := range en.cluster.sim.work.DataCentres {
 		pool := upstream.EnginePool(ident.Cell{Model: theModel, DataCentre: dc}, scope.Version, "")
 		for _, c := range en.registry.Pick(en.now(), k.random, pool, 1, nil) {
-			// A prefetch is a guess and must not delay a caller.
+			// A prefetch is speculative and must not delay a caller.
 			idle := c.Load.Requests < float64(c.Slots)
 			if idle && (best == nil || c.Score < score) {
 				best, score = en.cluster.engines[c.Upstream], c.Score
--- a/internal/simload/report.go
+++ b/internal/simload/report.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// DoAll runs several runs, at most parallel at a time, and returns the results
-// in the order of the runs.
+// DoAll executes runs, at most parallel of them concurrently, and returns their
+// results in the same order.
 func DoAll(runs []Run, parallel int) ([]Result, error) {
 	results := make([]Result, len(runs))
 	errs := make([]error, len(runs))
@@ -35,7 +35,7 @@
 	return results, nil
 }
 
-// WriteTable prints results for people.
+// WriteTable writes results as a human-readable table.
 func WriteTable(out io.Writer, results []Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "workload\tfaults\tpolicy\tclass\ttarget\tp50\tp95\tp99\tmet\trefused\tleft\trecomputed\tbound\tstore link\tdisk\tengine link\tfairness\twrong blocks\tafter fault")
@@ -69,7 +69,7 @@
 
 func rounded(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// WriteCSV writes one row for each class of each result.
+// WriteCSV writes a header and one row per class of each result.
 func WriteCSV(out io.Writer, results []Result) error {
 	w := csv.NewWriter(out)
 	header := []string{
--- a/internal/simload/results.go
+++ b/internal/simload/results.go
@@ -9,14 +9,14 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// results gathers what happened to the requests after the warm-up.
+// results collects the outcomes of the requests that arrive after the warm-up.
 type results struct {
 	warmUp time.Duration
-	jobs   []*outcomeOf
-	byJob  map[*job]*outcomeOf
+	jobs   []*requestOutcome
+	byJob  map[*job]*requestOutcome
 }
 
-type outcomeOf struct {
+type requestOutcome struct {
 	job     *job
 	first   time.Duration // time to first token, zero if none
 	refused bool
@@ -28,9 +28,9 @@
 		return
 	}
 	if r.byJob == nil {
-		r.byJob = make(map[*job]*outcomeOf)
+		r.byJob = make(map[*job]*requestOutcome)
 	}
-	o := &outcomeOf{job: j}
+	o := &requestOutcome{job: j}
 	r.jobs = append(r.jobs, o)
 	r.byJob[j] = o
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-// ClassResult is what one class saw.
+// ClassResult is the result for one class.
 type ClassResult struct {
 	Class         ident.Class
 	Target        time.Duration
@@ -69,35 +69,37 @@
 	Refused       int
 	Left          int
 	P50, P95, P99 time.Duration
-	// Met is the share of all requests, also the refused and those that left,
-	// whose first token came within the target.
+	// Met is the fraction of all requests, including those refused and those
+	// whose caller left, with a first token within the target.
 	Met float64
 }
 
-// Result is what one run gave.
+// Result is the result of one run.
 type Result struct {
 	Workload, Policy string
 	Faults           string
 	Classes          []ClassResult
-	// Recomputed is the share of prompt tokens computed, Bound the least share
-	// that any policy could reach with the same room for blocks.
+	// Recomputed is the fraction of prompt tokens computed, Bound the minimum
+	// that any policy could reach with the same capacity for blocks.
 	Recomputed, Bound float64
-	// StoreLinks and EngineLinks are the mean share of time in use.
+	// StoreLinks and EngineLinks are the mean utilization of the links.
 	StoreLinks, EngineLinks float64
-	// Disks is the mean share of time that the store hosts' disks are in use.
+	// Disks is the mean utilization of the store hosts' disks.
 	Disks        float64
 	FetchedBytes int64
-	// Fairness is the worst team's p95 over that of all in the tightest class.
+	// Fairness is the ratio of the worst team's p95 to the p95 of all requests
+	// in the class with the tightest target.
 	Fairness float64
-	// Violations counts blocks of another team, version or generation that were
-	// used, Reads all that were used, and Decisions the plans made.
+	// Violations counts the used blocks of another team, version or generation,
+	// Reads all used blocks, and Decisions the plans made.
 	Violations, Reads, Decisions int64
 	FirstWrong                   string
-	// Series is the share recomputed and the p95 over time.
+	// Series is the recomputed fraction and the p95 over time.
 	Series []Point
 	Kinds  map[string]int
-	// After is the part that begins recovery after the first fault, with the
-	// p95 of the tightest class; it is empty without faults.
+	// After is the interval of afterWindow that starts recovery after the first
+	// fault, with the p95 of the class with the tightest target. It is empty
+	// without faults.
 	After Point
 }
 
@@ -180,7 +182,7 @@
 	return out
 }
 
-// quantile returns the smallest time that at least a share q does not exceed.
+// quantile returns the q-quantile of sorted, zero if it is empty.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -189,7 +191,8 @@
 	return sorted[min(at, len(sorted)-1)]
 }
 
-// minTeamRequests is how many requests a team needs for its p95 to count.
+// minTeamRequests is the minimum number of requests of a team for its p95 to be
+// considered.
 const minTeamRequests = 100
 
 func (r *results) fairness(c *Class) float64 {
@@ -223,7 +226,7 @@
 const seriesStep = 5 * time.Second
 
 func (r *results) series() []Point {
-	groups := make(map[time.Duration][]*outcomeOf)
+	groups := make(map[time.Duration][]*requestOutcome)
 	for _, o := range r.jobs {
 		at := o.job.arrived.Truncate(seriesStep)
 		groups[at] = append(groups[at], o)
@@ -236,15 +239,15 @@
 	return out
 }
 
-// recovery is the time that a fault may show, and afterWindow how long the
-// figures after it are taken.
+// recovery is the time allowed for recovery from a fault, and afterWindow the
+// duration of the measurement after it.
 const (
 	recovery    = 5 * time.Second
 	afterWindow = 5 * time.Minute
 )
 
 func (r *results) after(from time.Duration, c *Class) Point {
-	var all, tight []*outcomeOf
+	var all, tight []*requestOutcome
 	for _, o := range r.jobs {
 		if o.job.arrived < from || o.job.arrived >= from+afterWindow {
 			continue
@@ -259,7 +262,7 @@
 	return out
 }
 
-func pointOf(at time.Duration, group []*outcomeOf) Point {
+func pointOf(at time.Duration, group []*requestOutcome) Point {
 	computed, prompt := 0, 0
 	var times []time.Duration
 	for _, o := range group {
@@ -276,7 +279,7 @@
 	}
 }
 
-// label names the policy with its variant.
+// label returns the name of the policy and its variant.
 func (r Run) label() string {
 	if r.Variant == "" {
 		return r.Policy
--- a/internal/simload/sim.go
+++ b/internal/simload/sim.go
@@ -9,22 +9,22 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// networkDelay is the one-way delay between callers, entries and upstreams of
-// two data centres.
+// networkDelay is the one-way delay between callers, entries and upstreams in
+// different data centres.
 const networkDelay = 1500 * time.Microsecond
 
-// policy decides where requests run. The model calls it; it acts on the model's
-// engines and store hosts.
+// policy decides where requests run. It is called by the model and acts on the
+// model's engines and store hosts.
 type policy interface {
 	// begin is called once, before the first request.
 	begin(s *sim)
-	// arrive takes a request in. It ends in sim.send or sim.refuse.
+	// arrive accepts a request. It results in a call of sim.send or sim.refuse.
 	arrive(j *job)
-	// leave takes out a request whose caller has left before the first token.
+	// leave removes a request whose caller has left before the first token.
 	leave(j *job)
-	// lost tells that the connection on which a job ran is gone.
+	// lost reports that the connection on which a job ran was lost.
 	lost(j *job)
-	// cacheEvents are late news of an upstream's blocks.
+	// cacheEvents delivers delayed cache events of an upstream.
 	cacheEvents(upstream ident.Upstream, events []prefix.Event)
 }
 
@@ -38,32 +38,32 @@
 	policy  policy
 	check   checker
 	results results
-	// swapped counts the engines that a swap has given new weights.
+	// swapped is the number of engines that have loaded the new version.
 	swapped int
-	// down marks entries that have died.
+	// down marks the entries that have crashed.
 	down []bool
 }
 
-// Run is what one run is made of.
+// Run configures a run.
 type Run struct {
 	Workload *Workload
-	// Policy is one of the names that Policies lists.
+	// Policy is one of the names returned by Policies.
 	Policy string
 	Faults []Fault
 	Seed   uint64
-	// Variant names the Tuning, for the table.
+	// Variant is the name of the Tuning in the table.
 	Variant string
-	// Overlap makes engines begin prefill while blocks still arrive.
+	// Overlap makes engines start prefill while blocks are still being imported.
 	Overlap bool
-	// Scale multiplies the rate of requests and Links that of the links and
+	// Scale multiplies the rate of requests, Links the rates of links and
 	// disks; zero means 1.
 	Scale, Links float64
-	// Tuning overrides parts of the policy, for measurements that leave one
-	// idea out.
+	// Tuning overrides parts of the policy, for measurements without one of its
+	// features.
 	Tuning Tuning
 }
 
-// Do runs it and returns the figures.
+// Do executes the run and returns its result.
 func (r Run) Do() (Result, error) {
 	make, ok := policyMakers[r.Policy]
 	if !ok {
@@ -81,7 +81,7 @@
 	return s.results.summarise(s, r, requests), nil
 }
 
-// scaled returns the workload with the run's factors.
+// scaled returns the workload with Scale and Links applied.
 func (r Run) scaled() *Workload {
 	w := *r.Workload
 	if r.Scale > 0 {
@@ -95,10 +95,10 @@
 	return &w
 }
 
-// drainTime lets the last requests end.
+// drainTime is the time for the last requests to complete.
 const drainTime = 20 * time.Minute
 
-// requests draws the arrivals, the same for every policy.
+// requests returns the random arrivals, which are the same for every policy.
 func (r Run) requests() []*request {
 	return r.Workload.arrivals(r.Workload, rand.New(rand.NewPCG(r.Seed, 1)))
 }
@@ -132,14 +132,14 @@
 
 func (s *sim) arrive(r *request) {
 	j := &job{req: r, arrived: s.clock.at}
-	s.rename(r, s.versionFor())
+	s.setVersion(r, s.versionFor())
 	s.results.offered(j)
 	s.clock.after(r.class.Deadline, func() {
 		j := j.latest()
 		if j.answered || j.finished {
 			return
 		}
-		// The caller has waited until its deadline and hangs up.
+		// The caller disconnects at its deadline.
 		j.finished = true
 		s.results.left(j)
 		s.policy.leave(j)
@@ -151,35 +151,35 @@
 	s.begin(j)
 }
 
-// begin gives a job to the policy.
+// begin passes a job to the policy.
 func (s *sim) begin(j *job) {
 	j.onFirst = func(j *job) { s.results.first(s.clock.at+networkDelay, j) }
 	j.onDone = func(*job) {}
 	s.policy.arrive(j)
 }
 
-// send hands a job to an engine, where it arrives after the network's delay.
+// send sends a job to an engine, where it arrives after networkDelay.
 func (s *sim) send(j *job, e *engine) {
 	j.sent = s.clock.at
 	s.deliver(j, e)
 }
 
-// deliver submits a job after the network's delay. An engine that has died
-// meanwhile can't be reached, and the job begins again.
+// deliver submits a job to an engine after networkDelay. If the engine has crashed
+// in the meantime, the job is retried.
 func (s *sim) deliver(j *job, e *engine) {
 	s.clock.after(networkDelay, func() {
 		switch {
 		case j.state == jobGone || j.finished:
 			e.unpin(j)
 		case e.dead:
-			s.again(j)
+			s.retry(j)
 		default:
 			e.submit(j)
 		}
 	})
 }
 
-// refuse ends a job that was not run.
+// refuse finishes a job that was not run.
 func (s *sim) refuse(j *job) {
 	if j.finished {
 		return
--- a/internal/simload/sim_test.go
+++ b/internal/simload/sim_test.go
@@ -82,8 +82,8 @@
 			// Often enough that some import is under way.
 			r.Faults = append(r.Faults, Fault{
 				At: w.WarmUp + time.Duration(i)*7*time.Second, Lasts: time.Second,
-				apply: func(s *sim) { s.stores[i%2].die(s.clock.at) },
-				undo:  func(s *sim) { s.stores[i%2].back() },
+				apply: func(s *sim) { s.stores[i%2].crash(s.clock.at) },
+				undo:  func(s *sim) { s.stores[i%2].restart() },
 			})
 		}
 		if result := do(t, r); result.Violations != 0 {
--- a/internal/simload/store.go
+++ b/internal/simload/store.go
@@ -7,14 +7,14 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// storeSpec is what the store hosts of a workload have in common.
+// storeSpec holds the parameters shared by the store hosts of a workload.
 type storeSpec struct {
 	memoryBlocks, diskBlocks int
-	linkRate, diskRate       float64 // bytes a second
+	linkRate, diskRate       float64 // bytes per second
 }
 
-// store is one store host: memory and disk behind a limited link. It evicts
-// nothing by itself; whoever keeps blocks there frees them.
+// store is a store host with memory and disk behind a limited link. It evicts
+// nothing itself; the entry that keeps blocks there frees them.
 type store struct {
 	name        ident.Upstream
 	dc          ident.DataCentre
@@ -22,16 +22,17 @@
 	link, disk  *link
 	tiers       [prefix.TierCount]*cache
 	reserved    map[prefix.BlockID]slot
-	// writing counts the reserved slots of each tier.
+	// writing is the number of reserved slots of each tier.
 	writing [prefix.TierCount]int
 	feed    feed
 	alive   bool
-	// full refuses new blocks.
+	// full makes the host refuse new blocks.
 	full bool
 	// lastBusy is the link's busy time at the last report.
-	lastBusy time.Duration
-	diedAt   time.Duration
-	// generations grows with each slot given, over all lives of the host.
+	lastBusy  time.Duration
+	crashedAt time.Duration
+	// generations is the number of slots granted over all incarnations of the
+	// host.
 	generations uint64
 }
 
@@ -48,7 +49,7 @@
 	return st
 }
 
-// slot is a reserved place for one block.
+// slot is a reserved slot for one block.
 type slot struct {
 	tier       prefix.Tier
 	generation uint64
@@ -62,21 +63,22 @@
 const (
 	granted reservation = iota
 	tierFull
-	taken
-	already
+	inProgress
+	alreadyStored
 	unreachable
 )
 
-// reserve makes a slot for one block, for one writer at a time.
+// reserve reserves a slot for a block. A block can be reserved by one writer at a
+// time.
 func (st *store) reserve(id prefix.BlockID, tier prefix.Tier) reservation {
 	if !st.alive {
 		return unreachable
 	}
 	if h, _ := st.find(id); h != nil {
-		return already
+		return alreadyStored
 	}
 	if _, ok := st.reserved[id]; ok {
-		return taken
+		return inProgress
 	}
 	t := st.tiers[tier]
 	if st.full || len(t.blocks)+st.writing[tier] >= t.capacity {
@@ -88,7 +90,7 @@
 	return granted
 }
 
-// release gives up a reservation.
+// release removes a reservation.
 func (st *store) release(id prefix.BlockID) {
 	if s, ok := st.reserved[id]; ok {
 		delete(st.reserved, id)
@@ -96,7 +98,8 @@
 	}
 }
 
-// commit makes a written block readable, unless the host died meanwhile.
+// commit makes a written block readable, unless the host has crashed since the
+// reservation.
 func (st *store) commit(id prefix.BlockID, from origin, incarnation ident.Incarnation) (prefix.Copy, bool) {
 	s, ok := st.reserved[id]
 	if !ok || !st.alive || st.incarnation != incarnation {
@@ -110,12 +113,12 @@
 	return c, true
 }
 
-func copyOf(h *held, tier prefix.Tier) prefix.Copy {
+func copyOf(h *cachedBlock, tier prefix.Tier) prefix.Copy {
 	return prefix.Copy{Slot: "slot", Generation: h.generation, Bytes: blockBytes, Checksum: 1, Tier: tier}
 }
 
 // find returns a committed block and its tier.
-func (st *store) find(id prefix.BlockID) (*held, prefix.Tier) {
+func (st *store) find(id prefix.BlockID) (*cachedBlock, prefix.Tier) {
 	for tier, c := range st.tiers {
 		if h := c.blocks[id]; h != nil {
 			return h, prefix.Tier(tier)
@@ -124,8 +127,8 @@
 	return nil, 0
 }
 
-// open finds a block for a reader that presents a generation.
-func (st *store) open(id prefix.BlockID, generation uint64) (*held, prefix.Tier) {
+// open returns a block and its tier if its generation is the given one.
+func (st *store) open(id prefix.BlockID, generation uint64) (*cachedBlock, prefix.Tier) {
 	h, tier := st.find(id)
 	if !st.alive || h == nil || h.generation != generation {
 		return nil, 0
@@ -144,12 +147,12 @@
 	return true
 }
 
-// list describes all committed blocks in a fixed order.
+// list returns all committed blocks in a reproducible order.
 func (st *store) list() []prefix.HeldBlock {
 	var out []prefix.HeldBlock
 	for tier, c := range st.tiers {
 		for at := c.recent.Back(); at != nil; at = at.Prev() {
-			h := at.Value.(*held)
+			h := at.Value.(*cachedBlock)
 			copied := copyOf(h, prefix.Tier(tier))
 			out = append(out, prefix.HeldBlock{Block: h.id, Copy: &copied})
 		}
@@ -157,9 +160,9 @@
 	return out
 }
 
-// die loses everything, as when the host stops.
-func (st *store) die(at time.Duration) {
-	st.diedAt = at
+// crash stops the host, which loses all blocks and reservations.
+func (st *store) crash(at time.Duration) {
+	st.crashedAt = at
 	st.alive = false
 	st.incarnation++
 	st.feed.sequence = 0
@@ -172,5 +175,5 @@
 	st.writing = [prefix.TierCount]int{}
 }
 
-// back returns empty under a new incarnation.
-func (st *store) back() { st.alive = true }
+// restart restarts the host, empty and as a new incarnation.
+func (st *store) restart() { st.alive = true }
--- a/internal/simload/suite.go
+++ b/internal/simload/suite.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Plan is a set of runs: each workload under each set of faults with each
-// policy, and with each variant of the product's own.
+// Plan is a set of runs: each workload with each set of faults and each policy, and
+// with each variant of the product's own policy.
 type Plan struct {
 	Workloads, Policies []string
 	// Faults holds "quiet", "single", "pairs" or names joined by "+".
 	Faults []string
-	// Variants holds names of variants, or "all".
+	// Variants holds the names of variants, or "all".
 	Variants []string
 	Seed     uint64
 	Scale    float64
@@ -22,7 +22,7 @@
 
 var workloadMakers = map[string]func() *Workload{"merrimack": Merrimack, "adomako": Adomako}
 
-// Runs lists the runs of a plan.
+// Runs returns the runs of a plan.
 func (p Plan) Runs() ([]Run, error) {
 	var out []Run
 	for _, name := range p.Workloads {
@@ -117,7 +117,7 @@
 	return out, nil
 }
 
-// variants change the policy in one way each, to measure what an idea is worth.
+// variants holds single changes of the policy, to measure the effect of each.
 var variants = map[string]func(*Run){
 	"no-fetch":      func(r *Run) { r.Tuning.NoFetch = true },
 	"no-verify":     func(r *Run) { r.Tuning.NoVerify = true },
@@ -133,7 +133,7 @@
 	"link-0.5":      func(r *Run) { r.Tuning.Route.LinkWeight = 0.5 },
 }
 
-// VariantNames lists the variants.
+// VariantNames returns the names of the variants in sorted order.
 func VariantNames() []string {
 	names := make([]string, 0, len(variants))
 	for name := range variants {
--- a/internal/simload/swap.go
+++ b/internal/simload/swap.go
@@ -6,18 +6,17 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// secondVersion is what a swap loads.
+// secondVersion is the version that a swap loads.
 const secondVersion ident.Version = "v2"
 
-// swap replaces the weights of all engines, a few at a time. An engine that is
-// about to load takes nothing new, ends what it runs under the old weights,
-// loads, and comes back under a new incarnation with an empty cache.
+// swap replaces the weights of all engines, a few at a time. An engine drains,
+// loads, and restarts as a new incarnation with an empty cache.
 type swap struct {
 	sim     *sim
 	waiting []*engine
 }
 
-// swapVersion begins a rolling swap.
+// swapVersion starts a rolling swap.
 func (s *sim) swapVersion() {
 	sw := &swap{sim: s, waiting: append([]*engine(nil), s.engines...)}
 	for range s.work.loadsAtOnce {
@@ -36,14 +35,14 @@
 		return
 	}
 	e.leaving = true
-	sw.sim.clock.after(drainAfter, func() { sw.drain(e) })
+	sw.sim.clock.after(drainDelay, func() { sw.drain(e) })
 }
 
-// drainAfter is how long entries may take to hear that an engine takes nothing
-// new: one announcement and its way.
-const drainAfter = announcePeriod + 100*time.Millisecond
+// drainDelay is the time after which all entries have been informed that an engine
+// drains: one announcement period and the transmission.
+const drainDelay = announcePeriod + 100*time.Millisecond
 
-// drain waits until the engine runs nothing.
+// drain waits until the engine has no jobs, then loads the new version.
 func (sw *swap) drain(e *engine) {
 	if e.running > 0 || e.queue.len() > 0 {
 		sw.sim.clock.after(100*time.Millisecond, func() { sw.drain(e) })
@@ -56,7 +55,7 @@
 	})
 }
 
-// restart begins a new life of an engine with other weights.
+// restart starts a new incarnation of an engine with other weights.
 func (e *engine) restart(version ident.Version) {
 	e.incarnation++
 	e.version = version
@@ -66,8 +65,9 @@
 	e.feed.batch, e.feed.sequence = nil, 0
 }
 
-// versionFor chooses the version of a new request: the new one in its share of
-// the engines that take work, so that both keep the load they can carry.
+// versionFor returns the version for a new request. The new version is chosen with
+// the probability of its share of the engines that accept work, so that the load on
+// both versions is proportional to their engines.
 func (s *sim) versionFor() ident.Version {
 	if s.swapped == 0 {
 		return firstVersion
@@ -85,8 +85,9 @@
 	return firstVersion
 }
 
-// rename lets a request that has not started name the blocks of a version.
-func (s *sim) rename(r *request, version ident.Version) {
+// setVersion changes the version of a request that has not started, and with it the
+// IDs of its blocks.
+func (s *sim) setVersion(r *request, version ident.Version) {
 	if version == r.version {
 		return
 	}
--- a/internal/simload/transfer.go
+++ b/internal/simload/transfer.go
@@ -6,30 +6,33 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// window is how many pieces of one import are in the links at once.
-const window = 4
+// importWindow is the number of blocks of one import in transfer at the same
+// time.
+const importWindow = 4
 
-// refusedAfter is how long an engine waits for a store host that is gone.
-const refusedAfter = 20 * time.Millisecond
+// unreachableDelay is the time after which a request to an unreachable store host
+// fails.
+const unreachableDelay = 20 * time.Millisecond
 
-// source is one block to import, as the policy believes it to be stored.
+// source is a block to import, with its location in the policy's local view.
 type source struct {
 	id         prefix.BlockID
 	store      *store
 	generation uint64
-	// slow tells that the block is believed to lie on disk.
+	// slow is true if the block is on disk in the policy's local view.
 	slow bool
-	// held tells that the engine is believed to have the block already.
+	// held is true if the engine already has the block in the policy's local
+	// view.
 	held bool
 }
 
-// importer moves blocks from store hosts into an engine's cache.
+// importer transfers blocks from store hosts into an engine's cache.
 type importer struct {
 	engine   *engine
 	job      *job
 	sources  []source
 	next     int
-	flying   int
+	inFlight int
 	arrived  int
 	missing  []source
 	started  time.Duration
@@ -39,17 +42,17 @@
 
 func (s *sim) startImport(e *engine, j *job, sources []source, done func(*importer)) {
 	im := &importer{engine: e, job: j, sources: sources, done: done, started: s.clock.at}
-	im.pump()
+	im.fetchNext()
 }
 
-func (im *importer) pump() {
-	for im.flying < window && im.next < len(im.sources) {
+func (im *importer) fetchNext() {
+	for im.inFlight < importWindow && im.next < len(im.sources) {
 		src := im.sources[im.next]
 		im.next++
-		im.flying++
+		im.inFlight++
 		im.fetch(src)
 	}
-	if im.flying == 0 && !im.finished {
+	if im.inFlight == 0 && !im.finished {
 		im.finished = true
 		im.done(im)
 	}
@@ -62,7 +65,7 @@
 	}
 	h, tier := src.store.open(src.id, src.generation)
 	if h == nil {
-		im.engine.clock.after(refusedAfter, func() { im.failed(src) })
+		im.engine.clock.after(unreachableDelay, func() { im.failed(src) })
 		return
 	}
 	from := h.origin
@@ -70,9 +73,10 @@
 	if tier == prefix.Disk {
 		path = []*link{src.store.disk, src.store.link, im.engine.link}
 	}
-	through(path, blockBytes, false, func() {
-		// The reader verifies generation and checksum at the end: a store host
-		// that died meanwhile gives a missing block, never a wrong one.
+	sendThrough(path, blockBytes, false, func() {
+		// The reader verifies generation and checksum after the transfer: if the
+		// store host has crashed in the meantime, the block is missing, but never
+		// wrong.
 		if h, _ := src.store.open(src.id, src.generation); h == nil && !im.engine.unverified {
 			im.failed(src)
 			return
@@ -82,15 +86,15 @@
 	})
 }
 
-// present keeps a block that the engine holds already until the job has run.
-// Without it the held beginning could be evicted while the rest arrives, and
-// all of it would be computed again.
+// present pins a block that the engine already has until the job has run.
+// Otherwise the cached prefix could be evicted during the import of the rest, and
+// the complete prompt would be recomputed.
 func (im *importer) present(src source) {
-	im.flying--
+	im.inFlight--
 	im.pin(im.engine.cache.blocks[src.id])
 }
 
-func (im *importer) pin(h *held) {
+func (im *importer) pin(h *cachedBlock) {
 	if im.job.state == jobGone {
 		return
 	}
@@ -99,7 +103,7 @@
 }
 
 func (im *importer) landed(src source, from origin) {
-	im.flying--
+	im.inFlight--
 	im.arrived++
 	e := im.engine
 	fresh := e.cache.blocks[src.id] == nil
@@ -109,11 +113,11 @@
 		}
 		im.pin(h)
 	}
-	im.pump()
+	im.fetchNext()
 }
 
 func (im *importer) failed(src source) {
-	im.flying--
+	im.inFlight--
 	im.missing = append(im.missing, src)
-	im.pump()
+	im.fetchNext()
 }
