--- a/internal/simload/baseline.go
+++ b/internal/simload/baseline.go
@@ -10,7 +10,7 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// The names of the policies.
+// Names of the policies.
 const (
 	PolicyRoundRobin  = "round-robin"
 	PolicyLeastLoaded = "least-loaded"
@@ -19,7 +19,7 @@
 	PolicyClairvoyant = "clairvoyant"
 )
 
-// Policies lists the policies in the order of the table.
+// Policies returns the names of the policies in the order of the table.
 func Policies() []string {
 	return []string{PolicyRoundRobin, PolicyLeastLoaded, PolicySticky, PolicyLovage, PolicyClairvoyant}
 }
@@ -32,8 +32,9 @@
 	PolicyClairvoyant: func(r Run) policy { return newClairvoyant(r) },
 }
 
-// baseline is a balancer that knows the true number of requests at each engine
-// at once, which is better than any real one, but neither caches nor stores.
+// baseline is a load balancer with exact and immediate knowledge of the number of
+// requests at each engine, which no real one has, but without knowledge of caches and
+// store hosts.
 type baseline struct {
 	sim      *sim
 	turn     int
@@ -64,7 +65,7 @@
 
 func (b *baseline) leave(j *job) { b.lost(j) }
 
-// lost ends a job at its engine, once.
+// lost removes a job from its engine's count. Further calls have no effect.
 func (b *baseline) lost(j *job) {
 	if e := b.at[j]; e != nil {
 		b.requests[e]--
@@ -74,7 +75,7 @@
 
 func (b *baseline) cacheEvents(ident.Upstream, []prefix.Event) {}
 
-// offered lists the engines that are not leaving.
+// offered returns the engines that are not leaving.
 func (s *sim) offered() []*engine {
 	out := make([]*engine, 0, len(s.engines))
 	for _, e := range s.engines {
@@ -91,7 +92,7 @@
 }
 
 func leastLoaded(b *baseline, offered []*engine, _ *job) *engine {
-	// Start anywhere, so that ties do not all go to the first engine.
+	// The random start avoids that all ties go to the first engine.
 	first := b.sim.random.IntN(len(offered))
 	best := offered[first]
 	for i := range offered {
@@ -102,13 +103,12 @@
 	return best
 }
 
-// stickyBound is how far above the mean an engine may be loaded before a
-// prompt goes to the next engine of its own order.
+// stickyBound is the maximum ratio of an engine's load to the mean. Beyond it a prompt
+// goes to the next engine in its own order.
 const stickyBound = 1.25
 
-// sticky sends a prompt to the first engine of the prompt's own random order
-// that is not much more loaded than the mean: consistent hashing with bounded
-// loads.
+// sticky returns the first engine, in the prompt's own pseudorandom order, whose load
+// is below stickyBound times the mean: consistent hashing with bounded loads.
 func sticky(b *baseline, offered []*engine, j *job) *engine {
 	total := 1
 	for _, e := range offered {
--- a/internal/simload/cache.go
+++ b/internal/simload/cache.go
@@ -28,7 +28,7 @@
 type cache struct {
 	capacity int
 	blocks   map[prefix.BlockID]*cachedBlock
-	recent   *list.List // of *held, least recent at the back
+	recent   *list.List // of *cachedBlock, least recent at the back
 	// onEvict is called for each evicted block. If nil, nothing is evicted.
 	onEvict func(*cachedBlock)
 }
--- a/internal/simload/cluster.go
+++ b/internal/simload/cluster.go
@@ -16,37 +16,39 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// Tuning leaves out or changes one idea of the policy for a measurement.
+// Tuning disables or changes features of the policy for measurements.
 type Tuning struct {
 	Route route.Options
 	Admit admit.Options
-	// NoFetch never imports, NoStore never exports, NoAdmit grants at once.
+	// NoFetch disables imports, NoStore exports and NoAdmit admission control.
 	NoFetch, NoStore, NoAdmit bool
-	// NoForward serves a request where it arrives, not at its prompt's home;
-	// NoJoin ignores what other requests are bringing.
+	// NoForward serves a request at the entry where it arrives instead of its
+	// prompt's home; NoJoin ignores prefixes that other requests are importing
+	// or computing.
 	NoForward, NoJoin bool
-	// NoPrefetch leaves out prefetches.
+	// NoPrefetch disables prefetches.
 	NoPrefetch bool
-	// NoVerify believes every holder, whatever its record.
+	// NoVerify ignores the measured cache accuracy of holders.
 	NoVerify bool
-	// Steered is the share of requests that come to the home of their prompt;
-	// zero means DefaultSteered.
+	// Steered is the fraction of requests that arrive at the home of their
+	// prompt; zero means DefaultSteered.
 	Steered float64
-	// Sample is how many candidates are drawn from each pool besides holders;
-	// zero means DefaultSample.
+	// Sample is the number of candidates sampled from each pool in addition to
+	// holders; zero means DefaultSample.
 	Sample int
 	Keep   keep.Options
-	// Exact lets one entry see the true queues, caches and stores at once.
+	// Exact replaces the entries by one with exact and immediate knowledge of
+	// queues, caches and store hosts.
 	Exact bool
 }
 
-// Defaults of Tuning.
+// Default values of Tuning.
 const (
 	DefaultSteered = 0.8
 	DefaultSample  = 3
 )
 
-// Times of the model's platform.
+// Intervals and delays of the modelled platform.
 const (
 	reportPeriod   = time.Second
 	reportDelay    = 300 * time.Millisecond
@@ -55,21 +57,21 @@
 	snapshotDelay  = 100 * time.Millisecond
 )
 
-// cluster is the product's policy: several entries, each with its own view.
+// cluster is the product's policy: several entries, each with its own local view.
 type cluster struct {
 	sim     *sim
 	tuning  Tuning
 	entries []*entry
 	homes   *cell.Table
-	// byName finds the model's engines and store hosts.
+	// engines and stores are the model's engines and store hosts by name.
 	engines map[ident.Upstream]*engine
 	stores  map[ident.Upstream]*store
 	random  *rand.Rand
 	serial  uint64
 }
 
-// theCell is the cell over which prompts are homed: today's deployment is one
-// directory owned by all entries.
+// theCell is the cell in which prompts have their homes: the modelled deployment has
+// one directory, owned by all entries.
 var theCell = ident.Cell{Model: theModel}
 
 func newCluster(r Run) *cluster {
@@ -105,7 +107,7 @@
 	s.clock.every(reportPeriod, func() bool { c.reportAll(); return true })
 }
 
-// count is the number of entries. The clairvoyant is one.
+// count returns the number of entries, one with Exact.
 func (c *cluster) count() int {
 	if c.tuning.Exact {
 		return 1
@@ -153,7 +155,7 @@
 	}
 }
 
-// storeSlots is how many transfers a store host says it serves at once.
+// storeSlots is the number of concurrent transfers that a store host announces.
 const storeSlots = 64
 
 func (c *cluster) announce(a upstream.Announcement) {
@@ -183,7 +185,8 @@
 	}
 }
 
-// reportStores tells every entry of each store host's room and link.
+// reportStores reports each store host's capacity and link utilization to every
+// entry.
 func (c *cluster) reportStores() {
 	for _, st := range c.sim.stores {
 		if !st.alive {
@@ -197,7 +200,7 @@
 	}
 }
 
-// expireStores forgets the store hosts whose lease has run out.
+// expireStores removes the store hosts whose lease has expired.
 func (c *cluster) expireStores() {
 	for _, st := range c.sim.stores {
 		if st.alive || c.sim.clock.at-st.crashedAt < announceLease {
@@ -210,7 +213,7 @@
 	}
 }
 
-// reportAll measures the load now and delivers it late.
+// reportAll measures the load and delivers the reports after reportDelay.
 func (c *cluster) reportAll() {
 	c.reportStores()
 	c.expireStores()
@@ -245,7 +248,7 @@
 	return c.stores[name].incarnation
 }
 
-// repair gives an entry a snapshot of an upstream's blocks.
+// repair applies a snapshot of an upstream's blocks to an entry's directory.
 func (c *cluster) repair(en *entry, name ident.Upstream) {
 	snapshot := prefix.Snapshot{Upstream: name, Incarnation: c.incarnation(name)}
 	if e := c.engines[name]; e != nil {
@@ -259,7 +262,7 @@
 	en.directory.ApplySnapshot(snapshot)
 }
 
-// list returns the held blocks in a fixed order.
+// list returns the cached blocks in a reproducible order.
 func (c *cache) list() []prefix.HeldBlock {
 	out := make([]prefix.HeldBlock, 0, len(c.blocks))
 	for at := c.recent.Back(); at != nil; at = at.Prev() {
@@ -268,8 +271,8 @@
 	return out
 }
 
-// arrive takes a request in at an entry: mostly the prompt's home, because the
-// address answers steer returning prompts there.
+// arrive accepts a request at an entry. For the fraction Steered this is the prompt's
+// home, because address answers steer prompts there.
 func (c *cluster) arrive(j *job) {
 	at := c.pick(j, c.tuning.Steered)
 	home := at
@@ -310,8 +313,8 @@
 
 func (c *cluster) lost(j *job) { c.entries[j.entry].lost(j) }
 
-// entryDied lets the callers of a dead entry come again elsewhere.
-func (c *cluster) entryDied(index int) {
+// entryCrashed makes the callers of a crashed entry retry at other entries.
+func (c *cluster) entryCrashed(index int) {
 	c.setMembers()
 	en := c.entries[index]
 	jobs := make([]*job, 0, len(en.ids))
--- a/internal/simload/decision_bench_test.go
+++ b/internal/simload/decision_bench_test.go
@@ -19,9 +19,8 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// fleet is the state of one daemon as far as decisions need it: the cells it
-// owns with their registry pool, directory and planner, and a summary of every
-// other cell.
+// fleet is the part of a daemon's state that decisions use: the cells that it owns,
+// with their registry pool, directory and planner, and a summary of every cell.
 type fleet struct {
 	cells    []ident.Cell
 	table    *cell.Table
@@ -95,7 +94,8 @@
 	}
 }
 
-// upstreamName names the runners of a cell and, first, its store hosts.
+// upstreamName returns the name of upstream u of a cell. The first benchStores are
+// store hosts, the others runners.
 func upstreamName(cell, u int) ident.Upstream {
 	return ident.Upstream(fmt.Sprintf("upstream-%03d-%03d", cell, u))
 }
@@ -122,7 +122,7 @@
 	})
 }
 
-// addPrompt puts a prompt on one store host and, every third, on a runner.
+// addPrompt stores a prompt on one store host and every third one also on a runner.
 func (f *fleet) addPrompt(i int) {
 	at := f.random.IntN(len(f.cells))
 	blocks := make([]prefix.BlockID, benchBlocks)
@@ -167,8 +167,7 @@
 	return next
 }
 
-// decide does all that a decision takes: owner and home, holders, samples,
-// copies and the plan.
+// decide executes all steps of a decision: home, holders, sample, copies and plan.
 func (f *fleet) decide(i int) (route.Decision, error) {
 	blocks := f.prompts[i]
 	at := f.cellOf[i]
@@ -223,13 +222,13 @@
 	return runs
 }
 
-// fleetSize is a deployment of which one daemon owns some cells.
+// fleetSize is the size of a deployment and the number of cells owned by one daemon.
 type fleetSize struct{ upstreams, cells, owned, prompts int }
 
-// BenchmarkDecision measures the cost of one decision, also its 99th
-// percentile, at the size of today and of the target. There 670 daemons own
-// three times 120 cells, which is less than one each; two are measured, and as
-// the worst case all of them in one daemon.
+// BenchmarkDecision measures the cost of one decision, including its 99th percentile,
+// from the size of the current deployment to the target. At the target, 670 daemons own three times 120 cells,
+// less than one each; it measures a daemon with two and, as the worst case, one with
+// all of them.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []fleetSize{
 		{21, 1, 1, 1200}, {1200, 12, 2, 16_000}, {12_000, 120, 2, 160_000}, {12_000, 120, 120, 160_000},
@@ -262,8 +261,8 @@
 	}
 }
 
-// threadTime is the processor time that this thread has used. Beside it the time
-// on the clock is reported, which also counts the turns of other processes.
+// threadTime returns the CPU time of this thread in nanoseconds. The benchmark also
+// reports the wall-clock time, which includes the time slices of other processes.
 func threadTime(b *testing.B) int64 {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at); err != nil {
--- a/internal/simload/entry.go
+++ b/internal/simload/entry.go
@@ -12,7 +12,8 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// entry is one entry daemon's decisions, wired as the product wires them.
+// entry models the decisions of one entry daemon, with the packages connected as in
+// the product.
 type entry struct {
 	cluster    *cluster
 	index      int
@@ -24,12 +25,14 @@
 	waiting    map[ident.Request]*job
 	ids        map[*job]ident.Request
 	wake       time.Time
-	// storePending and enginePending are bytes of own imports under way.
+	// storePending and enginePending are the bytes of this entry's imports in
+	// progress.
 	storePending  map[tierOf]int64
 	enginePending map[ident.Upstream]int64
 	inFlight      *route.InFlight
 	keeper        *keeper
-	// joined are jobs that wait for another's import.
+	// joined holds the jobs that wait for another request's import, by that
+	// request.
 	joined     map[ident.Request][]*job
 	candidates []upstream.Candidate
 	matches    []prefix.Match
@@ -99,10 +102,10 @@
 	}
 }
 
-// outputCost weighs a token of answer against a token of prompt.
+// outputCost is the cost of an answer token relative to a prompt token.
 const outputCost = 4
 
-// schedule calls next when the controller asks for it.
+// schedule schedules a call of next at the time that the controller requests.
 func (en *entry) schedule() {
 	at, ok := en.controller.Wake()
 	if !ok || !en.wake.IsZero() && !at.Before(en.wake) && en.wake.After(en.now()) {
@@ -134,7 +137,7 @@
 	delete(en.ids, j)
 }
 
-// leave takes out a job whose caller is gone.
+// leave removes a job whose caller has left.
 func (en *entry) leave(j *job) {
 	id, ok := en.ids[j]
 	if !ok {
@@ -147,10 +150,10 @@
 	en.end(j, upstream.Cancelled)
 }
 
-// lost ends a job whose engine is gone.
+// lost ends a job whose engine has crashed.
 func (en *entry) lost(j *job) { en.end(j, upstream.Failed) }
 
-// dispatch starts a granted job on a fresh plan.
+// dispatch starts a granted job on a new plan.
 func (en *entry) dispatch(j *job, priority int) {
 	decision, sources, ok := en.plan(j)
 	if !ok {
@@ -189,7 +192,7 @@
 	en.fetch(j, engine, sources)
 }
 
-// joins finds the import under way that the decision builds on.
+// joins returns the request whose import in progress the decision depends on.
 func (en *entry) joins(j *job) (ident.Request, bool) {
 	if j.candidate.CachedAfter == 0 {
 		return ident.Request{}, false
@@ -202,7 +205,7 @@
 	return ident.Request{}, false
 }
 
-// bring records what a job brings to its engine.
+// bring records the prefix that a job will add to its engine's cache.
 func (en *entry) bring(j *job, imports bool) {
 	en.inFlight.Begin(route.Prompt(j.req.blocks[0]), en.ids[j], route.PendingPrefix{
 		Upstream: j.decision.Upstream, Tokens: len(j.req.blocks) * blockTokens,
@@ -210,7 +213,7 @@
 	})
 }
 
-// brought sends the jobs that waited for an import.
+// brought starts the jobs that waited for an import.
 func (en *entry) brought(id ident.Request) {
 	for _, other := range en.joined[id] {
 		if !other.finished && en.ids[other] != (ident.Request{}) {
@@ -220,7 +223,7 @@
 	delete(en.joined, id)
 }
 
-// first is called when the first token of a job comes.
+// first is called on the first token of a job.
 func (en *entry) first(j *job) {
 	sim := en.cluster.sim
 	sim.results.first(sim.clock.at+networkDelay, j)
@@ -238,11 +241,11 @@
 		Predicted: j.decision.FirstToken, FirstToken: measured,
 	}
 	if j.overlapped {
-		// The engine waited for blocks in between, which says nothing about
-		// its own speed.
+		// The time includes waiting for blocks and is no measure of the
+		// engine's prefill rate.
 		o.RecomputedTokens = 0
 	} else {
-		// The limit guards the engines, so a slow import must not lower it.
+		// The limit protects the engines, so a slow import must not reduce it.
 		en.controller.FirstToken(en.now(), j.decision.Wait+j.decision.Prefill, sim.clock.at-j.queuedAt)
 	}
 	en.planner.Observe(o)
@@ -262,7 +265,7 @@
 	})
 }
 
-// end frees what a job holds, once.
+// end releases the resources of a job. Further calls have no effect.
 func (en *entry) end(j *job, result upstream.Result) {
 	id, ok := en.ids[j]
 	if !ok {
--- a/internal/simload/fault.go
+++ b/internal/simload/fault.go
@@ -78,8 +78,8 @@
 // crashEntry stops one entry. Its callers retry at another one.
 func (s *sim) crashEntry(index int) {
 	s.down[index] = true
-	if p, ok := s.policy.(interface{ entryDied(int) }); ok {
-		p.entryDied(index)
+	if p, ok := s.policy.(interface{ entryCrashed(int) }); ok {
+		p.entryCrashed(index)
 	}
 }
 
--- a/internal/simload/plan.go
+++ b/internal/simload/plan.go
@@ -11,8 +11,8 @@
 	"github.com/lovagereach/lovagereach/upstream"
 )
 
-// plan asks the packages what to do with a job now. A request that has not
-// started moves to the new version when no engine has its own any more.
+// plan returns the routing decision for a job. A request that has not started is
+// changed to the new version if no engine has its version.
 func (en *entry) plan(j *job) (route.Decision, []source, bool) {
 	decision, sources, ok := en.planVersion(j)
 	if ok || en.cluster.sim.swapped == 0 || j.req.version == secondVersion {
@@ -47,7 +47,8 @@
 	return decision, sourcesOf(decision, chosen), true
 }
 
-// offer lists the holders of the prompt and a sample of the least loaded.
+// offer returns as candidates the holders of the prompt and a sample of the least
+// loaded engines.
 func (en *entry) offer(j *job) []route.Candidate {
 	if en.cluster.tuning.Exact {
 		return en.offerArriving(j, en.offerExact(j))
@@ -82,7 +83,8 @@
 	return out
 }
 
-// offerArriving adds or improves candidates that are about to hold the prompt.
+// offerArriving adds or updates the candidates that will hold the prompt after a
+// prefill or import in progress.
 func (en *entry) offerArriving(j *job, out []route.Candidate) []route.Candidate {
 	for _, a := range en.inFlight.Lookup(route.Prompt(j.req.blocks[0])) {
 		tokens := min(a.Tokens, len(j.req.blocks)*blockTokens)
@@ -104,7 +106,8 @@
 	return out
 }
 
-// sortCandidates puts those that hold most first, then those with least work.
+// sortCandidates sorts by cached tokens, highest first, then by queued tokens, lowest
+// first.
 func sortCandidates(candidates []route.Candidate) {
 	slices.SortStableFunc(candidates, func(a, b route.Candidate) int {
 		return cmp.Or(cmp.Compare(b.CachedTokens, a.CachedTokens), cmp.Compare(a.QueuedTokens, b.QueuedTokens))
@@ -137,8 +140,8 @@
 	}
 }
 
-// copies groups the stored blocks of a prompt into runs on one store host and
-// tier, and lists for each block which copy that is.
+// copies returns the stored blocks of a prompt, grouped into runs on one store host
+// and tier, and the source of each block.
 func (en *entry) copies(j *job) ([]route.Copy, []source) {
 	var runs []route.Copy
 	sources := make([]source, 0, len(j.req.blocks))
@@ -167,7 +170,8 @@
 	return runs, sources
 }
 
-// locate picks a copy on an offered store host, memory before disk.
+// locate returns a copy of a block on an available store host, in memory rather than
+// on disk.
 func (en *entry) locate(id prefix.BlockID) (prefix.StoredCopy, bool) {
 	if en.cluster.tuning.Exact {
 		return en.locateExact(id)
@@ -189,13 +193,14 @@
 	return en.located[best], true
 }
 
-// sourcesOf lists the blocks that a decision imports.
+// sourcesOf returns the blocks that a decision imports.
 func sourcesOf(d route.Decision, sources []source) []source {
 	var out []source
 	if len(d.Parts) == 0 && !d.Verify {
 		return nil
 	}
-	// What the engine holds already is named too, so that it keeps it.
+	// The blocks that the engine already holds are included, so that it pins
+	// them.
 	for _, src := range sources[:min(d.CachedTokens/blockTokens, len(sources))] {
 		src.held = true
 		out = append(out, src)
@@ -207,7 +212,7 @@
 	return out
 }
 
-// tierOf names one tier of a store host.
+// tierOf identifies one tier of a store host.
 type tierOf struct {
 	store ident.Upstream
 	slow  bool
@@ -215,7 +220,7 @@
 
 func (s source) tier() tierOf { return tierOf{s.store.name, s.slow} }
 
-// tiers lists all tiers in a fixed order.
+// tiers returns all tiers in a fixed order.
 func (s *sim) tiers() []tierOf {
 	out := make([]tierOf, 0, 2*len(s.stores))
 	for _, st := range s.stores {
@@ -224,8 +229,8 @@
 	return out
 }
 
-// fetch imports blocks and sends the job: at once when the engine can begin
-// meanwhile, else when the import has ended.
+// fetch imports blocks and sends the job: immediately if the engine can overlap
+// prefill with the import, otherwise after the import.
 func (en *entry) fetch(j *job, e *engine, sources []source) {
 	sim := en.cluster.sim
 	pending := make(map[tierOf]int64)
@@ -272,7 +277,7 @@
 	})
 }
 
-// imported goes on with a job after its import.
+// imported continues a job after its import.
 func (en *entry) imported(j *job, e *engine, im *importer) {
 	for _, src := range im.missing {
 		en.directory.Retract(src.store.name, src.id)
@@ -289,7 +294,8 @@
 	en.cluster.sim.deliver(j, e)
 }
 
-// judgeStores tells the registry which store hosts served the import.
+// judgeStores records in the registry a failed attempt for each store host that did
+// not serve a block of the import.
 func (en *entry) judgeStores(im *importer) {
 	failed := make(map[*store]int)
 	for _, src := range im.missing {
--- a/internal/simload/prefetch_test.go
+++ b/internal/simload/prefetch_test.go
@@ -8,9 +8,9 @@
 	"github.com/lovagereach/lovagereach/prefix"
 )
 
-// A prompt is fetched ahead and nobody asks for it. Its blocks must then lie in
-// one engine, and no copy may stay pinned: a store host could else never free it.
-func TestPrefetchBringsBlocksToAnEngine(t *testing.T) {
+// A prompt is prefetched and no request uses it. Its blocks must be in one engine,
+// and no copy may remain pinned; otherwise a store host could never free it.
+func TestPrefetchImportsBlocks(t *testing.T) {
 	r := Run{Workload: short(Merrimack()), Policy: PolicyLovage, Seed: 1}
 	c := newCluster(r)
 	s := newSim(r, c)
@@ -33,18 +33,18 @@
 		t.Errorf("%d bytes are pinned while they are fetched", reading)
 	}
 	s.clock.runUntil(4 * time.Second)
-	whole := 0
+	complete := 0
 	for _, e := range s.engines {
 		if len(e.cache.longest(blocks)) == len(blocks) {
-			whole++
+			complete++
 		}
 	}
-	if whole != 1 || k.reading() != 0 {
-		t.Errorf("%d engines have the prompt, %d bytes stay pinned", whole, k.reading())
+	if complete != 1 || k.reading() != 0 {
+		t.Errorf("%d engines have the prompt, %d bytes remain pinned", complete, k.reading())
 	}
 }
 
-// reading is how many bytes of the store hosts are pinned.
+// reading returns the number of pinned bytes on the store hosts.
 func (k *keeper) reading() int64 {
 	total := int64(0)
 	for _, view := range k.manager.Stores(k.entry.now()) {
--- a/internal/simload/sim_test.go
+++ b/internal/simload/sim_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// short is a workload cut to a few minutes.
+// short reduces a workload to six minutes and 60 prompts.
 func short(w *Workload) *Workload {
 	w.Duration, w.WarmUp = 6*time.Minute, 2*time.Minute
 	w.prompts = 60
@@ -23,21 +23,21 @@
 	return result
 }
 
-// A run must give the same figures each time: rounds of measurements compare
-// runs of different code, and chance would pass for progress.
-func TestRunsAreTheSameEachTime(t *testing.T) {
+// Runs with equal seeds must give equal results: measurements compare runs of
+// different code, and random differences would be taken for effects of the code.
+func TestRunsAreReproducible(t *testing.T) {
 	for _, name := range Policies() {
 		t.Run(name, func(t *testing.T) {
 			r := Run{Workload: short(Merrimack()), Policy: name, Seed: 3}
 			first, second := do(t, r), do(t, r)
 			if !reflect.DeepEqual(first, second) {
-				t.Errorf("two runs of one seed differ: %+v and %+v", first.Classes, second.Classes)
+				t.Errorf("two runs with one seed differ: %+v and %+v", first.Classes, second.Classes)
 			}
 		})
 	}
 }
 
-// faulty is a short run under several faults at once.
+// faulty returns a run of w with several faults.
 func faulty(t *testing.T, w *Workload) Run {
 	t.Helper()
 	var faults []Fault
@@ -50,9 +50,9 @@
 	return Run{Workload: w, Policy: PolicyLovage, Seed: 4, Faults: faults}
 }
 
-// Store hosts restart, events are lost, an engine and an entry die, and prompts
-// of two teams have the same text. No request may use a block of another team,
-// version or generation.
+// Store hosts restart, events are lost, an engine and an entry crash, and prompts of
+// two teams have the same text. No request may use a block of another team, version
+// or generation.
 func TestNoWrongBlockUnderFaults(t *testing.T) {
 	result := do(t, faulty(t, short(Merrimack())))
 	if result.Violations != 0 {
@@ -63,23 +63,22 @@
 	}
 }
 
-// A checker that sees nothing proves nothing. Two faults are seeded that must
-// show: names of blocks without the team, so that another team's block with the
-// same text is found, and engines that use a slot which was freed while they
-// read it.
+// Verifies that the checker detects violations, by two seeded bugs: block IDs without
+// the team, so that a block of another team with the same text is found, and engines
+// that use a slot that was freed while they read it.
 func TestCheckerCatchesSeededViolations(t *testing.T) {
 	t.Run("names without the team", func(t *testing.T) {
 		w := short(Merrimack())
 		w.sharedScope = true
 		if result := do(t, Run{Workload: w, Policy: PolicyLovage, Seed: 4}); result.Violations == 0 {
-			t.Error("blocks of another team went unnoticed")
+			t.Error("blocks of another team were not detected")
 		}
 	})
 	t.Run("slots read without a check", func(t *testing.T) {
 		w := short(Merrimack())
 		r := Run{Workload: w, Policy: PolicyLovage, Seed: 4}
 		for i := range 20 {
-			// Often enough that some import is under way.
+			// Frequent enough that an import is in progress at some of them.
 			r.Faults = append(r.Faults, Fault{
 				At: w.WarmUp + time.Duration(i)*7*time.Second, Lasts: time.Second,
 				apply: func(s *sim) { s.stores[i%2].crash(s.clock.at) },
@@ -87,7 +86,7 @@
 			})
 		}
 		if result := do(t, r); result.Violations != 0 {
-			t.Fatalf("%d wrong reads although engines check", result.Violations)
+			t.Fatalf("%d wrong reads although engines verify imports", result.Violations)
 		}
 		r.Faults = append(r.Faults, Fault{Name: "unverified", apply: func(s *sim) {
 			for _, e := range s.engines {
@@ -95,7 +94,7 @@
 			}
 		}})
 		if result := do(t, r); result.Violations == 0 {
-			t.Error("reads of freed slots went unnoticed")
+			t.Error("reads of freed slots were not detected")
 		}
 	})
 }
--- a/internal/simload/suite_test.go
+++ b/internal/simload/suite_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// The bound must be what the best replacement gives, or a comparison with it
-// would flatter. For the uses a b c a b, room for one block saves one use when a
-// is kept, and room for two saves both when c is not kept at all.
+// The bound must be that of optimal replacement; otherwise comparisons with it are
+// too favourable. For the uses a b c a b, a capacity of one block saves one use if
+// a is kept, and a capacity of two saves both if c is never kept.
 func TestRecomputeBound(t *testing.T) {
 	w := &Workload{Engines: 1}
 	var requests []*request
@@ -63,13 +63,13 @@
 	for room, want := range map[int]float64{0: 1, 1: 0.8, 2: 0.6, 3: 0.6} {
 		w.engine.cacheBlocks = room
 		if got := recomputeBound(w, requests); math.Abs(got-want) > 1e-9 {
-			t.Errorf("room for %d blocks: bound %v, want %v", room, got, want)
+			t.Errorf("capacity of %d blocks: bound %v, want %v", room, got, want)
 		}
 	}
 }
 
-// Links are shared: a background piece waits for urgent ones, and two pieces
-// take twice as long as one.
+// Links are shared: a background piece must wait for urgent ones, and two pieces
+// must take twice as long as one.
 func TestLink(t *testing.T) {
 	var c clock
 	l := &link{clock: &c, rate: 100}
@@ -82,12 +82,12 @@
 	send("second", false)
 	c.runUntil(time.Minute)
 	if got := strings.Join(order, ", "); got != "first 1s, second 2s, export 3s" {
-		t.Errorf("pieces moved: %s", got)
+		t.Errorf("transfers: %s", got)
 	}
 }
 
-// A short run written out: the table names the wrong blocks, the CSV has one
-// row for each class, and the plot is an SVG file.
+// Writes the reports of a short run: the table must have the number of wrong blocks,
+// the CSV one row per class, and the plot must be an SVG file.
 func TestReport(t *testing.T) {
 	results := []Result{do(t, Run{Workload: short(Merrimack()), Policy: PolicyLeastLoaded, Seed: 1})}
 	var table, rows bytes.Buffer
--- a/internal/simload/workload.go
+++ b/internal/simload/workload.go
@@ -16,7 +16,7 @@
 // Sizes shared by the workloads.
 const (
 	blockTokens = prefix.DefaultBlockTokens
-	// blockBytes is the KV cache of one block: 40 kB a token.
+	// blockBytes is the size of one block of KV cache: 40 kB per token.
 	blockBytes = int64(40_000_000)
 	// firstVersion is the weight version at the start of a run.
 	firstVersion ident.Version = "v1"
@@ -26,18 +26,19 @@
 // Class is one class of a workload with its target.
 type Class struct {
 	Name ident.Class
-	// Target is for Percentile of the first tokens.
+	// Target is the target of the given Percentile of the time to first token.
 	Target     time.Duration
 	Percentile float64
-	// Deadline is when a caller leaves that has seen no token.
+	// Deadline is the time after which a caller without a token leaves.
 	Deadline time.Duration
 	// Output is the mean answer length in tokens.
 	Output int
-	// Tail is how many tokens after the kept prompt each request adds.
+	// Tail is the number of tokens that each request appends to the kept
+	// prompt.
 	Tail int
 }
 
-// Workload is a deployment and its requests.
+// Workload describes a deployment and its requests.
 type Workload struct {
 	Name        string
 	DataCentres []ident.DataCentre
@@ -46,31 +47,33 @@
 	Entries     int
 	Classes     []Class
 	Duration    time.Duration
-	// WarmUp is left out of the figures: every prompt is new then.
+	// WarmUp is the initial time excluded from the results, in which every
+	// prompt is new.
 	WarmUp time.Duration
 	engine engineSpec
 	store  storeSpec
-	// arrivals appends the requests of one run.
+	// arrivals returns the requests of one run.
 	arrivals func(w *Workload, random *rand.Rand) []*request
 	teams    []teamLoad
 	prompts  int
-	// loadsAtOnce engines may load new weights together, each for loadTime.
+	// loadsAtOnce is the number of engines that may load new weights
+	// concurrently, each for loadTime.
 	loadsAtOnce int
 	loadTime    time.Duration
-	// sharedScope names blocks without their team. Only the test of the checker
-	// sets it.
+	// sharedScope computes block IDs without the team. It is set only by the
+	// test of the checker.
 	sharedScope bool
 	// scale multiplies the rate of requests.
 	scale float64
 }
 
-// teamLoad is one team's share of the requests.
+// teamLoad is the fraction of the requests that one team sends.
 type teamLoad struct {
 	name  ident.Team
 	share float64
 }
 
-// request is one call of a workload.
+// request is one request of a workload.
 type request struct {
 	at     time.Duration
 	team   ident.Team
@@ -79,29 +82,30 @@
 	blocks []prefix.BlockID
 	tokens int
 	output int
-	// version is the weight version whose blocks it may use.
+	// version is the weight version whose blocks the request may use.
 	version ident.Version
 }
 
-// prompt is one kept prompt: a history or a schema.
+// prompt is a kept prompt, such as a history or a schema.
 type prompt struct {
 	id     int
 	team   ident.Team
-	length int // blocks at first
-	// rest is the tokens after the last full block, which have no identity and
-	// are computed by every request.
+	length int // initial number of blocks
+	// rest is the number of tokens after the last complete block, which have no
+	// block ID and are computed for every request.
 	rest  int
 	grown int
 	chain []prefix.BlockID
-	// text seeds the tokens; prompts of two teams may have the same.
+	// text seeds the tokens; prompts of two teams may have the same text.
 	text uint64
 	last time.Duration
 }
 
-// maxGrowth bounds how many blocks a prompt gains over a run.
+// maxGrowth bounds the number of blocks added to a prompt during a run.
 const maxGrowth = 40
 
-// teamsOf names n teams, the first of which are large.
+// teamsOf returns n teams. The first large ones share the fraction largeShare of the
+// requests.
 func teamsOf(n, large int, largeShare float64) []teamLoad {
 	out := make([]teamLoad, 0, n)
 	for i := range n {
@@ -114,11 +118,11 @@
 	return out
 }
 
-// chainKey names the blocks of a run.
+// chainKey is the key of the block IDs.
 var chainKey = prefix.Key{1, 2, 3}
 
-// makePrompts draws the kept prompts of a workload. Every fiftieth has the same
-// text as one of another team, as when two growers ask about the same lot.
+// makePrompts returns random kept prompts of a workload. Every fiftieth has the same
+// text as one of another team, as if two growers asked about the same lot.
 func makePrompts(w *Workload, random *rand.Rand, shortest, longest int) []*prompt {
 	out := make([]*prompt, 0, w.prompts)
 	for i := range w.prompts {
@@ -153,8 +157,8 @@
 	return teams[len(teams)-1].name
 }
 
-// chainOf names the blocks of a prompt with the product's own keyed chain. The
-// chain is over one token a block, which is as distinct and much faster.
+// chainOf returns the block IDs of a prompt, computed with the product's keyed chain
+// over one token per block, which is equally distinct and much faster.
 func chainOf(p *prompt, blocks int, version ident.Version, shared bool) []prefix.BlockID {
 	tokens := make([]uint32, 0, blocks)
 	var seed [8]byte
@@ -169,7 +173,8 @@
 	return prefix.Chain(chainKey, scope, tokens, 1)
 }
 
-// returning makes the next request for a prompt, which grows now and then.
+// returning returns the next request for a prompt, which grows with the probability
+// growthChance.
 func (p *prompt) returning(at time.Duration, class *Class, random *rand.Rand) *request {
 	if p.last > 0 && p.grown < maxGrowth && random.Float64() < growthChance {
 		p.grown++
@@ -184,10 +189,11 @@
 	}
 }
 
-// growthChance is how often a prompt that returns has one more block.
+// growthChance is the probability that a reused prompt has one more block.
 const growthChance = 0.2
 
-// poisson yields arrival times at a rate that varies.
+// poisson yields the arrival times of a Poisson process with the varying rate, which
+// must not exceed peak.
 func (w *Workload) poisson(random *rand.Rand, peak float64, rate func(time.Duration) float64, yield func(time.Duration)) {
 	scaled := peak * w.scale
 	for at := seconds(random.ExpFloat64() / scaled); at < w.Duration; at += seconds(random.ExpFloat64() / scaled) {
--- a/internal/simload/workloads.go
+++ b/internal/simload/workloads.go
@@ -7,9 +7,10 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Merrimack is the flower clock auction: bursts of buyers' questions while the
-// clock falls, appraisals between, and letters that may wait, over quality
-// histories that come back after several sales of other lots.
+// Merrimack returns the workload of a flower clock auction. Load pattern: bursts of
+// buyers' questions while the clock falls, appraisals, and letters with a long
+// deadline. The prompts are quality histories, which are reused after several sales
+// of other lots.
 func Merrimack() *Workload {
 	return &Workload{
 		Name:        "merrimack",
@@ -38,11 +39,13 @@
 }
 
 const (
-	// A sale lasts salePeriod, in whose first part the clock falls.
+	// salePeriod is the duration of a sale; the clock falls during its first
+	// part, saleBurst.
 	salePeriod = 60 * time.Second
 	saleBurst  = 40 * time.Second
-	// lotsPerSale prompts come up in one sale, one after another on three
-	// clocks; buyers ask about those that come up within lotWindow.
+	// lotsPerSale is the number of prompts in one sale, which are sold in
+	// sequence on three clocks. Questions are about lots that come up within
+	// lotWindow.
 	lotsPerSale = 60
 	lotWindow   = 6 * time.Second
 )
@@ -50,8 +53,8 @@
 func merrimackArrivals(w *Workload, random *rand.Rand) []*request {
 	prompts := makePrompts(w, random, 6, 32)
 	order := random.Perm(len(prompts))
-	// lot returns one of the prompts on sale at a time. A lot is on sale again
-	// after all others were: twenty sales later.
+	// lot returns a random one of the prompts on sale at a time. A lot is on
+	// sale again after all others, twenty sales later.
 	lot := func(at time.Duration) *prompt {
 		sale := int(at / salePeriod)
 		within := at%salePeriod + time.Duration(random.Int64N(int64(lotWindow)))
@@ -82,9 +85,9 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// Adomako is the ledger migration: long schemas reviewed overnight in turn,
-// mapping checks of clerks on the same schemas hours later, and plans that must
-// be ready when the branches open.
+// Adomako returns the workload of a ledger migration. Load pattern: sequential
+// reviews of long schemas overnight, clerks' mapping checks on the same schemas hours
+// later, and migration plans that must be complete when the branches open.
 func Adomako() *Workload {
 	return &Workload{
 		Name:        "adomako",
@@ -112,8 +115,8 @@
 	}
 }
 
-// openingPeriod is the time between two openings in the run, with a rush of
-// plans and checks in its last part.
+// openingPeriod is the time between two openings of the branches in a run. In its
+// last part, openingRush, the rates of plans and checks are higher.
 const (
 	openingPeriod = 2 * time.Hour
 	openingRush   = 15 * time.Minute
@@ -137,7 +140,7 @@
 	w.poisson(random, 0.5, rush(0.1, 0.5), func(at time.Duration) {
 		out = append(out, any().returning(at, &w.Classes[1], random))
 	})
-	// Reviews go through the schemas in order, from first to last and again.
+	// Reviews iterate over the schemas in order, repeatedly.
 	next := 0
 	w.poisson(random, 0.3, constant(0.3), func(at time.Duration) {
 		out = append(out, prompts[next%len(prompts)].returning(at, &w.Classes[2], random))
