--- a/internal/capacity/probes_home.go
+++ b/internal/capacity/probes_home.go
@@ -87,7 +87,7 @@
 	})
 	for p := range prompts {
 		use := homeUse(p)
-		m.Used(probeStart.Add(time.Minute*time.Duration(p)/time.Duration(prompts)), use)
+		m.RecordUse(probeStart.Add(time.Minute*time.Duration(p)/time.Duration(prompts)), use)
 		for _, block := range use.Blocks[:blocksPerPrompt/2] {
 			slot := prefix.Copy{Slot: "slot-000001", Generation: 1, Bytes: blockBytes}
 			m.Adopt(probeStart, keep.Source{Block: block, Store: "store-0", Incarnation: 1, Copy: slot})
--- a/internal/entry/keeper.go
+++ b/internal/entry/keeper.go
@@ -148,7 +148,7 @@
 // recordUse counts a use and adopts known store copies of the prompt, which may
 // have been made by another home. The caller holds the mutex.
 func (k *keeper) recordUse(now time.Time, finished keep.Use) {
-	k.manager.Used(now, finished)
+	k.manager.RecordUse(now, finished)
 	var copies []prefix.StoredCopy
 	for _, block := range finished.Blocks {
 		if k.manager.Phase(block) != keep.Absent {
--- a/internal/simload/keeper.go
+++ b/internal/simload/keeper.go
@@ -36,7 +36,7 @@
 	if k.entry.cluster.tuning.NoStore {
 		return
 	}
-	k.manager.Used(k.entry.now(), keep.Use{
+	k.manager.RecordUse(k.entry.now(), keep.Use{
 		Scope: scopeOf(j.req), Class: j.req.class.Name, Blocks: j.req.blocks,
 		Runner: j.engine.name, RunnerIncarnation: j.engine.incarnation, RunnerDataCentre: j.engine.dc,
 		BlockBytes: blockBytes, Saved: seconds(blockTokens / j.engine.spec.prefillRate),
--- a/internal/simload/prefetch_test.go
+++ b/internal/simload/prefetch_test.go
@@ -19,7 +19,7 @@
 	k, st, e := c.entries[0].keeper, s.stores[0], s.engines[0]
 	scope := prefix.Scope{Team: "florists", Model: theModel, Version: s.versionFor()}
 	blocks := []prefix.BlockID{{1}, {2}, {3}}
-	k.manager.Used(k.entry.now(), keep.Use{Scope: scope, Class: "clock-questions", Blocks: blocks,
+	k.manager.RecordUse(k.entry.now(), keep.Use{Scope: scope, Class: "clock-questions", Blocks: blocks,
 		Runner: e.name, RunnerIncarnation: e.incarnation, RunnerDataCentre: e.dc, BlockBytes: blockBytes})
 	for _, block := range blocks {
 		st.reserve(block, prefix.Memory)
--- a/keep/bench_test.go
+++ b/keep/bench_test.go
@@ -41,7 +41,7 @@
 	m.StoreSeen(epoch, status)
 	for p := range prompts {
 		use := benchUse(p)
-		m.Used(epoch.Add(benchSpread*time.Duration(p)/time.Duration(prompts)), use)
+		m.RecordUse(epoch.Add(benchSpread*time.Duration(p)/time.Duration(prompts)), use)
 		for i := range benchBlocks / 2 {
 			slot := prefix.Copy{Slot: "slot-000001", Generation: 1, Bytes: testBytes}
 			m.Adopt(epoch, Source{Block: use.Blocks[i], Store: "s1", Incarnation: 1, Copy: slot})
@@ -68,7 +68,7 @@
 			uses[i] = benchUse(i * 7919 % prompts)
 		}
 		for i := 0; b.Loop(); i++ {
-			m.Used(epoch.Add(benchSpread+time.Duration(i)), uses[i%len(uses)])
+			m.RecordUse(epoch.Add(benchSpread+time.Duration(i)), uses[i%len(uses)])
 		}
 	})
 }
--- a/keep/budget_test.go
+++ b/keep/budget_test.go
@@ -169,7 +169,7 @@
 		status := testStatus("s1", 1)
 		status.LinkBytesPerSecond = 4 * testBytes
 		m.StoreSeen(now, status)
-		m.Used(now, testUse("a", 2, 5))
+		m.RecordUse(now, testUse("a", 2, 5))
 		for _, block := range testBlocks(1, 5) {
 			mustPin(t, m, now, block)
 		}
@@ -210,7 +210,7 @@
 	} {
 		m := testManager(t, Options{})
 		m.StoreSeen(epoch, testStatus("s1", 1))
-		m.Used(epoch, testUse("a", 1, 5))
+		m.RecordUse(epoch, testUse("a", 1, 5))
 		lose(m)
 		if plan := m.Plan(epoch.Add(DefaultIdleDelay), testRandom()); len(plan.Exports) != 0 {
 			t.Errorf("%s: planned exports %+v", name, plan.Exports)
@@ -235,7 +235,7 @@
 	if !next.Adopt(now, source) || next.Readable(blocks, 0) != 1 {
 		t.Fatal("the new home did not adopt the copy")
 	}
-	next.Used(now, testUse("a", 1, 5))
+	next.RecordUse(now, testUse("a", 1, 5))
 	writeAll(t, next, now, next.Plan(now.Add(DefaultIdleDelay), testRandom()))
 	if got := next.Readable(blocks, 0); got != 5 {
 		t.Fatalf("%d blocks readable at the new home, want 5", got)
@@ -254,7 +254,7 @@
 	for i := range 100 {
 		use := testUse(ident.Team(fmt.Sprint("t", i)), i, 1+i%8)
 		use.Class = ident.Class(fmt.Sprint("c", i))
-		p.m.Used(p.now, use)
+		p.m.RecordUse(p.now, use)
 		p.run(200*time.Millisecond, nil)
 	}
 	p.run(3*time.Second, nil)
--- a/keep/copy_test.go
+++ b/keep/copy_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	m := testManager(t, opts)
 	m.StoreSeen(epoch, testStatus("s1", 1))
-	m.Used(epoch, testUse("a", 1, 5))
+	m.RecordUse(epoch, testUse("a", 1, 5))
 	now := epoch.Add(DefaultIdleDelay)
 	if got := writeAll(t, m, now, m.Plan(now, testRandom())); got != 5 {
 		t.Fatalf("exported %d blocks, want 5", got)
@@ -59,7 +59,7 @@
 	t.Helper()
 	m := testManager(t, Options{})
 	m.StoreSeen(epoch, testStatus("s1", 1))
-	m.Used(epoch, testUse("a", 1, 1))
+	m.RecordUse(epoch, testUse("a", 1, 1))
 	now := epoch.Add(DefaultIdleDelay)
 	plan := m.Plan(now, testRandom())
 	if len(plan.Exports) != 1 || len(plan.Exports[0].Blocks) != 1 {
--- a/keep/faults_test.go
+++ b/keep/faults_test.go
@@ -51,7 +51,7 @@
 
 func (p *testPlanner) use(team ident.Team, first, count, blocks int) {
 	for i := range count {
-		p.m.Used(p.now, testUse(team, first+i, blocks))
+		p.m.RecordUse(p.now, testUse(team, first+i, blocks))
 	}
 }
 
@@ -203,8 +203,8 @@
 	shared := testUse("a", 1, 4)
 	other := testUse("a", 2, 6)
 	copy(other.Blocks[:2], shared.Blocks[:2])
-	m.Used(epoch, shared)
-	m.Used(epoch, other)
+	m.RecordUse(epoch, shared)
+	m.RecordUse(epoch, other)
 	seen := make(map[prefix.BlockID]int)
 	random := testRandom()
 	for i := range 20 {
@@ -233,7 +233,7 @@
 	m := testManager(t, Options{Residency: time.Hour})
 	m.StoreSeen(epoch, testStatus("s1", 1))
 	for i := range prompts {
-		m.Used(epoch, testUse("a", 1+i, blocks))
+		m.RecordUse(epoch, testUse("a", 1+i, blocks))
 	}
 	random := testRandom()
 	type export struct {
--- a/keep/fuzz_test.go
+++ b/keep/fuzz_test.go
@@ -45,7 +45,7 @@
 		use := testUse(ident.Team([]string{"x", "y"}[c%2]), int(a%6), int(b%8))
 		use.BlockBytes = int64(c) * megabyte
 		use.Saved = time.Duration(c) * time.Millisecond
-		m.Used(w.now, use)
+		m.RecordUse(w.now, use)
 	case 2:
 		w.now = w.now.Add(time.Duration(c) * time.Duration(1+b) * 20 * time.Millisecond)
 		m.Plan(w.now, testRandom())
--- a/keep/harness_test.go
+++ b/keep/harness_test.go
@@ -125,7 +125,7 @@
 		}
 		h.cached[block] = p.wantContent[i]
 	}
-	h.managers[home].Used(h.now, Use{
+	h.managers[home].RecordUse(h.now, Use{
 		Scope: p.scope, Class: p.class, Blocks: p.blocks,
 		Runner: "r", RunnerIncarnation: 1, RunnerDataCentre: "d",
 		BlockBytes: testBytes, Saved: 100 * time.Millisecond,
--- a/keep/learning_test.go
+++ b/keep/learning_test.go
@@ -21,7 +21,7 @@
 		for i := range next {
 			use := testUse(team, first+i, 2)
 			use.Class = class
-			m.Used(next[i], use)
+			m.RecordUse(next[i], use)
 			next[i] = next[i].Add(gap(i))
 			if next[i].After(end) {
 				end = next[i]
@@ -42,7 +42,7 @@
 		use := testUse("a", 1000+i, 2)
 		use.Class = "once"
 		now = now.Add(time.Minute)
-		m.Used(now, use)
+		m.RecordUse(now, use)
 		m.Plan(now, testRandom())
 	}
 	gittinsIndex := func(team ident.Team, class ident.Class) float64 {
@@ -92,7 +92,7 @@
 		p.now = start
 		use := testUse("a", 500, 2)
 		use.Class = "schema"
-		p.m.Used(p.now, use)
+		p.m.RecordUse(p.now, use)
 		p.run(5*time.Second, nil)
 		status := testStatus("s1", 1)
 		status.LinkBusy = linkBusy
@@ -140,11 +140,11 @@
 		p.now = epoch.Add(second * time.Second)
 		for _, begin := range begins {
 			if second >= begin && second < begin+8 && second%3 == 0 {
-				p.m.Used(p.now, question)
+				p.m.RecordUse(p.now, question)
 			}
 		}
 		if random.IntN(700) == 0 {
-			p.m.Used(p.now, other)
+			p.m.RecordUse(p.now, other)
 		}
 		plan := p.m.Plan(p.now, random)
 		writeAll(t, p.m, p.now, plan)
--- a/keep/manager_test.go
+++ b/keep/manager_test.go
@@ -88,7 +88,7 @@
 	m := testManager(t, Options{})
 	random := testRandom()
 	m.StoreSeen(epoch, testStatus("s1", 1))
-	m.Used(epoch, testUse("a", 1, 5))
+	m.RecordUse(epoch, testUse("a", 1, 5))
 	if plan := m.Plan(epoch, random); len(plan.Exports) != 0 {
 		t.Fatalf("exported before the idle delay: %+v", plan)
 	}
@@ -128,7 +128,7 @@
 			for i, u := range c.uses {
 				one := testUse("a", u.tail, u.blocks)
 				copy(one.Blocks[:min(6, u.blocks)], testBlocks(0, 6))
-				m.Used(epoch.Add(time.Duration(i)*time.Minute), one)
+				m.RecordUse(epoch.Add(time.Duration(i)*time.Minute), one)
 				checkManager(t, m)
 			}
 			if m.Prompts() != c.want {
@@ -146,7 +146,7 @@
 	for i := range 100 {
 		gone := testUse("a", 1000+i, 2)
 		gone.Class = "once"
-		m.Used(now.Add(-time.Hour), gone)
+		m.RecordUse(now.Add(-time.Hour), gone)
 	}
 	m.Plan(now, testRandom())
 	now = now.Add(-2 * time.Minute)
@@ -154,13 +154,13 @@
 	once := testUse("a", 900, 20)
 	once.Class = "once"
 	copy(once.Blocks, often.Blocks)
-	m.Used(now, once)
+	m.RecordUse(now, once)
 	if owner := m.prompts.ownerOf(often.Blocks[0]); owner == nil || owner.key.class != "often" {
 		t.Fatalf("the shared block is owned by class %q, want often", owner.key.class)
 	}
 	m.forget(now, m.prompts.ownerOf(often.Blocks[0]))
 	checkManager(t, m)
-	m.Used(now, once)
+	m.RecordUse(now, once)
 	if owner := m.prompts.ownerOf(often.Blocks[0]); owner == nil || owner.key.class != "once" {
 		t.Fatalf("the remaining block is owned by %v, want class once", owner)
 	}
@@ -168,7 +168,7 @@
 
 func TestViews(t *testing.T) {
 	m, now := committedManager(t, Options{})
-	m.Used(now, testUse("b", 2, 3))
+	m.RecordUse(now, testUse("b", 2, 3))
 	stores, teams := m.Stores(now), m.Teams(1)
 	if len(stores) != 1 || stores[0].Held[prefix.Memory] != 5*testBytes || stores[0].Paused {
 		t.Errorf("stores %+v", stores)
--- a/keep/model_test.go
+++ b/keep/model_test.go
@@ -183,7 +183,7 @@
 	gap := float64(p.kind.median) * math.Exp(p.kind.spread*m.random.NormFloat64())
 	p.next = m.now.Add(time.Duration(gap))
 	heap.Push(&m.queue, p)
-	m.manager.Used(m.now, use)
+	m.manager.RecordUse(m.now, use)
 }
 
 // insert adds a prompt to the runner's cache and reports the evicted blocks to
--- a/keep/use.go
+++ b/keep/use.go
@@ -10,8 +10,8 @@
 // MaxPromptBlocks is the maximum number of blocks kept of one prompt.
 const MaxPromptBlocks = 1024
 
-// Used records a finished request with a prompt whose home is this process.
-func (m *Manager) Used(now time.Time, use Use) {
+// RecordUse records a finished request with a prompt whose home is this process.
+func (m *Manager) RecordUse(now time.Time, use Use) {
 	if len(use.Blocks) == 0 || use.BlockBytes <= 0 {
 		return
 	}
