--- a/internal/capacity/probes_home.go
+++ b/internal/capacity/probes_home.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m.StoreSeen(probeStart, keep.StoreStatus{
+	m.UpdateStore(probeStart, keep.StoreStatus{
 		Store: "store-0", Incarnation: 1, DataCentre: "centre-0",
 		Capacity:           [prefix.TierCount]int64{1 << 50, 0},
 		LinkBytesPerSecond: 1 << 34,
--- a/internal/entry/keepwork.go
+++ b/internal/entry/keepwork.go
@@ -160,7 +160,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.followed[id] == f && f.incarnation == current.Incarnation {
-		k.manager.StoreSeen(time.Now(), current)
+		k.manager.UpdateStore(time.Now(), current)
 	}
 }
 
--- a/internal/simload/keeper.go
+++ b/internal/simload/keeper.go
@@ -57,7 +57,7 @@
 		status.Capacity[tier] = int64(c.capacity) * blockBytes
 		status.Used[tier] = int64(len(c.blocks)+st.writing[tier]) * blockBytes
 	}
-	k.manager.StoreSeen(k.entry.now(), status)
+	k.manager.UpdateStore(k.entry.now(), status)
 }
 
 func (k *keeper) plan() {
--- a/keep/bench_test.go
+++ b/keep/bench_test.go
@@ -38,7 +38,7 @@
 	})
 	status := testStatus("s1", 1)
 	status.Capacity = [prefix.TierCount]int64{1 << 50, 0}
-	m.StoreSeen(epoch, status)
+	m.UpdateStore(epoch, status)
 	for p := range prompts {
 		use := benchUse(p)
 		m.RecordUse(epoch.Add(benchSpread*time.Duration(p)/time.Duration(prompts)), use)
--- a/keep/budget_test.go
+++ b/keep/budget_test.go
@@ -32,7 +32,7 @@
 func TestTeamGuaranteedShareAndMaximum(t *testing.T) {
 	t.Parallel()
 	p := newTestPlanner(t, Options{TeamGuaranteed: 0.3, TeamMaximum: 0.6})
-	p.m.StoreSeen(p.now, smallStoreStatus(100))
+	p.m.UpdateStore(p.now, smallStoreStatus(100))
 	p.use("small", 1, 3, 5)
 	p.run(4*time.Second, nil)
 	for round := range 20 {
@@ -67,7 +67,7 @@
 func TestExcessShareIsFreedWhenTheHostIsFull(t *testing.T) {
 	p := newTestPlanner(t, Options{Share: 0.5})
 	status := smallStoreStatus(100)
-	p.m.StoreSeen(p.now, status)
+	p.m.UpdateStore(p.now, status)
 	for round := range 10 {
 		p.use("a", 50*round, 20, 5)
 		p.run(4*time.Second, nil)
@@ -76,13 +76,13 @@
 		t.Fatalf("holds %d of 100 blocks, want at least 80 while the other process needs none", got)
 	}
 	status.Used[prefix.Memory] = status.Capacity[prefix.Memory]
-	p.m.StoreSeen(p.now, status)
+	p.m.UpdateStore(p.now, status)
 	p.run(200*time.Millisecond, nil)
 	if p.m.Stats().Frees == 0 {
 		t.Fatal("no copy was freed for the other process")
 	}
 	for range 30 {
-		p.m.StoreSeen(p.now, status)
+		p.m.UpdateStore(p.now, status)
 		p.run(200*time.Millisecond, nil)
 	}
 	if got := p.heldBlocks("a"); got != 50 {
@@ -95,7 +95,7 @@
 func TestOperatorBudgets(t *testing.T) {
 	p := newTestPlanner(t, Options{})
 	p.m.SetBudgets(map[ident.Team]Budget{"small": {Guaranteed: 0.3}, "large": {Maximum: 0.4}})
-	p.m.StoreSeen(p.now, smallStoreStatus(100))
+	p.m.UpdateStore(p.now, smallStoreStatus(100))
 	p.use("small", 1, 6, 5)
 	p.run(4*time.Second, nil)
 	for round := range 20 {
@@ -111,7 +111,7 @@
 // The only team may use the whole tier.
 func TestSingleTeamHasNoMaximum(t *testing.T) {
 	p := newTestPlanner(t, Options{})
-	p.m.StoreSeen(p.now, smallStoreStatus(100))
+	p.m.UpdateStore(p.now, smallStoreStatus(100))
 	for round := range 10 {
 		p.use("a", 50*round, 20, 5)
 		p.run(4*time.Second, nil)
@@ -130,7 +130,7 @@
 	link.LinkBytesPerSecond = 8 * testBytes
 	t.Run("share", func(t *testing.T) {
 		p := newTestPlanner(t, Options{})
-		p.m.StoreSeen(p.now, link)
+		p.m.UpdateStore(p.now, link)
 		p.use("a", 1, 60, 4)
 		p.run(DefaultIdleDelay, nil)
 		p.run(length, nil)
@@ -141,7 +141,7 @@
 	})
 	t.Run("team", func(t *testing.T) {
 		p := newTestPlanner(t, Options{LinkMaximum: 0.5})
-		p.m.StoreSeen(p.now, link)
+		p.m.UpdateStore(p.now, link)
 		p.use("large", 1, 200, 4)
 		p.use("small", 1000, 10, 4)
 		p.run(30*time.Second, nil)
@@ -153,7 +153,7 @@
 		p := newTestPlanner(t, Options{})
 		busy := link
 		busy.LinkBusy = 0.8
-		p.m.StoreSeen(p.now, busy)
+		p.m.UpdateStore(p.now, busy)
 		p.use("a", 1, 10, 4)
 		p.run(length, nil)
 		if got := p.stores["s1"]; got != 0 {
@@ -168,7 +168,7 @@
 		m, now := committedManager(t, Options{})
 		status := testStatus("s1", 1)
 		status.LinkBytesPerSecond = 4 * testBytes
-		m.StoreSeen(now, status)
+		m.UpdateStore(now, status)
 		m.RecordUse(now, testUse("a", 2, 5))
 		for _, block := range testBlocks(1, 5) {
 			mustPin(t, m, now, block)
@@ -186,7 +186,7 @@
 	p := newTestPlanner(t, Options{})
 	busy := testStatus("s1", 1)
 	busy.LinkBusy = 0.8
-	p.m.StoreSeen(p.now, busy)
+	p.m.UpdateStore(p.now, busy)
 	for i := range 20 {
 		p.use("a", i, 1, 2)
 		p.run(10*time.Second, nil)
@@ -209,7 +209,7 @@
 		"has evicted": func(m *Manager) { m.RunnerEvicted(epoch, "r", 1, testBlocks(1, 1)[0]) },
 	} {
 		m := testManager(t, Options{})
-		m.StoreSeen(epoch, testStatus("s1", 1))
+		m.UpdateStore(epoch, testStatus("s1", 1))
 		m.RecordUse(epoch, testUse("a", 1, 5))
 		lose(m)
 		if plan := m.Plan(epoch.Add(DefaultIdleDelay), testRandom()); len(plan.Exports) != 0 {
@@ -231,7 +231,7 @@
 	}
 	checkManager(t, old)
 	next := testManager(t, Options{})
-	next.StoreSeen(now, testStatus("s1", 1))
+	next.UpdateStore(now, testStatus("s1", 1))
 	if !next.Adopt(now, source) || next.Readable(blocks, 0) != 1 {
 		t.Fatal("the new home did not adopt the copy")
 	}
@@ -249,7 +249,7 @@
 	opts := Options{MaxPrompts: 10, MaxBlocks: 40, MaxCopies: 12, MaxPins: 3, MaxStores: 2, MaxRecords: 4}
 	p := newTestPlanner(t, opts)
 	for i := range 5 {
-		p.m.StoreSeen(p.now, testStatus(ident.Upstream(fmt.Sprint("s", i)), 1))
+		p.m.UpdateStore(p.now, testStatus(ident.Upstream(fmt.Sprint("s", i)), 1))
 	}
 	for i := range 100 {
 		use := testUse(ident.Team(fmt.Sprint("t", i)), i, 1+i%8)
--- a/keep/copy_test.go
+++ b/keep/copy_test.go
@@ -13,7 +13,7 @@
 func committedManager(t testing.TB, opts Options) (*Manager, time.Time) {
 	t.Helper()
 	m := testManager(t, opts)
-	m.StoreSeen(epoch, testStatus("s1", 1))
+	m.UpdateStore(epoch, testStatus("s1", 1))
 	m.RecordUse(epoch, testUse("a", 1, 5))
 	now := epoch.Add(DefaultIdleDelay)
 	if got := writeAll(t, m, now, m.Plan(now, testRandom())); got != 5 {
@@ -40,7 +40,7 @@
 	block := testBlocks(1, 1)[0]
 	pin := mustPin(t, m, now, block)
 	m.StoreGone("s1", 1)
-	m.StoreSeen(now, testStatus("s1", 1))
+	m.UpdateStore(now, testStatus("s1", 1))
 	if !m.Adopt(now, pin.Source) {
 		t.Fatal("the copy was not adopted")
 	}
@@ -58,7 +58,7 @@
 func plannedManager(t *testing.T) (*Manager, PlannedBlock, prefix.Copy, time.Time) {
 	t.Helper()
 	m := testManager(t, Options{})
-	m.StoreSeen(epoch, testStatus("s1", 1))
+	m.UpdateStore(epoch, testStatus("s1", 1))
 	m.RecordUse(epoch, testUse("a", 1, 1))
 	now := epoch.Add(DefaultIdleDelay)
 	plan := m.Plan(now, testRandom())
@@ -105,7 +105,7 @@
 		return func(s *state) { s.m.Failed(s.now, s.id, failure) }
 	}
 	seen := func(incarnation ident.Incarnation) call {
-		return func(s *state) { s.m.StoreSeen(s.now, testStatus("s1", incarnation)) }
+		return func(s *state) { s.m.UpdateStore(s.now, testStatus("s1", incarnation)) }
 	}
 	wait := func(length time.Duration) call {
 		return func(s *state) {
--- a/keep/faults_test.go
+++ b/keep/faults_test.go
@@ -61,10 +61,10 @@
 func TestStoreHostFaults(t *testing.T) {
 	const prompts, blocks = 6, 4
 	reportStores := func(p *testPlanner, incarnation ident.Incarnation) {
-		p.m.StoreSeen(p.now, testStatus("s1", incarnation))
+		p.m.UpdateStore(p.now, testStatus("s1", incarnation))
 		other := testStatus("s2", 1)
 		other.DataCentre = "far"
-		p.m.StoreSeen(p.now, other)
+		p.m.UpdateStore(p.now, other)
 	}
 	setup := func(t *testing.T) *testPlanner {
 		p := newTestPlanner(t, Options{})
@@ -199,7 +199,7 @@
 // arrives. No block may be written twice at the same time.
 func TestNoBlockIsWrittenTwice(t *testing.T) {
 	m := testManager(t, Options{})
-	m.StoreSeen(epoch, testStatus("s1", 1))
+	m.UpdateStore(epoch, testStatus("s1", 1))
 	shared := testUse("a", 1, 4)
 	other := testUse("a", 2, 6)
 	copy(other.Blocks[:2], shared.Blocks[:2])
@@ -231,7 +231,7 @@
 func TestVerySlowStoreStillReceivesWrites(t *testing.T) {
 	const prompts, blocks = 4, 30
 	m := testManager(t, Options{Residency: time.Hour})
-	m.StoreSeen(epoch, testStatus("s1", 1))
+	m.UpdateStore(epoch, testStatus("s1", 1))
 	for i := range prompts {
 		m.RecordUse(epoch, testUse("a", 1+i, blocks))
 	}
--- a/keep/fuzz_test.go
+++ b/keep/fuzz_test.go
@@ -40,7 +40,7 @@
 	slot := prefix.Copy{Slot: "s", Generation: uint64(b % 4), Bytes: int64(int8(c)), Tier: prefix.Tier(b % 3)}
 	switch kind % 14 {
 	case 0:
-		m.StoreSeen(w.now, testStatus(store, ident.Incarnation(b%4)))
+		m.UpdateStore(w.now, testStatus(store, ident.Incarnation(b%4)))
 	case 1:
 		use := testUse(ident.Team([]string{"x", "y"}[c%2]), int(a%6), int(b%8))
 		use.BlockBytes = int64(c) * megabyte
--- a/keep/harness_test.go
+++ b/keep/harness_test.go
@@ -146,7 +146,7 @@
 	if h.fault == faultIgnoreIncarnation {
 		status.Incarnation = 1
 	}
-	h.managers[home].StoreSeen(h.now, status)
+	h.managers[home].UpdateStore(h.now, status)
 }
 
 func (h *harness) plan(home int) {
--- a/keep/learning_test.go
+++ b/keep/learning_test.go
@@ -85,9 +85,9 @@
 func TestPrefetchNeedsRegularGapsAndAnIdleLink(t *testing.T) {
 	run := func(linkBusy float64, gap func(i int) time.Duration) (fetched int, early time.Duration) {
 		p := newTestPlanner(t, Options{})
-		p.m.StoreSeen(p.now, testStatus("s1", 1))
+		p.m.UpdateStore(p.now, testStatus("s1", 1))
 		train(p.m, "schema", "a", 0, 12, 12, gap)
-		p.m.StoreSeen(p.now, testStatus("s1", 1))
+		p.m.UpdateStore(p.now, testStatus("s1", 1))
 		start := epoch.Add(48 * time.Hour)
 		p.now = start
 		use := testUse("a", 500, 2)
@@ -96,7 +96,7 @@
 		p.run(5*time.Second, nil)
 		status := testStatus("s1", 1)
 		status.LinkBusy = linkBusy
-		p.m.StoreSeen(p.now, status)
+		p.m.UpdateStore(p.now, status)
 		for p.now.Before(start.Add(3 * time.Hour)) {
 			p.now = p.now.Add(10 * time.Second)
 			plan := p.m.Plan(p.now, testRandom())
@@ -130,7 +130,7 @@
 // the callers wait.
 func TestPrefetchFollowsAClassCycle(t *testing.T) {
 	p := newTestPlanner(t, Options{Residency: 100 * time.Second})
-	p.m.StoreSeen(p.now, testStatus("s1", 1))
+	p.m.UpdateStore(p.now, testStatus("s1", 1))
 	random := testRandom()
 	question, other := testUse("a", 1, 4), testUse("a", 1, 4)
 	question.Class, other.Class = "clock", "letter"
--- a/keep/manager_test.go
+++ b/keep/manager_test.go
@@ -87,7 +87,7 @@
 func TestIdlePromptIsExportedAndReadable(t *testing.T) {
 	m := testManager(t, Options{})
 	random := testRandom()
-	m.StoreSeen(epoch, testStatus("s1", 1))
+	m.UpdateStore(epoch, testStatus("s1", 1))
 	m.RecordUse(epoch, testUse("a", 1, 5))
 	if plan := m.Plan(epoch, random); len(plan.Exports) != 0 {
 		t.Fatalf("exported before the idle delay: %+v", plan)
--- a/keep/model_test.go
+++ b/keep/model_test.go
@@ -143,7 +143,7 @@
 	status := testStatus(name, 1)
 	status.Capacity = [prefix.TierCount]int64{prompts * modelBlocks * testBytes, 0}
 	status.LinkBytesPerSecond = m.linkBytesPerSecond
-	m.manager.StoreSeen(m.now, status)
+	m.manager.UpdateStore(m.now, status)
 }
 
 func (m *model) newPrompt(kind *modelKind) *modelPrompt {
--- a/keep/store.go
+++ b/keep/store.go
@@ -125,10 +125,10 @@
 	b.tokens -= float64(bytes)
 }
 
-// StoreSeen applies a store host's status report. A higher incarnation means
+// UpdateStore applies a store host's status report. A higher incarnation means
 // that the host restarted: its earlier copies are gone or have other
 // generations.
-func (m *Manager) StoreSeen(now time.Time, status StoreStatus) {
+func (m *Manager) UpdateStore(now time.Time, status StoreStatus) {
 	s := m.stores[status.Store]
 	if s == nil {
 		if len(m.stores) >= m.opts.MaxStores {
