--- a/internal/entry/repair.go
+++ b/internal/entry/repair.go
@@ -162,7 +162,7 @@
 	e.countSlots(f, -1)
 	e.planner.Forget(id)
 	if f.kind == port.KindStore {
-		e.keeper.manager.StoreGone(id, f.incarnation)
+		e.keeper.manager.RemoveStore(id, f.incarnation)
 	} else {
 		e.keeper.manager.RunnerGone(id, f.incarnation)
 	}
--- a/internal/simload/cluster.go
+++ b/internal/simload/cluster.go
@@ -207,7 +207,7 @@
 			continue
 		}
 		for _, en := range c.live() {
-			en.keeper.manager.StoreGone(st.name, st.incarnation)
+			en.keeper.manager.RemoveStore(st.name, st.incarnation)
 			en.directory.Forget(st.name, st.incarnation)
 		}
 	}
--- a/keep/copy_test.go
+++ b/keep/copy_test.go
@@ -39,7 +39,7 @@
 	m, now := committedManager(t, Options{})
 	block := testBlocks(1, 1)[0]
 	pin := mustPin(t, m, now, block)
-	m.StoreGone("s1", 1)
+	m.RemoveStore("s1", 1)
 	m.UpdateStore(now, testStatus("s1", 1))
 	if !m.Adopt(now, pin.Source) {
 		t.Fatal("the copy was not adopted")
--- a/keep/faults_test.go
+++ b/keep/faults_test.go
@@ -121,7 +121,7 @@
 		if p.stores["s2"] != 0 {
 			t.Fatalf("the near host was available, but the blocks went to %v", p.stores)
 		}
-		p.m.StoreGone("s1", 1)
+		p.m.RemoveStore("s1", 1)
 		if got := readable(p); got != 0 {
 			t.Fatalf("%d blocks readable on a lost host, want 0", got)
 		}
--- a/keep/fuzz_test.go
+++ b/keep/fuzz_test.go
@@ -71,7 +71,7 @@
 	case 8:
 		m.Unpin(w.now, PinID(a%8), Failure(b%5))
 	case 9:
-		m.StoreGone(store, ident.Incarnation(b%4))
+		m.RemoveStore(store, ident.Incarnation(b%4))
 	case 10:
 		m.Rehome(w.now, func(first prefix.BlockID) bool { return first[0]%2 == a%2 })
 	case 11:
--- a/keep/harness_test.go
+++ b/keep/harness_test.go
@@ -297,7 +297,7 @@
 	case 1:
 		clear(h.cached)
 	case 2:
-		h.managers[h.random.IntN(2)].StoreGone(s.name, s.incarnation)
+		h.managers[h.random.IntN(2)].RemoveStore(s.name, s.incarnation)
 	case 3:
 		keep := byte(h.random.IntN(256))
 		h.managers[h.random.IntN(2)].Rehome(h.now, func(first prefix.BlockID) bool { return first[0] < keep })
--- a/keep/model_test.go
+++ b/keep/model_test.go
@@ -238,7 +238,7 @@
 			m.reportStore("s2", capacity)
 		}
 		m.run(epoch.Add(lossAfter))
-		m.manager.StoreGone("s2", 1)
+		m.manager.RemoveStore("s2", 1)
 		m.run(epoch.Add(length))
 		return m.recomputedShare()
 	}
--- a/keep/store.go
+++ b/keep/store.go
@@ -152,8 +152,8 @@
 	s.plannedBytes = [prefix.TierCount]int64{}
 }
 
-// StoreGone removes a store host whose lease expired, and all its copies.
-func (m *Manager) StoreGone(store ident.Upstream, incarnation ident.Incarnation) {
+// RemoveStore removes a store host whose lease expired, and all its copies.
+func (m *Manager) RemoveStore(store ident.Upstream, incarnation ident.Incarnation) {
 	s := m.stores[store]
 	if s == nil || s.status.Incarnation > incarnation {
 		return
