--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -151,7 +151,7 @@
 		e.addCentre(poolKey{service: message.Service}, message.DataCentre)
 	case port.KindEngine:
 		e.followEngine(f, message)
-		e.keeper.manager.RunnerSeen(message.Upstream, message.Incarnation)
+		e.keeper.manager.UpdateRunner(message.Upstream, message.Incarnation)
 	}
 	if fresh && message.Kind != port.KindService {
 		e.requestRepair(message.Upstream, f)
--- a/keep/runner.go
+++ b/keep/runner.go
@@ -37,10 +37,10 @@
 	r.incarnation = max(r.incarnation, incarnation)
 }
 
-// RunnerSeen sets the current incarnation of an engine. It overrides the
+// UpdateRunner sets the current incarnation of an engine. It overrides the
 // incarnations reported with uses, which may arrive late and carry a higher
 // number.
-func (m *Manager) RunnerSeen(runner ident.Upstream, incarnation ident.Incarnation) {
+func (m *Manager) UpdateRunner(runner ident.Upstream, incarnation ident.Incarnation) {
 	if r := m.runners[runner]; r != nil {
 		r.incarnation = incarnation
 	}
