--- a/internal/entry/repair.go
+++ b/internal/entry/repair.go
@@ -164,7 +164,7 @@
 	if f.kind == port.KindStore {
 		e.keeper.manager.RemoveStore(id, f.incarnation)
 	} else {
-		e.keeper.manager.RunnerGone(id, f.incarnation)
+		e.keeper.manager.RemoveRunner(id, f.incarnation)
 	}
 	delete(e.followed, id)
 	e.fetching.forget(id)
--- a/keep/budget_test.go
+++ b/keep/budget_test.go
@@ -204,7 +204,7 @@
 // them; an export from it always fails.
 func TestNoExportFromALostRunner(t *testing.T) {
 	for name, lose := range map[string]func(m *Manager){
-		"gone":        func(m *Manager) { m.RunnerGone("r", 1) },
+		"gone":        func(m *Manager) { m.RemoveRunner("r", 1) },
 		"restarted":   func(m *Manager) { m.recordRunner("r", 2) },
 		"has evicted": func(m *Manager) { m.RunnerEvicted(epoch, "r", 1, testBlocks(1, 1)[0]) },
 	} {
--- a/keep/fuzz_test.go
+++ b/keep/fuzz_test.go
@@ -82,7 +82,7 @@
 	case 13:
 		m.RunnerEvicted(w.now, "r", ident.Incarnation(b%2), block)
 		if c > 200 {
-			m.RunnerGone("r", 1)
+			m.RemoveRunner("r", 1)
 		}
 	}
 }
--- a/keep/runner.go
+++ b/keep/runner.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// RunnerGone removes an engine whose lease expired. The blocks it held can no
+// RemoveRunner removes an engine whose lease expired. The blocks it held can no
 // longer be exported.
-func (m *Manager) RunnerGone(runner ident.Upstream, incarnation ident.Incarnation) {
+func (m *Manager) RemoveRunner(runner ident.Upstream, incarnation ident.Incarnation) {
 	r := m.runners[runner]
 	if r != nil && r.incarnation <= incarnation {
 		delete(m.runners, runner)
