--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -286,7 +286,7 @@
 		}
 		for _, kept := range e.stores.Copies(event.Block, nil) {
 			if kept.Store == batch.Upstream {
-				e.keeper.manager.Vanished(kept.Store, event.Block, kept.Copy.Generation)
+				e.keeper.manager.CopyRemoved(kept.Store, event.Block, kept.Copy.Generation)
 			}
 		}
 	}
--- a/keep/fuzz_test.go
+++ b/keep/fuzz_test.go
@@ -78,7 +78,7 @@
 		m.Adopt(w.now, Source{Block: block, Store: store, Incarnation: ident.Incarnation(b % 4), Copy: slot})
 	case 12:
 		m.Freed(w.now, id, b%2 == 0)
-		m.Vanished(store, block, uint64(b%4))
+		m.CopyRemoved(store, block, uint64(b%4))
 	case 13:
 		m.RunnerEvicted(w.now, "r", ident.Incarnation(b%2), block)
 		if c > 200 {
--- a/keep/store.go
+++ b/keep/store.go
@@ -196,9 +196,9 @@
 	return true
 }
 
-// Vanished removes a copy that a store host reports as gone, because another
+// CopyRemoved removes a copy that a store host reports as gone, because another
 // process freed it or a reader was refused.
-func (m *Manager) Vanished(store ident.Upstream, block prefix.BlockID, generation uint64) {
+func (m *Manager) CopyRemoved(store ident.Upstream, block prefix.BlockID, generation uint64) {
 	c := m.copies[block]
 	if c == nil || c.phase < Committed || c.store.status.Store != store || c.copy.Generation != generation {
 		return
