--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -28,7 +28,7 @@
 		}),
 		probe("time to take in one end", UnitNanoseconds, func(crashes int) (float64, error) {
 			l, next := quarantineOf(crashes-1), crashAt(crashes)
-			return NanosecondsPerOp(func() { l.Ended(next); l.Forget(next.Life) }), nil
+			return NanosecondsPerOp(func() { l.Ended(next); l.Forget(next.Incarnation) }), nil
 		}),
 	}
 }
@@ -44,7 +44,7 @@
 }
 
 func crashAt(i int) quarantine.Crash {
-	e := quarantine.Crash{Life: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{{1}}}
+	e := quarantine.Crash{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{{1}}}
 	for n := range requestsPerCrash - 1 {
 		e.Prints = append(e.Prints, quarantine.Fingerprint{2, byte(i), byte(i >> 8), byte(n)})
 	}
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		crashes = append(crashes, report.Crash)
-		n.seen.Record(report.Crash.Life, now.Add(-report.Age))
+		n.seen.Record(report.Crash.Incarnation, now.Add(-report.Age))
 	}
 	n.tracker.Ended(crashes...)
 	n.tracker.Served(m.Served...)
@@ -129,7 +129,7 @@
 	for _, crash := range slices.Backward(n.tracker.Save().Ends) {
 		crash.Prints = slices.DeleteFunc(crash.Prints, func(p quarantine.Fingerprint) bool { return !slices.Contains(n.tracker.Quarantined(), p) })
 		if len(crash.Prints) > 0 && len(list) < limit {
-			list = append(list, crashReport{Crash: crash, Age: n.seen.Age(crash.Life, now)})
+			list = append(list, crashReport{Crash: crash, Age: n.seen.Age(crash.Incarnation, now)})
 		}
 	}
 	return list
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -150,7 +150,7 @@
 		poll, fresh := fingerprintOf(t, g, withBody("/safe/x", "poll")), fingerprintOf(t, g, withBody("/unsafe/x", "new"))
 		for _, e := range g.reports.take().Crashes {
 			if !slices.Equal(e.Prints, []quarantine.Fingerprint{fresh}) {
-				t.Errorf("the crash of %s is reported with %v", e.Life.Upstream, e.Prints)
+				t.Errorf("the crash of %s is reported with %v", e.Incarnation.Upstream, e.Prints)
 			}
 		}
 		ends = false
@@ -191,10 +191,10 @@
 			}
 			seen := make(map[quarantine.Incarnation]bool)
 			for _, e := range r.Crashes {
-				if seen[e.Life] || len(e.Prints) > 2 {
+				if seen[e.Incarnation] || len(e.Prints) > 2 {
 					t.Errorf("reported %+v", r.Crashes)
 				}
-				seen[e.Life] = true
+				seen[e.Incarnation] = true
 			}
 		})
 	}
@@ -216,7 +216,7 @@
 			return nil
 		})
 		for i := range 3 * steward.MaxReported {
-			g.reports.add(steward.Report{Crashes: []quarantine.Crash{{Life: quarantine.Incarnation{StartedMs: uint64(i)}}}})
+			g.reports.add(steward.Report{Crashes: []quarantine.Crash{{Incarnation: quarantine.Incarnation{StartedMs: uint64(i)}}}})
 			time.Sleep(time.Millisecond)
 		}
 		reached.Store(true)
@@ -225,7 +225,7 @@
 		if len(reported.Crashes) != steward.MaxReported {
 			t.Fatalf("%d crashes reported, want the latest %d", len(reported.Crashes), steward.MaxReported)
 		}
-		if !slices.ContainsFunc(reported.Crashes, func(e quarantine.Crash) bool { return e.Life.StartedMs == 3*steward.MaxReported-1 }) {
+		if !slices.ContainsFunc(reported.Crashes, func(e quarantine.Crash) bool { return e.Incarnation.StartedMs == 3*steward.MaxReported-1 }) {
 			t.Fatal("the latest crash is not reported")
 		}
 	})
@@ -241,7 +241,7 @@
 		defer cancel()
 		crashesOf := func(from, to uint64) (ends []quarantine.Crash) {
 			for startedMs := from; startedMs < to; startedMs++ {
-				ends = append(ends, quarantine.Crash{Life: quarantine.Incarnation{StartedMs: startedMs}})
+				ends = append(ends, quarantine.Crash{Incarnation: quarantine.Incarnation{StartedMs: startedMs}})
 			}
 			return ends
 		}
@@ -258,7 +258,7 @@
 		})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if len(reported) != steward.MaxReported || reported[len(reported)-1].Life.StartedMs != steward.MaxReported {
+		if len(reported) != steward.MaxReported || reported[len(reported)-1].Incarnation.StartedMs != steward.MaxReported {
 			t.Fatalf("reported %d crashes without the latest", len(reported))
 		}
 	})
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -52,7 +52,7 @@
 // Blame returns the crash of an upstream with the requests of those attempts that
 // were not served recently.
 func Blame(incarnation Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
-	crash := Crash{Life: incarnation}
+	crash := Crash{Incarnation: incarnation}
 	for _, a := range attempts {
 		if !served.Has(a.Print, now) && !slices.Contains(crash.Prints, a.Print) {
 			crash.Prints = append(crash.Prints, a.Print)
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -30,8 +30,8 @@
 
 // Crash is the crash of an upstream, with the requests that were in flight there.
 type Crash struct {
-	Life   Incarnation   `cbor:"1,keyasint"`
-	Prints []Fingerprint `cbor:"2,keyasint"`
+	Incarnation Incarnation   `cbor:"1,keyasint"`
+	Prints      []Fingerprint `cbor:"2,keyasint"`
 }
 
 // Tracker records the crashes of upstreams and derives which requests are quarantined
@@ -58,12 +58,12 @@
 }
 
 func (t *Tracker) add(c Crash) {
-	known := t.find(c.Life)
+	known := t.find(c.Incarnation)
 	if known == nil {
 		if len(t.crashes) == MaxCrashes {
 			t.drop(0)
 		}
-		known = &Crash{Life: c.Life}
+		known = &Crash{Incarnation: c.Incarnation}
 		t.crashes = append(t.crashes, known)
 	}
 	for _, f := range c.Prints {
@@ -91,7 +91,7 @@
 // Forget removes the crashes of these incarnations.
 func (t *Tracker) Forget(incarnations ...Incarnation) {
 	for _, incarnation := range incarnations {
-		if i := slices.IndexFunc(t.crashes, func(c *Crash) bool { return c.Life == incarnation }); i >= 0 {
+		if i := slices.IndexFunc(t.crashes, func(c *Crash) bool { return c.Incarnation == incarnation }); i >= 0 {
 			t.drop(i)
 		}
 	}
@@ -102,7 +102,7 @@
 func (t *Tracker) Incarnations() []Incarnation {
 	incarnations := make([]Incarnation, len(t.crashes))
 	for i, c := range t.crashes {
-		incarnations[i] = c.Life
+		incarnations[i] = c.Incarnation
 	}
 	return incarnations
 }
@@ -120,7 +120,7 @@
 
 func (t *Tracker) find(incarnation Incarnation) *Crash {
 	for _, c := range t.crashes {
-		if c.Life == incarnation {
+		if c.Incarnation == incarnation {
 			return c
 		}
 	}
@@ -258,7 +258,7 @@
 func (t *Tracker) Save() Saved {
 	saved := Saved{Revision: t.revision}
 	for _, c := range t.crashes {
-		saved.Ends = append(saved.Ends, Crash{Life: c.Life, Prints: slices.Clone(c.Prints)})
+		saved.Ends = append(saved.Ends, Crash{Incarnation: c.Incarnation, Prints: slices.Clone(c.Prints)})
 	}
 	return saved
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -14,7 +14,7 @@
 }
 
 func crashOf(upstream string, names ...string) Crash {
-	crash := Crash{Life: Incarnation{Upstream: upstream}}
+	crash := Crash{Incarnation: Incarnation{Upstream: upstream}}
 	for _, name := range names {
 		crash.Prints = append(crash.Prints, fingerprintOf(name))
 	}
@@ -33,7 +33,7 @@
 		{"two crashes may be chance", []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad")}, nil},
 		{"three crashes", []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad", "y"), crashOf("c", "bad")}, []string{"bad"}},
 		{"the same crash reported by two entries", []Crash{crashOf("a", "bad"), crashOf("a", "bad", "x"), crashOf("b", "bad")}, nil},
-		{"another incarnation of the same upstream", []Crash{crashOf("a", "bad"), crashOf("b", "bad"), {Life: Incarnation{"a", 7}, Prints: []Fingerprint{fingerprintOf("bad")}}}, []string{"bad"}},
+		{"another incarnation of the same upstream", []Crash{crashOf("a", "bad"), crashOf("b", "bad"), {Incarnation: Incarnation{"a", 7}, Prints: []Fingerprint{fingerprintOf("bad")}}}, []string{"bad"}},
 		{"another request at three of four crashes", []Crash{crashOf("a", "bad"), crashOf("b", "bad", "x"), crashOf("c", "bad", "x"), crashOf("d", "bad", "x")}, []string{"bad"}},
 		{"another request at the same three crashes", []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad", "x"), crashOf("c", "bad", "x")}, nil},
 		{"a fourth crash distinguishes two requests", []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad", "x"), crashOf("c", "bad", "x"), crashOf("d", "bad")}, []string{"bad"}},
@@ -144,7 +144,7 @@
 	if len(tr.Quarantined()) != 0 || !slices.Equal(tr.Suspects(), []Fingerprint{fingerprintOf("bad")}) {
 		t.Fatalf("quarantined %v, suspects %v", tr.Quarantined(), tr.Suspects())
 	}
-	crowd := Crash{Life: Incarnation{Upstream: "crowd"}}
+	crowd := Crash{Incarnation: Incarnation{Upstream: "crowd"}}
 	for n := range 2 * MaxFingerprints {
 		crowd.Prints = append(crowd.Prints, fingerprintOf(fmt.Sprint("one of many ", n)))
 	}
@@ -202,7 +202,7 @@
 			tr := NewTracker()
 			next := 0
 			newCrash := func(i int) Crash {
-				crash := Crash{Life: Incarnation{Upstream: fmt.Sprint(i)}}
+				crash := Crash{Incarnation: Incarnation{Upstream: fmt.Sprint(i)}}
 				for range size.fingerprints {
 					crash.Prints = append(crash.Prints, fingerprintOf(fmt.Sprint(next%size.distinct)))
 					next++
@@ -216,7 +216,7 @@
 			b.ResetTimer()
 			for b.Loop() {
 				tr.Ended(last)
-				tr.Forget(last.Life)
+				tr.Forget(last.Incarnation)
 			}
 		})
 	}
