--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -44,9 +44,9 @@
 }
 
 func crashAt(i int) quarantine.Crash {
-	e := quarantine.Crash{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{{1}}}
+	e := quarantine.Crash{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Fingerprints: []quarantine.Fingerprint{{1}}}
 	for n := range requestsPerCrash - 1 {
-		e.Prints = append(e.Prints, quarantine.Fingerprint{2, byte(i), byte(i >> 8), byte(n)})
+		e.Fingerprints = append(e.Fingerprints, quarantine.Fingerprint{2, byte(i), byte(i >> 8), byte(n)})
 	}
 	return e
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -127,8 +127,8 @@
 func (n *crashState) quarantinedCrashes(now time.Time, limit int) []crashReport {
 	var list []crashReport
 	for _, crash := range slices.Backward(n.tracker.Save().Ends) {
-		crash.Prints = slices.DeleteFunc(crash.Prints, func(p quarantine.Fingerprint) bool { return !slices.Contains(n.tracker.Quarantined(), p) })
-		if len(crash.Prints) > 0 && len(list) < limit {
+		crash.Fingerprints = slices.DeleteFunc(crash.Fingerprints, func(p quarantine.Fingerprint) bool { return !slices.Contains(n.tracker.Quarantined(), p) })
+		if len(crash.Fingerprints) > 0 && len(list) < limit {
 			list = append(list, crashReport{Crash: crash, Age: n.seen.Age(crash.Incarnation, now)})
 		}
 	}
@@ -238,7 +238,7 @@
 	e.mu.Lock()
 	attempts := e.crashes.lost.Take(incarnation)
 	crash := quarantine.Blame(incarnation, attempts, &e.crashes.served, now)
-	blamed := crashed && len(crash.Prints) > 0
+	blamed := crashed && len(crash.Fingerprints) > 0
 	if blamed {
 		e.crashes.own = append(e.crashes.own, ownCrash{crash: crash, seenAt: now})
 		e.crashes.own = e.crashes.own[max(len(e.crashes.own)-maxOwnCrashes, 0):]
--- a/internal/entry/crashes_test.go
+++ b/internal/entry/crashes_test.go
@@ -263,7 +263,7 @@
 		var crashes []quarantine.Crash
 		for i := range quarantine.CrashThreshold {
 			crashes = append(crashes, quarantine.Crash{
-				Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{bad, {byte(i)}},
+				Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Fingerprints: []quarantine.Fingerprint{bad, {byte(i)}},
 			})
 		}
 		if err := two.ApplyCrashes(wire.MustMarshal(newCrashMessage(crashes))); err != nil {
@@ -296,7 +296,7 @@
 		}
 		var crashes []quarantine.Crash
 		for i := range quarantine.CrashThreshold {
-			crashes = append(crashes, quarantine.Crash{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Prints: []quarantine.Fingerprint{{1}}})
+			crashes = append(crashes, quarantine.Crash{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("gone-", i)}, Fingerprints: []quarantine.Fingerprint{{1}}})
 		}
 		first.applyCrashes(newCrashMessage(crashes))
 		time.Sleep(quarantine.CrashRetention - time.Minute)
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -149,8 +149,8 @@
 		synctest.Wait()
 		poll, fresh := fingerprintOf(t, g, withBody("/safe/x", "poll")), fingerprintOf(t, g, withBody("/unsafe/x", "new"))
 		for _, e := range g.reports.take().Crashes {
-			if !slices.Equal(e.Prints, []quarantine.Fingerprint{fresh}) {
-				t.Errorf("the crash of %s is reported with %v", e.Incarnation.Upstream, e.Prints)
+			if !slices.Equal(e.Fingerprints, []quarantine.Fingerprint{fresh}) {
+				t.Errorf("the crash of %s is reported with %v", e.Incarnation.Upstream, e.Fingerprints)
 			}
 		}
 		ends = false
@@ -191,7 +191,7 @@
 			}
 			seen := make(map[quarantine.Incarnation]bool)
 			for _, e := range r.Crashes {
-				if seen[e.Incarnation] || len(e.Prints) > 2 {
+				if seen[e.Incarnation] || len(e.Fingerprints) > 2 {
 					t.Errorf("reported %+v", r.Crashes)
 				}
 				seen[e.Incarnation] = true
--- a/internal/steward/reports.go
+++ b/internal/steward/reports.go
@@ -77,7 +77,7 @@
 func (r *Report) size() int {
 	n := len(r.Crashes) + len(r.Served)
 	for i := range r.Crashes {
-		n += len(r.Crashes[i].Prints)
+		n += len(r.Crashes[i].Fingerprints)
 	}
 	return n
 }
--- a/internal/steward/reports_test.go
+++ b/internal/steward/reports_test.go
@@ -109,8 +109,8 @@
 	for i := range quarantine.CrashThreshold {
 		reports.Go(func() {
 			incarnation := quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}
-			entries[i].report(ctx, &Report{Crashes: []quarantine.Crash{{Incarnation: incarnation, Prints: []quarantine.Fingerprint{bad}}}})
-			entries[i+4].report(ctx, &Report{Crashes: []quarantine.Crash{{Incarnation: incarnation, Prints: []quarantine.Fingerprint{{byte(10 + i)}}}}})
+			entries[i].report(ctx, &Report{Crashes: []quarantine.Crash{{Incarnation: incarnation, Fingerprints: []quarantine.Fingerprint{bad}}}})
+			entries[i+4].report(ctx, &Report{Crashes: []quarantine.Crash{{Incarnation: incarnation, Fingerprints: []quarantine.Fingerprint{{byte(10 + i)}}}}})
 		})
 	}
 	reports.Wait()
@@ -120,7 +120,7 @@
 	f.kill(lost)
 	f.await("another host leads", func() bool { return f.leader() != nil })
 	for i := range quarantine.CrashThreshold {
-		entries[0].report(ctx, &Report{Crashes: []quarantine.Crash{{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("later-", i)}, Prints: []quarantine.Fingerprint{other}}}})
+		entries[0].report(ctx, &Report{Crashes: []quarantine.Crash{{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("later-", i)}, Fingerprints: []quarantine.Fingerprint{other}}}})
 	}
 	allReceive("all entries quarantine the second request", other, true)
 	late := f.startReporting(ctx, "entry-late")
@@ -144,7 +144,7 @@
 // be served again after its upstreams are fixed.
 func TestExpiredCrashesAreForgotten(t *testing.T) {
 	m, now := NewMachine(), time.Now()
-	m.applyReport(&Report{Crashes: []quarantine.Crash{{Incarnation: quarantine.Incarnation{Upstream: "a"}, Prints: []quarantine.Fingerprint{{1}}}}})
+	m.applyReport(&Report{Crashes: []quarantine.Crash{{Incarnation: quarantine.Incarnation{Upstream: "a"}, Fingerprints: []quarantine.Fingerprint{{1}}}}})
 	later := now.Add(quarantine.CrashRetention + time.Second)
 	if old := m.expiredCrashes(later); len(old) != 1 {
 		t.Fatalf("%d crashes are expired after %v", len(old), quarantine.CrashRetention)
@@ -180,7 +180,7 @@
 	entry, bad := f.startReporting(ctx, "entry-1"), quarantine.Fingerprint{1}
 	var r Report
 	for i := range quarantine.CrashThreshold {
-		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Prints: []quarantine.Fingerprint{bad}})
+		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: quarantine.Incarnation{Upstream: fmt.Sprint("runner-", i)}, Fingerprints: []quarantine.Fingerprint{bad}})
 	}
 	entry.report(ctx, &r)
 	f.await("the entry quarantines the request", func() bool { return entry.holds(bad) })
@@ -206,7 +206,7 @@
 func TestLongestReportFitsBatch(t *testing.T) {
 	var longest Report
 	for range MaxReported {
-		longest.Crashes = append(longest.Crashes, quarantine.Crash{Prints: make([]quarantine.Fingerprint, quarantine.MaxFingerprints)})
+		longest.Crashes = append(longest.Crashes, quarantine.Crash{Fingerprints: make([]quarantine.Fingerprint, quarantine.MaxFingerprints)})
 		longest.Served = append(longest.Served, quarantine.Fingerprint{})
 	}
 	l := &leadership{pendingReports: &reportBatch{done: make(chan struct{})}}
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -54,8 +54,8 @@
 func Blame(incarnation Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
 	crash := Crash{Incarnation: incarnation}
 	for _, a := range attempts {
-		if !served.Has(a.Print, now) && !slices.Contains(crash.Prints, a.Print) {
-			crash.Prints = append(crash.Prints, a.Print)
+		if !served.Has(a.Print, now) && !slices.Contains(crash.Fingerprints, a.Print) {
+			crash.Fingerprints = append(crash.Fingerprints, a.Print)
 		}
 	}
 	return crash
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -30,8 +30,8 @@
 
 // Crash is the crash of an upstream, with the requests that were in flight there.
 type Crash struct {
-	Incarnation Incarnation   `cbor:"1,keyasint"`
-	Prints      []Fingerprint `cbor:"2,keyasint"`
+	Incarnation  Incarnation   `cbor:"1,keyasint"`
+	Fingerprints []Fingerprint `cbor:"2,keyasint"`
 }
 
 // Tracker records the crashes of upstreams and derives which requests are quarantined
@@ -66,9 +66,9 @@
 		known = &Crash{Incarnation: c.Incarnation}
 		t.crashes = append(t.crashes, known)
 	}
-	for _, f := range c.Prints {
-		if len(known.Prints) < MaxFingerprints && !slices.Contains(known.Prints, f) {
-			known.Prints = append(known.Prints, f)
+	for _, f := range c.Fingerprints {
+		if len(known.Fingerprints) < MaxFingerprints && !slices.Contains(known.Fingerprints, f) {
+			known.Fingerprints = append(known.Fingerprints, f)
 			t.counts[f]++
 		}
 	}
@@ -82,7 +82,7 @@
 		}
 		delete(t.counts, f)
 		for _, c := range t.crashes {
-			c.Prints = slices.DeleteFunc(c.Prints, func(other Fingerprint) bool { return other == f })
+			c.Fingerprints = slices.DeleteFunc(c.Fingerprints, func(other Fingerprint) bool { return other == f })
 		}
 	}
 	t.update()
@@ -129,7 +129,7 @@
 
 // drop removes the crash with an index.
 func (t *Tracker) drop(index int) {
-	for _, f := range t.crashes[index].Prints {
+	for _, f := range t.crashes[index].Fingerprints {
 		if t.counts[f]--; t.counts[f] == 0 {
 			delete(t.counts, f)
 		}
@@ -203,7 +203,7 @@
 func (t *Tracker) crashesByRequest(minCrashes int) map[Fingerprint][]int {
 	byRequest := make(map[Fingerprint][]int)
 	for i, c := range t.crashes {
-		for _, f := range c.Prints {
+		for _, f := range c.Fingerprints {
 			if t.counts[f] >= minCrashes {
 				byRequest[f] = append(byRequest[f], i)
 			}
@@ -258,7 +258,7 @@
 func (t *Tracker) Save() Saved {
 	saved := Saved{Revision: t.revision}
 	for _, c := range t.crashes {
-		saved.Ends = append(saved.Ends, Crash{Incarnation: c.Incarnation, Prints: slices.Clone(c.Prints)})
+		saved.Ends = append(saved.Ends, Crash{Incarnation: c.Incarnation, Fingerprints: slices.Clone(c.Fingerprints)})
 	}
 	return saved
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -16,7 +16,7 @@
 func crashOf(upstream string, names ...string) Crash {
 	crash := Crash{Incarnation: Incarnation{Upstream: upstream}}
 	for _, name := range names {
-		crash.Prints = append(crash.Prints, fingerprintOf(name))
+		crash.Fingerprints = append(crash.Fingerprints, fingerprintOf(name))
 	}
 	return crash
 }
@@ -33,7 +33,7 @@
 		{"two crashes may be chance", []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad")}, nil},
 		{"three crashes", []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad", "y"), crashOf("c", "bad")}, []string{"bad"}},
 		{"the same crash reported by two entries", []Crash{crashOf("a", "bad"), crashOf("a", "bad", "x"), crashOf("b", "bad")}, nil},
-		{"another incarnation of the same upstream", []Crash{crashOf("a", "bad"), crashOf("b", "bad"), {Incarnation: Incarnation{"a", 7}, Prints: []Fingerprint{fingerprintOf("bad")}}}, []string{"bad"}},
+		{"another incarnation of the same upstream", []Crash{crashOf("a", "bad"), crashOf("b", "bad"), {Incarnation: Incarnation{"a", 7}, Fingerprints: []Fingerprint{fingerprintOf("bad")}}}, []string{"bad"}},
 		{"another request at three of four crashes", []Crash{crashOf("a", "bad"), crashOf("b", "bad", "x"), crashOf("c", "bad", "x"), crashOf("d", "bad", "x")}, []string{"bad"}},
 		{"another request at the same three crashes", []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad", "x"), crashOf("c", "bad", "x")}, nil},
 		{"a fourth crash distinguishes two requests", []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad", "x"), crashOf("c", "bad", "x"), crashOf("d", "bad")}, []string{"bad"}},
@@ -146,7 +146,7 @@
 	}
 	crowd := Crash{Incarnation: Incarnation{Upstream: "crowd"}}
 	for n := range 2 * MaxFingerprints {
-		crowd.Prints = append(crowd.Prints, fingerprintOf(fmt.Sprint("one of many ", n)))
+		crowd.Fingerprints = append(crowd.Fingerprints, fingerprintOf(fmt.Sprint("one of many ", n)))
 	}
 	tr.Ended(crowd)
 	if len(tr.counts) != 1+MaxFingerprints {
@@ -182,7 +182,7 @@
 			for p, n := range tr.counts {
 				inFlight := 0
 				for _, crash := range tr.crashes {
-					if slices.Contains(crash.Prints, p) {
+					if slices.Contains(crash.Fingerprints, p) {
 						inFlight++
 					}
 				}
@@ -204,7 +204,7 @@
 			newCrash := func(i int) Crash {
 				crash := Crash{Incarnation: Incarnation{Upstream: fmt.Sprint(i)}}
 				for range size.fingerprints {
-					crash.Prints = append(crash.Prints, fingerprintOf(fmt.Sprint(next%size.distinct)))
+					crash.Fingerprints = append(crash.Fingerprints, fingerprintOf(fmt.Sprint(next%size.distinct)))
 					next++
 				}
 				return crash
