--- a/internal/entry/finish.go
+++ b/internal/entry/finish.go
@@ -126,7 +126,7 @@
 		a.possiblyRan = err
 		if a.ctx.Err() == nil {
 			c := a.plan.candidate
-			a.entry.recordLost(c.Upstream, c.Incarnation, c.Address, quarantine.Attempt{Request: a.attempt.Request.String(), Print: a.job.fingerprint})
+			a.entry.recordLost(c.Upstream, c.Incarnation, c.Address, quarantine.Attempt{Request: a.attempt.Request.String(), Fingerprint: a.job.fingerprint})
 		}
 	}
 	result := upstream.Failed
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -228,7 +228,7 @@
 	e.mu.Unlock()
 	broke := func() {
 		if ctx.Err() == nil {
-			e.recordLost(chosen.Upstream, chosen.Incarnation, chosen.Address, quarantine.Attempt{Request: attempt.Request.String(), Print: j.fingerprint})
+			e.recordLost(chosen.Upstream, chosen.Incarnation, chosen.Address, quarantine.Attempt{Request: attempt.Request.String(), Fingerprint: j.fingerprint})
 		}
 	}
 	if outcome.KindOf(err) == outcome.KindUnknown {
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -34,7 +34,7 @@
 // whether its upstream has crashed. The caller holds the lock.
 func (r *run) recordLost(p *plan) {
 	incarnation := quarantine.Incarnation{Upstream: p.upstream.record.ID, StartedMs: p.upstream.record.StartedMs}
-	if r.gateway.state.lost.Add(incarnation, quarantine.Attempt{Request: r.request.ID, Print: r.fingerprint}) {
+	if r.gateway.state.lost.Add(incarnation, quarantine.Attempt{Request: r.request.ID, Fingerprint: r.fingerprint}) {
 		go r.gateway.checkCrash(incarnation, p.send)
 	}
 }
@@ -56,7 +56,7 @@
 	event := &decision.UpstreamLost{Upstream: incarnation.Upstream, Crashed: crashed}
 	for _, a := range attempts {
 		event.Requests = append(event.Requests, a.Request)
-		event.Fingerprints = append(event.Fingerprints, a.Print.String())
+		event.Fingerprints = append(event.Fingerprints, a.Fingerprint.String())
 	}
 	g.options.Decisions.Emit(event)
 }
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -16,8 +16,8 @@
 
 // Attempt is an attempt that broke off.
 type Attempt struct {
-	Request string
-	Print   Fingerprint
+	Request     string
+	Fingerprint Fingerprint
 }
 
 // Lost collects the attempts that broke off at each upstream until it is known
@@ -54,8 +54,8 @@
 func Blame(incarnation Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
 	crash := Crash{Incarnation: incarnation}
 	for _, a := range attempts {
-		if !served.Has(a.Print, now) && !slices.Contains(crash.Fingerprints, a.Print) {
-			crash.Fingerprints = append(crash.Fingerprints, a.Print)
+		if !served.Has(a.Fingerprint, now) && !slices.Contains(crash.Fingerprints, a.Fingerprint) {
+			crash.Fingerprints = append(crash.Fingerprints, a.Fingerprint)
 		}
 	}
 	return crash
