--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -160,7 +160,7 @@
 	WeightsRevision   uint64            `cbor:"3,keyasint"`
 	Roster            roster.Saved      `cbor:"4,keyasint"`
 	StoreIncarnations map[string]uint64 `cbor:"5,keyasint"`
-	Quarantine        quarantine.Saved  `cbor:"6,keyasint"`
+	Quarantine        quarantine.State  `cbor:"6,keyasint"`
 	Evacuation        evacuation.View   `cbor:"7,keyasint"`
 }
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -248,15 +248,15 @@
 	return sorted[:min(len(sorted), MaxTold)]
 }
 
-// Saved is the complete state of a Tracker.
-type Saved struct {
+// State is the complete state of a Tracker.
+type State struct {
 	Ends     []Crash `cbor:"1,keyasint"`
 	Revision uint64  `cbor:"2,keyasint"`
 }
 
 // Save returns the state.
-func (t *Tracker) Save() Saved {
-	saved := Saved{Revision: t.revision}
+func (t *Tracker) Save() State {
+	saved := State{Revision: t.revision}
 	for _, c := range t.crashes {
 		saved.Ends = append(saved.Ends, Crash{Incarnation: c.Incarnation, Fingerprints: slices.Clone(c.Fingerprints)})
 	}
@@ -264,7 +264,7 @@
 }
 
 // Restore replaces the state.
-func (t *Tracker) Restore(s Saved) {
+func (t *Tracker) Restore(s State) {
 	*t = *NewTracker()
 	t.Ended(s.Ends...)
 	t.revision = s.Revision
