--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -126,7 +126,7 @@
 // and limited to these requests. It returns at most limit crashes.
 func (n *crashState) quarantinedCrashes(now time.Time, limit int) []crashReport {
 	var list []crashReport
-	for _, crash := range slices.Backward(n.tracker.Save().Ends) {
+	for _, crash := range slices.Backward(n.tracker.Save().Crashes) {
 		crash.Fingerprints = slices.DeleteFunc(crash.Fingerprints, func(p quarantine.Fingerprint) bool { return !slices.Contains(n.tracker.Quarantined(), p) })
 		if len(crash.Fingerprints) > 0 && len(list) < limit {
 			list = append(list, crashReport{Crash: crash, Age: n.seen.Age(crash.Incarnation, now)})
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -250,7 +250,7 @@
 
 // State is the complete state of a Tracker.
 type State struct {
-	Ends     []Crash `cbor:"1,keyasint"`
+	Crashes  []Crash `cbor:"1,keyasint"`
 	Revision uint64  `cbor:"2,keyasint"`
 }
 
@@ -258,7 +258,7 @@
 func (t *Tracker) Save() State {
 	saved := State{Revision: t.revision}
 	for _, c := range t.crashes {
-		saved.Ends = append(saved.Ends, Crash{Incarnation: c.Incarnation, Fingerprints: slices.Clone(c.Fingerprints)})
+		saved.Crashes = append(saved.Crashes, Crash{Incarnation: c.Incarnation, Fingerprints: slices.Clone(c.Fingerprints)})
 	}
 	return saved
 }
@@ -266,6 +266,6 @@
 // Restore replaces the state.
 func (t *Tracker) Restore(s State) {
 	*t = *NewTracker()
-	t.Ended(s.Ends...)
+	t.Ended(s.Crashes...)
 	t.revision = s.Revision
 }
