--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -28,7 +28,7 @@
 		}),
 		probe("time to take in one end", UnitNanoseconds, func(crashes int) (float64, error) {
 			l, next := quarantineOf(crashes-1), crashAt(crashes)
-			return NanosecondsPerOp(func() { l.Ended(next); l.Forget(next.Incarnation) }), nil
+			return NanosecondsPerOp(func() { l.AddCrashes(next); l.Forget(next.Incarnation) }), nil
 		}),
 	}
 }
@@ -38,7 +38,7 @@
 func quarantineOf(crashes int) *quarantine.Tracker {
 	l := quarantine.NewTracker()
 	for i := range crashes {
-		l.Ended(crashAt(i))
+		l.AddCrashes(crashAt(i))
 	}
 	return l
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -81,7 +81,7 @@
 		crashes = append(crashes, report.Crash)
 		n.seen.Record(report.Crash.Incarnation, now.Add(-report.Age))
 	}
-	n.tracker.Ended(crashes...)
+	n.tracker.AddCrashes(crashes...)
 	n.tracker.Served(m.Served...)
 	n.expire(now)
 	return n.tracker.Revision() != before
--- a/internal/steward/reports.go
+++ b/internal/steward/reports.go
@@ -31,7 +31,7 @@
 // that it was reported with. The caller holds the lock.
 func (m *Machine) applyReport(r *Report) {
 	before := m.quarantine.Revision()
-	m.quarantine.Ended(r.Crashes...)
+	m.quarantine.AddCrashes(r.Crashes...)
 	m.quarantine.Served(r.Served...)
 	m.crashesSeen.Follow(m.quarantine.Incarnations(), time.Now())
 	if m.quarantine.Revision() != before {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -49,8 +49,8 @@
 // NewTracker returns an empty Tracker.
 func NewTracker() *Tracker { return &Tracker{counts: make(map[Fingerprint]int)} }
 
-// Ended records crashes, or further requests that were in flight at known ones.
-func (t *Tracker) Ended(crashes ...Crash) {
+// AddCrashes records crashes, or further requests that were in flight at known ones.
+func (t *Tracker) AddCrashes(crashes ...Crash) {
 	for _, c := range crashes {
 		t.add(c)
 	}
@@ -266,6 +266,6 @@
 // Restore replaces the state.
 func (t *Tracker) Restore(s State) {
 	*t = *NewTracker()
-	t.Ended(s.Crashes...)
+	t.AddCrashes(s.Crashes...)
 	t.revision = s.Revision
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -46,7 +46,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			tr := NewTracker()
 			for _, crash := range c.crashes {
-				tr.Ended(crash)
+				tr.AddCrashes(crash)
 			}
 			var want []Fingerprint
 			for _, name := range c.quarantined {
@@ -70,7 +70,7 @@
 		crashOf("a", "bad", "x"), crashOf("b", "bad", "x"), crashOf("c", "worse", "x"), crashOf("d", "worse", "x"),
 		crashOf("e", "bad"), crashOf("f", "worse"),
 	} {
-		tr.Ended(crash)
+		tr.AddCrashes(crash)
 	}
 	for name, quarantined := range map[string]bool{"bad": true, "worse": true, "x": false} {
 		if slices.Contains(tr.Quarantined(), fingerprintOf(name)) != quarantined {
@@ -85,7 +85,7 @@
 func TestSharedCrashesExcuseNeitherRequest(t *testing.T) {
 	tr := NewTracker()
 	for i := range 3 {
-		tr.Ended(crashOf(fmt.Sprint("both-", i), "bad", "worse"))
+		tr.AddCrashes(crashOf(fmt.Sprint("both-", i), "bad", "worse"))
 	}
 	crashed := map[string]int{"bad": 3, "worse": 3}
 	for n := range 20 {
@@ -94,7 +94,7 @@
 			continue
 		}
 		crashed[name]++
-		tr.Ended(crashOf(fmt.Sprint("one-", n), name))
+		tr.AddCrashes(crashOf(fmt.Sprint("one-", n), name))
 	}
 	for name, crashes := range crashed {
 		if crashes > CrashThreshold+1 || !slices.Contains(tr.Quarantined(), fingerprintOf(name)) {
@@ -109,7 +109,7 @@
 func TestServedRequestsAreCleared(t *testing.T) {
 	tr := NewTracker()
 	for _, name := range []string{"a", "b", "c"} {
-		tr.Ended(crashOf(name, "poll"))
+		tr.AddCrashes(crashOf(name, "poll"))
 	}
 	if len(tr.Quarantined()) != 1 {
 		t.Fatal("the request is not quarantined before it is served")
@@ -126,7 +126,7 @@
 func TestSuspects(t *testing.T) {
 	tr := NewTracker()
 	for _, crash := range []Crash{crashOf("a", "bad", "x"), crashOf("b", "bad", "x"), crashOf("c", "bad"), crashOf("d", "y"), crashOf("e", "y")} {
-		tr.Ended(crash)
+		tr.AddCrashes(crash)
 	}
 	if !slices.Equal(tr.Quarantined(), []Fingerprint{fingerprintOf("bad")}) || !slices.Equal(tr.Suspects(), []Fingerprint{fingerprintOf("y")}) {
 		t.Fatalf("quarantined %v, suspects %v", tr.Quarantined(), tr.Suspects())
@@ -138,7 +138,7 @@
 func TestForgetAndBounds(t *testing.T) {
 	tr := NewTracker()
 	for i := range 3 {
-		tr.Ended(crashOf(fmt.Sprint(i), "bad"))
+		tr.AddCrashes(crashOf(fmt.Sprint(i), "bad"))
 	}
 	tr.Forget(Incarnation{Upstream: "0"})
 	if len(tr.Quarantined()) != 0 || !slices.Equal(tr.Suspects(), []Fingerprint{fingerprintOf("bad")}) {
@@ -148,12 +148,12 @@
 	for n := range 2 * MaxFingerprints {
 		crowd.Fingerprints = append(crowd.Fingerprints, fingerprintOf(fmt.Sprint("one of many ", n)))
 	}
-	tr.Ended(crowd)
+	tr.AddCrashes(crowd)
 	if len(tr.counts) != 1+MaxFingerprints {
 		t.Fatalf("%d requests are recorded", len(tr.counts))
 	}
 	for i := range 2 * MaxCrashes {
-		tr.Ended(crashOf(fmt.Sprint("more-", i), fmt.Sprint("x", i)))
+		tr.AddCrashes(crashOf(fmt.Sprint("more-", i), fmt.Sprint("x", i)))
 	}
 	if len(tr.Incarnations()) != MaxCrashes || len(tr.counts) != MaxCrashes {
 		t.Fatalf("%d crashes and %d requests are recorded", len(tr.Incarnations()), len(tr.counts))
@@ -173,7 +173,7 @@
 			case 1:
 				tr.Forget(Incarnation{Upstream: fmt.Sprint(r.IntN(20))})
 			default:
-				tr.Ended(crashOf(fmt.Sprint(r.IntN(20)), p, fmt.Sprint("p", r.IntN(12))))
+				tr.AddCrashes(crashOf(fmt.Sprint(r.IntN(20)), p, fmt.Sprint("p", r.IntN(12))))
 			}
 			restored.Restore(tr.Save())
 			if !slices.Equal(tr.Quarantined(), restored.Quarantined()) || !slices.Equal(tr.Suspects(), restored.Suspects()) || tr.Revision() != restored.Revision() {
@@ -210,12 +210,12 @@
 				return crash
 			}
 			for i := range size.incarnations - 1 {
-				tr.Ended(newCrash(i))
+				tr.AddCrashes(newCrash(i))
 			}
 			last := newCrash(size.incarnations)
 			b.ResetTimer()
 			for b.Loop() {
-				tr.Ended(last)
+				tr.AddCrashes(last)
 				tr.Forget(last.Incarnation)
 			}
 		})
