--- a/internal/capacity/probes_quarantine.go
+++ b/internal/capacity/probes_quarantine.go
@@ -54,6 +54,6 @@
 // quarantineAnswerBytes returns the size of the message to an entry with the
 // maximum number of quarantined and suspected fingerprints.
 func quarantineAnswerBytes() int {
-	prints := make([]quarantine.Fingerprint, quarantine.MaxTold)
+	prints := make([]quarantine.Fingerprint, quarantine.MaxListed)
 	return len(wire.MustMarshal([][]quarantine.Fingerprint{prints, prints}))
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -281,8 +281,8 @@
 	if err := wire.UnmarshalStrict(body, &m); err != nil {
 		return eris.Wrap(err, "entry: crashes")
 	}
-	if len(m.Crashes) > maxOwnCrashes || len(m.Served) > quarantine.MaxTold {
-		return eris.Errorf("entry: crashes: %d crashes and %d requests, more than %d and %d", len(m.Crashes), len(m.Served), maxOwnCrashes, quarantine.MaxTold)
+	if len(m.Crashes) > maxOwnCrashes || len(m.Served) > quarantine.MaxListed {
+		return eris.Errorf("entry: crashes: %d crashes and %d requests, more than %d and %d", len(m.Crashes), len(m.Served), maxOwnCrashes, quarantine.MaxListed)
 	}
 	e.applyCrashes(m)
 	return nil
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -17,9 +17,9 @@
 	// recorded for each, which is more than an upstream runs at the same time.
 	// Together they allow 32,768 fingerprints, 0.5 MB.
 	MaxCrashes, MaxFingerprints = 256, 128
-	// MaxTold bounds the quarantined requests, and the suspects, that are sent to
+	// MaxListed bounds the quarantined requests, and the suspects, that are sent to
 	// entries.
-	MaxTold = 256
+	MaxListed = 256
 )
 
 // Incarnation identifies one incarnation of an upstream: one run of its process.
@@ -245,7 +245,7 @@
 // boundedList returns the requests in ascending order, at most MaxTold.
 func boundedList(requests map[Fingerprint]bool) []Fingerprint {
 	sorted := slices.SortedFunc(maps.Keys(requests), func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
-	return sorted[:min(len(sorted), MaxTold)]
+	return sorted[:min(len(sorted), MaxListed)]
 }
 
 // State is the complete state of a Tracker.
