--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -199,7 +199,7 @@
 		return
 	}
 	select {
-	case e.probes <- probe{incarnation: lost, address: address, at: time.Now().Add(quarantine.LookAfter)}:
+	case e.probes <- probe{incarnation: lost, address: address, at: time.Now().Add(quarantine.CheckDelay)}:
 	default:
 		// The queue is full. The next attempt whose connection breaks there
 		// queues the probe.
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -43,7 +43,7 @@
 func (g *Gateway) checkCrash(incarnation quarantine.Incarnation, send *Send) {
 	ctx, cancel := context.WithTimeout(context.Background(), quarantine.LookTimeout)
 	defer cancel()
-	wait.For(ctx, quarantine.LookAfter)
+	wait.For(ctx, quarantine.CheckDelay)
 	crashed := g.options.Sender.Crashed(ctx, send)
 	s := g.state
 	s.mu.Lock()
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// LookAfter is the delay between the first attempt that breaks off at an upstream
+	// CheckDelay is the delay between the first attempt that breaks off at an upstream
 	// and the check whether the upstream crashed. A crash breaks all connections of
 	// the process, but they are noticed one by one.
-	LookAfter = 10 * time.Millisecond
+	CheckDelay = 10 * time.Millisecond
 	// LookTimeout bounds the check whether the upstream crashed.
 	LookTimeout = 500 * time.Millisecond
 )
