--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -231,7 +231,7 @@
 // probe checks whether an upstream has crashed and, if so, reports the crash to
 // the other entries.
 func (e *Entry) probe(ctx context.Context, incarnation quarantine.Incarnation, address string) {
-	ctx, cancel := context.WithTimeout(ctx, quarantine.LookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, quarantine.CheckTimeout)
 	defer cancel()
 	crashed := e.options.Upstreams.Crashed(ctx, address)
 	now := time.Now()
--- a/internal/gateway/lost.go
+++ b/internal/gateway/lost.go
@@ -41,7 +41,7 @@
 
 // checkCrash checks whether an upstream whose sends broke off has crashed.
 func (g *Gateway) checkCrash(incarnation quarantine.Incarnation, send *Send) {
-	ctx, cancel := context.WithTimeout(context.Background(), quarantine.LookTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), quarantine.CheckTimeout)
 	defer cancel()
 	wait.For(ctx, quarantine.CheckDelay)
 	crashed := g.options.Sender.Crashed(ctx, send)
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -10,8 +10,8 @@
 	// and the check whether the upstream crashed. A crash breaks all connections of
 	// the process, but they are noticed one by one.
 	CheckDelay = 10 * time.Millisecond
-	// LookTimeout bounds the check whether the upstream crashed.
-	LookTimeout = 500 * time.Millisecond
+	// CheckTimeout bounds the check whether the upstream crashed.
+	CheckTimeout = 500 * time.Millisecond
 )
 
 // Attempt is an attempt that broke off.
