--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -49,7 +49,7 @@
 // entry decides by itself, from the same crashes.
 type crashState struct {
 	tracker *quarantine.Tracker
-	lost    quarantine.Lost
+	lost    quarantine.LostAttempts
 	served  quarantine.Served
 	// seen records when each crash was observed, as far as this entry knows.
 	seen quarantine.Seen
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -103,7 +103,7 @@
 	entries, activeEntries int
 	recent                 *recentParts
 	// lost holds the sends that broke off lately.
-	lost quarantine.Lost
+	lost quarantine.LostAttempts
 	// verdicts holds the requests that crash upstreams.
 	verdicts verdicts
 	// evacuation lists the data centres whose upstreams get no new work.
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -20,14 +20,14 @@
 	Fingerprint Fingerprint
 }
 
-// Lost collects the attempts that broke off at each upstream until it is known
+// LostAttempts collects the attempts that broke off at each upstream until it is known
 // whether the upstream crashed or only the connections broke. The zero value is ready
 // to use; it is not safe for concurrent use.
-type Lost struct{ attempts map[Incarnation][]Attempt }
+type LostAttempts struct{ attempts map[Incarnation][]Attempt }
 
 // Add records an attempt and reports whether it is the first at its upstream, which
 // then has to be checked after LookAfter.
-func (l *Lost) Add(incarnation Incarnation, a Attempt) bool {
+func (l *LostAttempts) Add(incarnation Incarnation, a Attempt) bool {
 	if l.attempts == nil {
 		l.attempts = make(map[Incarnation][]Attempt)
 	}
@@ -40,14 +40,14 @@
 
 // Take removes and returns the attempts that broke off at an upstream, once it was
 // checked.
-func (l *Lost) Take(incarnation Incarnation) []Attempt {
+func (l *LostAttempts) Take(incarnation Incarnation) []Attempt {
 	attempts := l.attempts[incarnation]
 	delete(l.attempts, incarnation)
 	return attempts
 }
 
 // Len returns the number of upstreams that are still to be checked.
-func (l *Lost) Len() int { return len(l.attempts) }
+func (l *LostAttempts) Len() int { return len(l.attempts) }
 
 // Blame returns the crash of an upstream with the requests of those attempts that
 // were not served recently.
