--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -237,7 +237,7 @@
 	now := time.Now()
 	e.mu.Lock()
 	attempts := e.crashes.lost.Take(incarnation)
-	crash := quarantine.Blame(incarnation, attempts, &e.crashes.served, now)
+	crash := quarantine.NewCrash(incarnation, attempts, &e.crashes.served, now)
 	blamed := crashed && len(crash.Fingerprints) > 0
 	if blamed {
 		e.crashes.own = append(e.crashes.own, ownCrash{crash: crash, seenAt: now})
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -165,7 +165,7 @@
 // reportCrash reports the requests that were under way at an upstream when it crashed. The
 // caller holds the lock.
 func (g *Gateway) reportCrash(incarnation quarantine.Incarnation, attempts []quarantine.Attempt, now time.Time) {
-	if crash := quarantine.Blame(incarnation, attempts, &g.state.served, now); len(crash.Fingerprints) > 0 {
+	if crash := quarantine.NewCrash(incarnation, attempts, &g.state.served, now); len(crash.Fingerprints) > 0 {
 		g.reports.add(steward.Report{Crashes: []quarantine.Crash{crash}})
 	}
 }
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -49,9 +49,9 @@
 // Len returns the number of upstreams that are still to be checked.
 func (l *LostAttempts) Len() int { return len(l.attempts) }
 
-// Blame returns the crash of an upstream with the requests of those attempts that
+// NewCrash returns the crash of an upstream with the requests of those attempts that
 // were not served recently.
-func Blame(incarnation Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
+func NewCrash(incarnation Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
 	crash := Crash{Incarnation: incarnation}
 	for _, a := range attempts {
 		if !served.Has(a.Fingerprint, now) && !slices.Contains(crash.Fingerprints, a.Fingerprint) {
