--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -52,7 +52,7 @@
 	lost    quarantine.LostAttempts
 	served  quarantine.Served
 	// seen records when each crash was observed, as far as this entry knows.
-	seen quarantine.Seen
+	seen quarantine.CrashTimes
 	// own are the crashes that this entry observed itself. It sends them to the
 	// other entries, and again when an entry has started since.
 	own      []ownCrash
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -63,7 +63,7 @@
 	// quarantine tracks the requests that crash upstreams. crashesSeen holds the time at which
 	// this host learnt of each crash; like targets, it is local to the host.
 	quarantine  *quarantine.Tracker
-	crashesSeen quarantine.Seen
+	crashesSeen quarantine.CrashTimes
 	evacuation  *evacuation.Registry
 	pages       rosterPages
 	// changed is closed and replaced at each change, and orderChanged at each change that
--- a/quarantine/seen.go
+++ b/quarantine/seen.go
@@ -7,12 +7,12 @@
 // fixed.
 const CrashRetention = 30 * time.Minute
 
-// Seen holds the times at which a Tracker's crashes were first seen, by the monotonic
+// CrashTimes holds the times at which a Tracker's crashes were first seen, by the monotonic
 // clock of this process: processes share no clock. It is not safe for concurrent use.
-type Seen struct{ at map[Incarnation]time.Time }
+type CrashTimes struct{ at map[Incarnation]time.Time }
 
 // Record stores the time at which a crash was seen, unless one is known already.
-func (s *Seen) Record(incarnation Incarnation, at time.Time) {
+func (s *CrashTimes) Record(incarnation Incarnation, at time.Time) {
 	if s.at == nil {
 		s.at = make(map[Incarnation]time.Time)
 	}
@@ -23,7 +23,7 @@
 
 // Follow adapts the times to the crashes that are recorded: unknown ones count as
 // seen now, and times of others are dropped.
-func (s *Seen) Follow(recorded []Incarnation, now time.Time) {
+func (s *CrashTimes) Follow(recorded []Incarnation, now time.Time) {
 	before := s.at
 	s.at = make(map[Incarnation]time.Time, len(recorded))
 	for _, incarnation := range recorded {
@@ -36,7 +36,7 @@
 }
 
 // Age returns the time since a crash was seen, 0 if it is not known.
-func (s *Seen) Age(incarnation Incarnation, now time.Time) time.Duration {
+func (s *CrashTimes) Age(incarnation Incarnation, now time.Time) time.Duration {
 	if at, known := s.at[incarnation]; known {
 		return now.Sub(at)
 	}
@@ -44,7 +44,7 @@
 }
 
 // Old returns the crashes that no longer count.
-func (s *Seen) Old(now time.Time) []Incarnation {
+func (s *CrashTimes) Old(now time.Time) []Incarnation {
 	var incarnations []Incarnation
 	for incarnation := range s.at {
 		if s.Age(incarnation, now) >= CrashRetention {
@@ -55,4 +55,4 @@
 }
 
 // Len returns the number of crashes with a known time.
-func (s *Seen) Len() int { return len(s.at) }
+func (s *CrashTimes) Len() int { return len(s.at) }
