--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -89,10 +89,10 @@
 
 // expire drops crashes that are older than quarantine.CrashRetention.
 func (n *crashState) expire(now time.Time) {
-	n.seen.Follow(n.tracker.Incarnations(), now)
+	n.seen.Sync(n.tracker.Incarnations(), now)
 	if old := n.seen.Old(now); len(old) > 0 {
 		n.tracker.Forget(old...)
-		n.seen.Follow(n.tracker.Incarnations(), now)
+		n.seen.Sync(n.tracker.Incarnations(), now)
 	}
 	n.own = slices.DeleteFunc(n.own, func(o ownCrash) bool { return now.Sub(o.seenAt) >= quarantine.CrashRetention })
 }
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -204,7 +204,7 @@
 	}
 	m.quarantine.Restore(saved.Quarantine)
 	m.evacuation.Restore(saved.Evacuation)
-	m.crashesSeen.Follow(m.quarantine.Incarnations(), time.Now())
+	m.crashesSeen.Sync(m.quarantine.Incarnations(), time.Now())
 	m.notifyOrder()
 	return nil
 }
--- a/internal/steward/reports.go
+++ b/internal/steward/reports.go
@@ -33,7 +33,7 @@
 	before := m.quarantine.Revision()
 	m.quarantine.AddCrashes(r.Crashes...)
 	m.quarantine.Served(r.Served...)
-	m.crashesSeen.Follow(m.quarantine.Incarnations(), time.Now())
+	m.crashesSeen.Sync(m.quarantine.Incarnations(), time.Now())
 	if m.quarantine.Revision() != before {
 		m.notifyOrder()
 	}
@@ -43,7 +43,7 @@
 func (m *Machine) applyForget(incarnations []quarantine.Incarnation) {
 	before := m.quarantine.Revision()
 	m.quarantine.Forget(incarnations...)
-	m.crashesSeen.Follow(m.quarantine.Incarnations(), time.Now())
+	m.crashesSeen.Sync(m.quarantine.Incarnations(), time.Now())
 	if m.quarantine.Revision() != before {
 		m.notifyOrder()
 	}
--- a/quarantine/seen.go
+++ b/quarantine/seen.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// Follow adapts the times to the crashes that are recorded: unknown ones count as
+// Sync adapts the times to the crashes that are recorded: unknown ones count as
 // seen now, and times of others are dropped.
-func (s *CrashTimes) Follow(recorded []Incarnation, now time.Time) {
+func (s *CrashTimes) Sync(recorded []Incarnation, now time.Time) {
 	before := s.at
 	s.at = make(map[Incarnation]time.Time, len(recorded))
 	for _, incarnation := range recorded {
