--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -90,7 +90,7 @@
 // expire drops crashes that are older than quarantine.CrashRetention.
 func (n *crashState) expire(now time.Time) {
 	n.seen.Sync(n.tracker.Incarnations(), now)
-	if old := n.seen.Old(now); len(old) > 0 {
+	if old := n.seen.Expired(now); len(old) > 0 {
 		n.tracker.Forget(old...)
 		n.seen.Sync(n.tracker.Incarnations(), now)
 	}
--- a/internal/steward/reports.go
+++ b/internal/steward/reports.go
@@ -54,7 +54,7 @@
 func (m *Machine) expiredCrashes(now time.Time) []quarantine.Incarnation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.crashesSeen.Old(now)
+	return m.crashesSeen.Expired(now)
 }
 
 // quarantined lists the requests that are sent to no upstream, and counts the suspects.
--- a/quarantine/seen.go
+++ b/quarantine/seen.go
@@ -43,8 +43,8 @@
 	return 0
 }
 
-// Old returns the crashes that no longer count.
-func (s *CrashTimes) Old(now time.Time) []Incarnation {
+// Expired returns the crashes that no longer count.
+func (s *CrashTimes) Expired(now time.Time) []Incarnation {
 	var incarnations []Incarnation
 	for incarnation := range s.at {
 		if s.Age(incarnation, now) >= CrashRetention {
