--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -50,7 +50,7 @@
 type crashState struct {
 	tracker *quarantine.Tracker
 	lost    quarantine.LostAttempts
-	served  quarantine.Served
+	served  quarantine.RecentlyServed
 	// seen records when each crash was observed, as far as this entry knows.
 	seen quarantine.CrashTimes
 	// own are the crashes that this entry observed itself. It sends them to the
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -112,7 +112,7 @@
 	allowance *warmup.Allowance
 	// served holds the requests that were served lately: they are not considered the cause of
 	// a crash.
-	served quarantine.Served
+	served quarantine.RecentlyServed
 	// waiting holds the requests that wait for capacity, in the order of dispatch.
 	waiting    []*waiter
 	waitLimits waitLimits
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -51,7 +51,7 @@
 
 // NewCrash returns the crash of an upstream with the requests of those attempts that
 // were not served recently.
-func NewCrash(incarnation Incarnation, attempts []Attempt, served *Served, now time.Time) Crash {
+func NewCrash(incarnation Incarnation, attempts []Attempt, served *RecentlyServed, now time.Time) Crash {
 	crash := Crash{Incarnation: incarnation}
 	for _, a := range attempts {
 		if !served.Has(a.Fingerprint, now) && !slices.Contains(crash.Fingerprints, a.Fingerprint) {
--- a/quarantine/served.go
+++ b/quarantine/served.go
@@ -11,27 +11,27 @@
 	maxServed = 4096
 )
 
-// Served is the set of requests that were served within the last ten seconds, and
+// RecentlyServed is the set of requests that were served within the last ten seconds, and
 // some that were served earlier, in two generations. The zero value is ready to use;
 // it is not safe for concurrent use.
-type Served struct {
+type RecentlyServed struct {
 	current, previous map[Fingerprint]bool
 	rotatedAt         time.Time
 }
 
 // Record adds a request that was served completely.
-func (s *Served) Record(f Fingerprint, now time.Time) {
+func (s *RecentlyServed) Record(f Fingerprint, now time.Time) {
 	s.rotate(now)
 	s.current[f] = true
 }
 
 // Has reports whether a request was served recently.
-func (s *Served) Has(f Fingerprint, now time.Time) bool {
+func (s *RecentlyServed) Has(f Fingerprint, now time.Time) bool {
 	s.rotate(now)
 	return s.current[f] || s.previous[f]
 }
 
-func (s *Served) rotate(now time.Time) {
+func (s *RecentlyServed) rotate(now time.Time) {
 	age := now.Sub(s.rotatedAt)
 	if age < servedRetention && len(s.current) < maxServed/2 {
 		return
--- a/quarantine/served_test.go
+++ b/quarantine/served_test.go
@@ -7,7 +7,7 @@
 
 // The set of served requests is bounded, and requests expire from it.
 func TestServedIsBounded(t *testing.T) {
-	var s Served
+	var s RecentlyServed
 	now := time.Now()
 	numbered := func(i int) Fingerprint { return Fingerprint{byte(i), byte(i >> 8)} }
 	for i := range 3 * maxServed {
