--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -327,7 +327,7 @@
 	if len(a.job.avoid) >= maxResumes {
 		return false
 	}
-	at := retry.Resume(retry.Broken{
+	at := retry.Resume(retry.BrokenStream{
 		Delivered:     a.delivered,
 		Version:       a.plan.version,
 		Deterministic: true,
--- a/retry/resume.go
+++ b/retry/resume.go
@@ -4,8 +4,8 @@
 	"github.com/lovagereach/lovagereach/ident"
 )
 
-// Broken describes a stream that broke off before its last event.
-type Broken struct {
+// BrokenStream describes a stream that broke off before its last event.
+type BrokenStream struct {
 	// Delivered is the number of answer tokens that the caller has received.
 	Delivered int
 	// Version is the weight version that generated these tokens.
@@ -36,7 +36,7 @@
 // Resume returns where a broken stream may be resumed. A stream that has delivered
 // nothing may restart on any upstream; one that has may move only to an upstream that
 // would have generated the same tokens.
-func Resume(b Broken) ResumeAt {
+func Resume(b BrokenStream) ResumeAt {
 	switch {
 	case b.Delivered == 0, b.Deterministic:
 		return ResumeAnyUpstream
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -186,13 +186,13 @@
 // would look complete and be wrong.
 func TestResume(t *testing.T) {
 	cases := []struct {
-		broken Broken
+		broken BrokenStream
 		want   ResumeAt
 	}{
-		{Broken{}, ResumeAnyUpstream},
-		{Broken{Delivered: 3, UpstreamAlive: true}, ResumeSameUpstream},
-		{Broken{Delivered: 3, Deterministic: true}, ResumeAnyUpstream},
-		{Broken{Delivered: 3}, ResumeNowhere},
+		{BrokenStream{}, ResumeAnyUpstream},
+		{BrokenStream{Delivered: 3, UpstreamAlive: true}, ResumeSameUpstream},
+		{BrokenStream{Delivered: 3, Deterministic: true}, ResumeAnyUpstream},
+		{BrokenStream{Delivered: 3}, ResumeNowhere},
 	}
 	for _, c := range cases {
 		if got := Resume(c.broken); got != c.want {
