--- a/internal/entry/learning_test.go
+++ b/internal/entry/learning_test.go
@@ -150,8 +150,8 @@
 			t.Errorf("links %+v, want one slow link", links)
 		}
 		for _, learned := range upstreams {
-			if (learned.Miss != 0) != (learned.Band == 1) {
-				t.Errorf("band %d has learned a miss of %g s", learned.Band, learned.Miss)
+			if (learned.MeanError != 0) != (learned.Band == 1) {
+				t.Errorf("band %d has learned a miss of %g s", learned.Band, learned.MeanError)
 			}
 		}
 		if len(b.fetching.from)+len(b.fetching.into) != 0 {
--- a/route/learned.go
+++ b/route/learned.go
@@ -17,9 +17,9 @@
 	// WaitPerToken and WaitPerRequest are the seconds of queue wait per token ahead
 	// and per request beyond the free slots.
 	WaitPerToken, WaitPerRequest float64
-	// Miss is the mean absolute error of the predicted time to first token, in
+	// MeanError is the mean absolute error of the predicted time to first token, in
 	// seconds.
-	Miss float64
+	MeanError float64
 }
 
 // LearnedLink describes the model of reading from one tier of a store host.
@@ -40,7 +40,7 @@
 			band := &m.bands[i]
 			upstreams = append(upstreams, LearnedUpstream{
 				Upstream: name, Band: i, PrefillTokensPerSecond: 1 / band.prefill.coef[1],
-				WaitPerToken: band.wait.coef[0], WaitPerRequest: band.wait.coef[1], Miss: band.predictionError,
+				WaitPerToken: band.wait.coef[0], WaitPerRequest: band.wait.coef[1], MeanError: band.predictionError,
 			})
 		}
 	}
