--- a/route/learned.go
+++ b/route/learned.go
@@ -27,8 +27,8 @@
 	Store          ident.Upstream
 	Slow           bool
 	BytesPerSecond float64
-	// Noise is the mean absolute error of the predicted transfer time, in seconds.
-	Noise float64
+	// MeanError is the mean absolute error of the predicted transfer time, in seconds.
+	MeanError float64
 }
 
 // Learned returns descriptions of all models for dumps, ordered by upstream and band
@@ -50,7 +50,7 @@
 	links := make([]LearnedLink, 0, len(p.links))
 	for key, l := range p.links {
 		links = append(links, LearnedLink{
-			Store: key.store, Slow: key.slow, BytesPerSecond: 1 / l.coef[1], Noise: l.meanError,
+			Store: key.store, Slow: key.slow, BytesPerSecond: 1 / l.coef[1], MeanError: l.meanError,
 		})
 	}
 	slices.SortFunc(links, func(a, b LearnedLink) int {
