--- a/internal/steward/announcements.go
+++ b/internal/steward/announcements.go
@@ -179,7 +179,7 @@
 		if !follows {
 			return false, err
 		}
-		s.options.Log.Warn("incarnation with an earlier start time accepted as the current one", "upstream", u.ID, "born", u.StartedMs, "follows", u.Follows)
+		s.options.Log.Warn("incarnation with an earlier start time accepted as the current one", "upstream", u.ID, "born", u.StartedMs, "follows", u.Supersedes)
 	case foreignAnnouncement:
 		return false, eris.Wrap(ErrForeignWriter, u.ID)
 	}
--- a/internal/steward/silent.go
+++ b/internal/steward/silent.go
@@ -34,7 +34,7 @@
 	observed := l.successions.Observes(*u, now, pause)
 	switch {
 	case l.successions.Receive(*u, held, l.lastContact(u.ID), now, pause):
-		u.Follows = held.StartedMs
+		u.Supersedes = held.StartedMs
 		return true, nil
 	case observed && u.State != roster.Serving && held.State == roster.Serving:
 		return false, eris.Wrapf(ErrUnavailable, "%s: which of its lives is the present one is in doubt", u.ID)
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -75,10 +75,10 @@
 	// Doubts is how many more warm announcements are needed before the upstream counts
 	// as warm.
 	Doubts uint8 `cbor:"11,keyasint,omitempty"`
-	// Follows is set in an announcement of an incarnation that supersedes one with a
+	// Supersedes is set in an announcement of an incarnation that supersedes one with a
 	// later start time: it is the start time of the superseded incarnation. The leader
 	// that accepts the announcement sets it.
-	Follows uint64 `cbor:"12,keyasint,omitempty"`
+	Supersedes uint64 `cbor:"12,keyasint,omitempty"`
 	// Superseded is the later start time of the incarnation that this one superseded,
 	// 0 for none.
 	Superseded uint64 `cbor:"13,keyasint,omitempty"`
@@ -200,7 +200,7 @@
 // announced by another writer; the caller of Announce has decided which. A record without
 // a start time adopts the first one announced.
 func replaces(held *Upstream, a Upstream) bool {
-	if held.StartedMs != 0 && (a.StartedMs > held.StartedMs && a.StartedMs != held.Superseded || a.Follows == held.StartedMs) {
+	if held.StartedMs != 0 && (a.StartedMs > held.StartedMs && a.StartedMs != held.Superseded || a.Supersedes == held.StartedMs) {
 		return true
 	}
 	return held.State != Gone && a.State != Gone && held.Service != "" && a.Service != "" && held.Service != a.Service
@@ -209,13 +209,13 @@
 // merge returns held with the announcement a applied. Within one incarnation the state
 // only advances; a newer incarnation keeps nothing of the previous one.
 func merge(held *Upstream, a Upstream) Upstream {
-	superseded := max(held.Superseded, a.Follows)
+	superseded := max(held.Superseded, a.Supersedes)
 	if replaces(held, a) {
 		held = &Upstream{}
 	}
 	merged := a
 	merged.StartedMs = max(held.StartedMs, a.StartedMs)
-	merged.Follows, merged.Superseded = 0, 0
+	merged.Supersedes, merged.Superseded = 0, 0
 	if superseded > merged.StartedMs {
 		merged.Superseded = superseded
 	}
--- a/roster/succession_test.go
+++ b/roster/succession_test.go
@@ -135,8 +135,8 @@
 	for step := range 3000 {
 		u := startedAt(startTimes[random.IntN(3)], announcement("a", uint64(random.IntN(50)), State(1+random.IntN(3))))
 		if held, known := one.Get("a"); known && random.IntN(3) == 0 {
-			u.Follows = []uint64{held.StartedMs, 2000, held.Superseded}[random.IntN(3)]
-			if one.Outdated(u) && u.Follows == held.StartedMs {
+			u.Supersedes = []uint64{held.StartedMs, 2000, held.Superseded}[random.IntN(3)]
+			if one.Outdated(u) && u.Supersedes == held.StartedMs {
 				t.Fatalf("step %d: %+v does not follow %+v", step, u, held)
 			}
 		}
@@ -149,7 +149,7 @@
 			other.Restore(saved)
 		}
 		held, _ := one.Get("a")
-		if held.Follows != 0 || held.Superseded != 0 && held.Superseded <= held.StartedMs || !slices.Contains(startTimes, held.StartedMs) {
+		if held.Supersedes != 0 || held.Superseded != 0 && held.Superseded <= held.StartedMs || !slices.Contains(startTimes, held.StartedMs) {
 			t.Fatalf("step %d: record is %+v", step, held)
 		}
 		if again, _ := other.Get("a"); !same(&again, &held) || again.Superseded != held.Superseded {
@@ -164,7 +164,7 @@
 	r := New()
 	r.Announce(startedAt(2000, withVersion(5, announcement("a", 70, Leaving))))
 	current := startedAt(1000, withVersion(1, announcement("a", 9, Serving)))
-	current.Follows = 2000
+	current.Supersedes = 2000
 	if !r.Announce(current) {
 		t.Fatal("the current incarnation changed nothing")
 	}
@@ -176,7 +176,7 @@
 		}
 	}
 	u, _ := r.Get("a")
-	if current.Follows = 0; !same(&u, &current) || u.Superseded != 2000 {
+	if current.Supersedes = 0; !same(&u, &current) || u.Superseded != 2000 {
 		t.Errorf("record is %+v", u)
 	}
 	for _, next := range []uint64{1500, 3000} {
