--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -81,7 +81,7 @@
 		s.addServing(u)
 	}
 	u.record = record
-	if before.Sequence != record.Sequence || before.Doubts != record.Doubts || before.ColdMs != record.ColdMs {
+	if before.Sequence != record.Sequence || before.WarmReportsNeeded != record.WarmReportsNeeded || before.ColdMs != record.ColdMs {
 		u.updateCold(time.Now())
 	}
 }
--- a/roster/cold.go
+++ b/roster/cold.go
@@ -11,11 +11,11 @@
 func coldness(held *Upstream, a *Upstream) (coldMs uint64, doubts uint8) {
 	switch {
 	case held.ID == "":
-		return a.ColdMs, a.Doubts
+		return a.ColdMs, a.WarmReportsNeeded
 	case a.Sequence <= held.Sequence:
-		return held.ColdMs, held.Doubts
-	case a.ColdMs == 0 && held.Doubts > 1:
-		return held.ColdMs, held.Doubts - 1
+		return held.ColdMs, held.WarmReportsNeeded
+	case a.ColdMs == 0 && held.WarmReportsNeeded > 1:
+		return held.ColdMs, held.WarmReportsNeeded - 1
 	}
 	return a.ColdMs, 0
 }
@@ -37,7 +37,7 @@
 			continue
 		}
 		presumed := *held
-		presumed.ColdMs, presumed.Doubts = max(held.ColdMs, ms), warmAnnouncements
+		presumed.ColdMs, presumed.WarmReportsNeeded = max(held.ColdMs, ms), warmAnnouncements
 		r.upstreams[id] = &presumed
 		r.live = nil
 		changed = true
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -72,9 +72,9 @@
 	// ColdMs is how many milliseconds after the announcement the upstream is still
 	// cold, 0 if it is warm.
 	ColdMs uint64 `cbor:"10,keyasint,omitempty"`
-	// Doubts is how many more warm announcements are needed before the upstream counts
+	// WarmReportsNeeded is how many more warm announcements are needed before the upstream counts
 	// as warm.
-	Doubts uint8 `cbor:"11,keyasint,omitempty"`
+	WarmReportsNeeded uint8 `cbor:"11,keyasint,omitempty"`
 	// Supersedes is set in an announcement of an incarnation that supersedes one with a
 	// later start time: it is the start time of the superseded incarnation. The leader
 	// that accepts the announcement sets it.
@@ -226,7 +226,7 @@
 		merged.Slots = held.Slots
 	}
 	merged.Loaded = newest(held.Loaded, a.Loaded)
-	merged.ColdMs, merged.Doubts = coldness(held, &a)
+	merged.ColdMs, merged.WarmReportsNeeded = coldness(held, &a)
 	return merged
 }
 
@@ -252,7 +252,7 @@
 func same(a, b *Upstream) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre &&
 		a.State == b.State && a.Slots == b.Slots && a.StartedMs == b.StartedMs && slices.Equal(a.Loaded, b.Loaded) &&
-		a.ColdMs == b.ColdMs && a.Doubts == b.Doubts && (b.ColdMs == 0 || a.Sequence == b.Sequence)
+		a.ColdMs == b.ColdMs && a.WarmReportsNeeded == b.WarmReportsNeeded && (b.ColdMs == 0 || a.Sequence == b.Sequence)
 }
 
 // recordGone records a departure and drops the oldest ones beyond MaxGone.
