--- a/internal/simtree/node.go
+++ b/internal/simtree/node.go
@@ -227,7 +227,7 @@
 	}
 	if effect.ConfigChanged {
 		now := w.clock(n.rate)
-		n.link.Moved(now, n.child().Serving(now))
+		n.link.ConfigChanged(now, n.child().Serving(now))
 	}
 	if effect.ConfigChanged && n.relay != nil {
 		w.pushToChildren(n)
--- a/relay/link.go
+++ b/relay/link.go
@@ -95,9 +95,9 @@
 	return false
 }
 
-// Moved must be called when a push advanced the child's configuration. A child without a
+// ConfigChanged must be called when a push advanced the child's configuration. A child without a
 // lease was probably refused for an old revision and renews immediately.
-func (l *Link) Moved(now time.Time, serving bool) {
+func (l *Link) ConfigChanged(now time.Time, serving bool) {
 	if !serving {
 		l.next = now
 	}
