--- a/internal/simtree/node.go
+++ b/internal/simtree/node.go
@@ -223,7 +223,7 @@
 		panic(fmt.Sprintf("simtree: %s: %v", n.host, effect.Err))
 	}
 	if effect.Behind {
-		n.link.Behind(w.clock(n.rate))
+		n.link.RenewNow(w.clock(n.rate))
 	}
 	if effect.ConfigChanged {
 		now := w.clock(n.rate)
--- a/relay/link.go
+++ b/relay/link.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// Behind schedules an immediate renewal, because a push showed that an update is missing.
-func (l *Link) Behind(now time.Time) { l.next = now }
+// RenewNow schedules an immediate renewal, because a push showed that an update is missing.
+func (l *Link) RenewNow(now time.Time) { l.next = now }
 
 // switchParent switches to the next parent. The first switch has no delay; the delay of
 // later ones doubles, so that processes without a connection to any parent don't send to all
