--- a/internal/decision/state_changes.go
+++ b/internal/decision/state_changes.go
@@ -34,7 +34,7 @@
 	// ConsecutiveFailures is the number of consecutive failures; Failures is the recent share of failed
 	// sends.
 	ConsecutiveFailures int
-	Failures            float64
+	FailureRate         float64
 	// Cause is the error of the last send, nil if it succeeded.
 	Cause error
 }
@@ -47,7 +47,7 @@
 
 // Fields implements Event.
 func (e *UpstreamHealth) Fields() []any {
-	return []any{"upstream", e.Upstream, "avoided", e.Ejected, "in_row", e.ConsecutiveFailures, "failures", e.Failures, "cause", e.Cause}
+	return []any{"upstream", e.Upstream, "avoided", e.Ejected, "in_row", e.ConsecutiveFailures, "failures", e.FailureRate, "cause", e.Cause}
 }
 
 // UpstreamLost is logged when the connections of requests to an upstream were lost. Crashed
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -96,6 +96,6 @@
 // logHealth logs that an upstream is ejected or reinstated.
 func (g *Gateway) logHealth(u *upstreamState, ejected bool, cause error) {
 	g.options.Decisions.Emit(&decision.UpstreamHealth{
-		Upstream: u.record.ID, Ejected: ejected, ConsecutiveFailures: u.health.consecutive, Failures: math.Round(u.health.share(time.Now())*100) / 100, Cause: cause,
+		Upstream: u.record.ID, Ejected: ejected, ConsecutiveFailures: u.health.consecutive, FailureRate: math.Round(u.health.share(time.Now())*100) / 100, Cause: cause,
 	})
 }
