--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -56,9 +56,9 @@
 	Status int
 	// Sends counts the attempts that reached an upstream, Unsent those that did not.
 	Sends, Unsent int
-	// Begun is true if the caller has the status and headers; LastEvent is the last event
+	// Started is true if the caller has the status and headers; LastEvent is the last event
 	// forwarded.
-	Begun     bool
+	Started   bool
 	LastEvent string
 	Choice    Choice
 	View      View
@@ -85,7 +85,7 @@
 		"first_ms", ms(e.First), "total_ms", ms(e.Total), "target_ms", ms(e.Target), "waited_ms", ms(e.Waited), "sends", e.Sends, "unsent", e.Unsent,
 	}
 	if e.Cause != nil {
-		fields = append(fields, "cause", e.Cause, "begun", e.Begun, "last_event", e.LastEvent)
+		fields = append(fields, "cause", e.Cause, "begun", e.Started, "last_event", e.LastEvent)
 	}
 	return e.View.append(e.Choice.append(fields))
 }
