--- a/internal/simtree/simtree_test.go
+++ b/internal/simtree/simtree_test.go
@@ -97,7 +97,7 @@
 	w = newWorld(t, Options{
 		Seed: seed, Relays: 3, Entries: 9, DataCentres: 3,
 		Delay: 1500 * time.Microsecond, Loss: 0.05,
-		Drift: float64(lease.Drift) / 1000,
+		Drift: float64(lease.MaxDriftPerMille) / 1000,
 	}, faults)
 	random := rand.New(rand.NewPCG(seed, 3))
 	for step := 0; w.Now() < time.Minute; step++ {
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -78,7 +78,7 @@
 
 // clockRate returns a random clock rate. Extreme rates are as likely as others.
 func (s *simulation) clockRate() float64 {
-	return 1 + []float64{-1, -0.5, 0, 0.5, 1}[s.random.IntN(5)]*Drift/perThousand
+	return 1 + []float64{-1, -0.5, 0, 0.5, 1}[s.random.IntN(5)]*MaxDriftPerMille/perThousand
 }
 
 func newSimulation(seed uint64, bug seededBug) *simulation {
