--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -14,7 +14,7 @@
 // change.
 func TestAnnouncementReturnsReportIntervals(t *testing.T) {
 	b := newTestEntry(t)
-	for i := range upstream.UnpacedUpstreams + 1 {
+	for i := range upstream.MaxUnpacedUpstreams + 1 {
 		assignment, err := b.Announce(port.Announcement{
 			Upstream: ident.Upstream(fmt.Sprint("runner-", i)), Incarnation: 1, Kind: port.KindEngine,
 			Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), DataCentre: testCentre, LeaseMillis: 3000, Slots: 4, BlockBytes: 1000,
--- a/upstream/herd_test.go
+++ b/upstream/herd_test.go
@@ -252,7 +252,7 @@
 // callers wait for slots while other runners are idle.
 func TestLongReportIntervalsDoNotMakeCallersWait(t *testing.T) {
 	frequent := slowReportHerd
-	frequent.upstreams = UnpacedUpstreams + 1
+	frequent.upstreams = MaxUnpacedUpstreams + 1
 	frequent.every = 500 * time.Millisecond
 	infrequent := frequent
 	infrequent.every = MaxReportEvery
--- a/upstream/report_intervals.go
+++ b/upstream/report_intervals.go
@@ -12,9 +12,9 @@
 
 // Bounds of ReportIntervalsFor.
 const (
-	// UnpacedUpstreams is the largest number of upstreams that report at their
+	// MaxUnpacedUpstreams is the largest number of upstreams that report at their
 	// own intervals.
-	UnpacedUpstreams = 32
+	MaxUnpacedUpstreams = 32
 	// ReportBytesPerSecond and EventBytesPerSecond are the budgets of one
 	// process for what all its upstreams together send it: the former for load
 	// reports, the latter for batches of cache events without the events
@@ -41,7 +41,7 @@
 // ReportIntervalsFor returns the intervals at which the given number of
 // upstreams keep to the budgets. At a maximum interval the budget is exceeded.
 func ReportIntervalsFor(upstreams int) ReportIntervals {
-	if upstreams <= UnpacedUpstreams {
+	if upstreams <= MaxUnpacedUpstreams {
 		return ReportIntervals{}
 	}
 	return ReportIntervals{
--- a/upstream/report_intervals_test.go
+++ b/upstream/report_intervals_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestSmallFleetsReportAtTheirOwnIntervals(t *testing.T) {
-	for _, n := range []int{0, 1, 21, UnpacedUpstreams} {
+	for _, n := range []int{0, 1, 21, MaxUnpacedUpstreams} {
 		if ReportIntervalsFor(n) != (ReportIntervals{}) {
 			t.Errorf("%d upstreams get report intervals: %+v", n, ReportIntervalsFor(n))
 		}
