--- a/internal/gateway/learned_test.go
+++ b/internal/gateway/learned_test.go
@@ -46,7 +46,7 @@
 		}
 		p := placement.Prompt{
 			Parts:      []placement.Part{{ID: fmt.Sprint(i), Tokens: size(6000)}, {ID: "own", Tokens: size(2000)}},
-			TokenBytes: 163840, Whole: [][]int{{0}, nil},
+			TokenBytes: 163840, Complete: [][]int{{0}, nil},
 		}
 		stores := []placement.Store{{Address: "s", LinkMbps: 350000, FirstByte: 6 * time.Millisecond, Capacity: 1 << 24, Open: i%4 > 0}}
 		a, _ := placement.Choose(&learned, "m.1", &p, runners, stores)
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -28,13 +28,13 @@
 
 func (s *state) describePrompt(prompt *Prompt, salt string, engine *catalog.Engine, candidates []*upstreamState, addresses []string, now time.Time) promptView {
 	d := promptView{salt: salt, keys: make([]cacheindex.Key, len(prompt.Parts))}
-	d.prompt = placement.Prompt{Parts: prompt.Parts, Output: prompt.Output, TokenBytes: engine.TokenBytes, Whole: make([][]int, len(prompt.Parts))}
+	d.prompt = placement.Prompt{Parts: prompt.Parts, Output: prompt.Output, TokenBytes: engine.TokenBytes, Complete: make([][]int, len(prompt.Parts))}
 	d.prompt.CachesKnown = s.cachesKnown(candidates)
 	for i, part := range prompt.Parts {
 		d.keys[i] = cacheindex.Key{Salt: salt, Part: part.ID}
 		for index, address := range addresses {
 			if s.caches.ReadableTokens(address, d.keys[i]) >= part.Tokens {
-				d.prompt.Whole[i] = append(d.prompt.Whole[i], index)
+				d.prompt.Complete[i] = append(d.prompt.Complete[i], index)
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 			fetches = true
 			continue
 		}
-		if len(view.prompt.Whole[i]) > 0 || s.isPending(view.keys[i], now) || s.isRetired(view.keys[i], addresses) {
+		if len(view.prompt.Complete[i]) > 0 || s.isPending(view.keys[i], now) || s.isRetired(view.keys[i], addresses) {
 			continue
 		}
 		if at := placement.KeepAt(rates, view.salt, parts[i], view.prompt.TokenBytes, stores); at >= 0 {
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -16,7 +16,7 @@
 			rates, list := DefaultRates(), runners(n)
 			p := &Prompt{
 				Parts: []Part{{"head", 500}, {"shared", 12800}, {"own", 4200}}, Output: 20, TokenBytes: 18432,
-				Whole: [][]int{{0}, nil, nil}, Cached: func(runner, part int) bool { return part == 1 && runner%7 == 0 },
+				Complete: [][]int{{0}, nil, nil}, Cached: func(runner, part int) bool { return part == 1 && runner%7 == 0 },
 			}
 			stores := []Store{largeStore("north")}
 			b.ReportAllocs()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -100,8 +100,8 @@
 	Parts []Part
 	// Output is the maximum number of tokens of the answer.
 	Output int
-	// Whole lists, for each part, the stores that hold it completely.
-	Whole [][]int
+	// Complete lists, for each part, the stores that hold it completely.
+	Complete [][]int
 	// Cached reports whether a runner very likely still caches a part.
 	Cached func(runner, part int) bool
 	// CachesKnown indicates that the contents of the runners' caches are known: a part for
@@ -303,10 +303,10 @@
 // fetch in milliseconds. The store is -1 if there is none.
 func (p *Prompt) bestSource(rates *Rates, part int, r *Runner, stores []Store) (int, float64) {
 	best, bestMs := -1, 0.0
-	if part >= len(p.Whole) {
+	if part >= len(p.Complete) {
 		return best, bestMs
 	}
-	for _, index := range p.Whole[part] {
+	for _, index := range p.Complete[part] {
 		store := &stores[index]
 		if !store.Open {
 			continue
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -15,7 +15,7 @@
 }
 
 func longPrompt() *Prompt {
-	return &Prompt{Parts: []Part{{"shared", 12800}, {"own", 4200}}, Output: 20, TokenBytes: 18432, Whole: make([][]int, 2)}
+	return &Prompt{Parts: []Part{{"shared", 12800}, {"own", 4200}}, Output: 20, TokenBytes: 18432, Complete: make([][]int, 2)}
 }
 
 func largeStore(dataCentre string) Store {
@@ -125,7 +125,7 @@
 
 func TestCompletePartsAreFetched(t *testing.T) {
 	p := longPrompt()
-	p.Whole[0] = []int{0}
+	p.Complete[0] = []int{0}
 	stores := []Store{largeStore("north")}
 	c := choose(t, p, runners(18), stores)
 	if c.Fetch[0] != 0 || c.Fetch[1] != -1 || c.PrefillTokens > 4300 {
@@ -143,7 +143,7 @@
 		list[i].DataCentre = []string{"north", "dock"}[i%2]
 	}
 	p := longPrompt()
-	p.Whole[0] = []int{0}
+	p.Complete[0] = []int{0}
 	for i := range 20 {
 		p.Parts[0].ID = fmt.Sprint(i)
 		rates := DefaultRates()
@@ -160,7 +160,7 @@
 // runner's cache, although the cache may have evicted it.
 func TestFetchAvoidsStoreWithLongQueue(t *testing.T) {
 	p := longPrompt()
-	p.Whole[0] = []int{0, 1}
+	p.Complete[0] = []int{0, 1}
 	slow, cache := largeStore("north"), Store{Address: "r3", DataCentre: "north", LinkMbps: 370000, Open: true, Risk: 0.1}
 	stores := []Store{slow, cache}
 	if c := choose(t, p, runners(18), stores); c.Fetch[0] != 0 {
@@ -225,7 +225,7 @@
 	sent := make(map[int]int)
 	const prompts = 2600
 	for i := range prompts {
-		p := &Prompt{Parts: []Part{{fmt.Sprintf("p%d", i), 250}, {"own", 80}}, Output: 3, TokenBytes: 18432, Whole: [][]int{{0}, nil}}
+		p := &Prompt{Parts: []Part{{fmt.Sprintf("p%d", i), 250}, {"own", 80}}, Output: 3, TokenBytes: 18432, Complete: [][]int{{0}, nil}}
 		// Prefill is pending at the home runner.
 		first := choose(t, p, list, []Store{store}).Runner
 		list[first].PendingPrefill = 300
