--- a/internal/gateway/learned.go
+++ b/internal/gateway/learned.go
@@ -58,7 +58,7 @@
 // observePrefill learns the prefill rate from a prompt whose answer has begun, if its runner
 // was idle and computed all of the prompt.
 func (s *state) observePrefill(p *plan, now time.Time) {
-	if p.send.Prompt == nil || !p.choice.Certain || p.logged.Requests > 0 {
+	if p.send.Prompt == nil || !p.choice.FullPrefill || p.logged.Requests > 0 {
 		return
 	}
 	s.prefillOf(p.upstream.record.Service).Observe(p.send.Request.Prompt.size()-p.send.Request.Prompt.Output, now.Sub(p.sent))
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -131,9 +131,9 @@
 	Fetch []int
 	// PrefillTokens is the number of tokens that the runner is expected to prefill.
 	PrefillTokens int
-	// Certain indicates that the runner prefills the complete prompt: no part of it is
+	// FullPrefill indicates that the runner prefills the complete prompt: no part of it is
 	// known or assumed to be cached there, and nothing is fetched.
-	Certain bool
+	FullPrefill bool
 	// CostMs is the predicted cost in milliseconds.
 	CostMs float64
 	// Home indicates that the runner is the prompt's home runner.
@@ -239,7 +239,7 @@
 // evaluate computes the cost of one runner. It writes the stores to fetch from into fetch.
 func evaluate(rates *Rates, p *Prompt, index int, runners []Runner, stores []Store, isHome bool, fetch []int) Choice {
 	r := &runners[index]
-	c := Choice{Runner: index, Home: isHome, Fetch: fetch, Certain: true}
+	c := Choice{Runner: index, Home: isHome, Fetch: fetch, FullPrefill: true}
 	ms := 0.0
 	prefillTokens := 0.0
 	contiguous := true // no part so far needs prefill
@@ -255,7 +255,7 @@
 		switch {
 		case p.Cached != nil && p.Cached(index, i):
 			missProbability = 0.1
-			c.Certain = false
+			c.FullPrefill = false
 		case isHome && store >= 0:
 			missProbability = 1 - rates.HomeHitStored
 		case isHome && !p.cachedAnywhere(len(runners), i):
@@ -265,14 +265,14 @@
 		}
 		if store >= 0 && contiguous && fetchMs < rates.recomputeMs(part) {
 			c.Fetch[i] = store
-			c.Certain = false
+			c.FullPrefill = false
 			ms += missProbability * (fetchMs + rates.MoveMsPerToken*float64(part.Tokens))
 			continue
 		}
 		if missProbability == 1 {
 			contiguous = false
 		} else if !p.CachesKnown {
-			c.Certain = false
+			c.FullPrefill = false
 		}
 		prefillTokens += missProbability * float64(part.Tokens)
 		ms += missProbability * rates.RecomputeMsPerToken * float64(part.Tokens)
