--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -173,7 +173,7 @@
 		}
 		runners := make([]rollout.Runner, len(live))
 		for i := range live {
-			runners[i] = rollout.Runner{Upstream: live[i], Heard: !silent[live[i].ID]}
+			runners[i] = rollout.Runner{Upstream: live[i], Reachable: !silent[live[i].ID]}
 		}
 		return runners
 	}, l.since, s.options.VersionTime, now)
--- a/rollout/minimum_versions.go
+++ b/rollout/minimum_versions.go
@@ -23,9 +23,9 @@
 // Runner is a model runner as the leader sees it.
 type Runner struct {
 	roster.Upstream
-	// Heard indicates that the leader has recently received an announcement from the
+	// Reachable indicates that the leader has recently received an announcement from the
 	// runner.
-	Heard bool
+	Reachable bool
 }
 
 // MinimumVersions tracks, for one leader, the oldest version of each model on which a
@@ -79,7 +79,7 @@
 		if has >= version {
 			have++
 		}
-		if runners[i].Heard {
+		if runners[i].Reachable {
 			heard++
 		}
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -70,7 +70,7 @@
 	targets.Record("m", 2, start)
 	targets.Record("m", 3, start.Add(8*time.Second))
 	targets.Record("other", 1, start.Add(time.Hour))
-	heard := func(u roster.Upstream) Runner { return Runner{Upstream: u, Heard: true} }
+	heard := func(u roster.Upstream) Runner { return Runner{Upstream: u, Reachable: true} }
 	unheard := func(u roster.Upstream) Runner { return Runner{Upstream: u} }
 	behind := []Runner{heard(runner("a", 1)), heard(runner("b", 2))}
 	most := []Runner{unheard(runner("a", 1)), unheard(runner("b", 3)), unheard(runner("c", 3))}
