--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -124,7 +124,7 @@
 }
 
 // account returns the counts of runners that lack the target weights.
-func (o *loader) account() rollout.Account {
+func (o *loader) account() rollout.Progress {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.schedule.Account()
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -51,8 +51,8 @@
 	Version  uint64
 }
 
-// Account reports how far the runners are behind the target versions.
-type Account struct {
+// Progress reports how far the runners are behind the target versions.
+type Progress struct {
 	// Lacking is the number of runners that lack weights, of Runners in total. Loading is
 	// the number of runners that accept no prompts because of a load, and AtOnce the number
 	// that may load at the same time.
@@ -64,7 +64,7 @@
 }
 
 // Age returns for how long the runner that is furthest behind has lacked weights.
-func (a *Account) Age(now time.Time) time.Duration {
+func (a *Progress) Age(now time.Time) time.Duration {
 	if a.Lacking == 0 {
 		return 0
 	}
@@ -90,7 +90,7 @@
 	// loadTime is the expected time from the order to the end of a load.
 	loadTime time.Duration
 	measured bool
-	account  Account
+	account  Progress
 }
 
 // incarnation identifies one incarnation of a runner.
@@ -235,7 +235,7 @@
 }
 
 func (s *Schedule) recordAccount(queue []candidate, runners, limit int) {
-	s.account = Account{Lacking: len(queue), Runners: runners, Loading: len(s.loading) + len(s.listed), AtOnce: limit}
+	s.account = Progress{Lacking: len(queue), Runners: runners, Loading: len(s.loading) + len(s.listed), AtOnce: limit}
 	for i := range queue {
 		if i == 0 || queue[i].since.Before(s.account.Since) {
 			s.account.Longest, s.account.Since = queue[i].Upstream.ID, queue[i].since
@@ -244,7 +244,7 @@
 }
 
 // Account returns the state found by the latest call of Next.
-func (s *Schedule) Account() Account { return s.account }
+func (s *Schedule) Account() Progress { return s.account }
 
 // Release ends a runner's step. A runner that was not brought to its version is skipped
 // until its backoff expires.
