--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -93,7 +93,7 @@
 	if held.weights == 0 {
 		return true
 	}
-	account := o.schedule.Account()
+	account := o.schedule.Progress()
 	if account.Lacking == 0 && account.Loading == 0 && held.weights == o.checked.weights && held.roster == o.checked.roster &&
 		now.Sub(o.checkedAt) < settledInterval {
 		return true
@@ -108,7 +108,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	steps := o.schedule.Next(live, targets, now)
-	account := o.schedule.Account()
+	account := o.schedule.Progress()
 	if account.Lacking > 0 && now.Sub(o.loggedAt) >= lackingLogEvery {
 		o.loggedAt = now
 		o.leadership.steward.options.Log.Info("runners lack target weights", "runners", account.Lacking, "of", account.Runners,
@@ -127,7 +127,7 @@
 func (o *loader) account() rollout.Progress {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.schedule.Account()
+	return o.schedule.Progress()
 }
 
 // loading lists the runners that receive no requests because of a load.
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// Account returns the state found by the latest call of Next.
-func (s *Schedule) Account() Progress { return s.account }
+// Progress returns the state found by the latest call of Next.
+func (s *Schedule) Progress() Progress { return s.account }
 
 // Release ends a runner's step. A runner that was not brought to its version is skipped
 // until its backoff expires.
