--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -57,10 +57,10 @@
 	// the number of runners that accept no prompts because of a load, and AtOnce the number
 	// that may load at the same time.
 	Lacking, Runners, Loading, AtOnce int
-	// Longest is the runner that has lacked a version for longest, and Since the time since
+	// FurthestBehind is the runner that has lacked a version for longest, and Since the time since
 	// which it has.
-	Longest string
-	Since   time.Time
+	FurthestBehind string
+	Since          time.Time
 }
 
 // Age returns for how long the runner that is furthest behind has lacked weights.
@@ -238,7 +238,7 @@
 	s.account = Progress{Lacking: len(queue), Runners: runners, Loading: len(s.loading) + len(s.listed), AtOnce: limit}
 	for i := range queue {
 		if i == 0 || queue[i].since.Before(s.account.Since) {
-			s.account.Longest, s.account.Since = queue[i].Upstream.ID, queue[i].since
+			s.account.FurthestBehind, s.account.Since = queue[i].Upstream.ID, queue[i].since
 		}
 	}
 }
