--- a/internal/capacity/bounds_test.go
+++ b/internal/capacity/bounds_test.go
@@ -155,7 +155,7 @@
 // steps.
 func scheduleAllocs(runners int) float64 {
 	live, targets := outdatedFleet(runners)
-	schedule := rollout.NewSchedule(rollout.Options{AtOnce: 3, Bound: 15 * time.Second, Notice: 200 * time.Millisecond})
+	schedule := rollout.NewSchedule(rollout.Options{MaxConcurrent: 3, Bound: 15 * time.Second, Notice: 200 * time.Millisecond})
 	now := probeStart.Add(9 * time.Second)
 	return testing.AllocsPerRun(10, func() { schedule.Next(live, targets, now) })
 }
--- a/internal/capacity/probes_control.go
+++ b/internal/capacity/probes_control.go
@@ -59,7 +59,7 @@
 
 func scheduleTime(runners int) (float64, error) {
 	live, targets := outdatedFleet(runners)
-	schedule := rollout.NewSchedule(rollout.Options{AtOnce: 3, Bound: 15 * time.Second, Notice: 200 * time.Millisecond})
+	schedule := rollout.NewSchedule(rollout.Options{MaxConcurrent: 3, Bound: 15 * time.Second, Notice: 200 * time.Millisecond})
 	return NanosecondsPerOp(func() { schedule.Next(live, targets, probeStart.Add(9*time.Second)) }), nil
 }
 
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -18,7 +18,7 @@
 }
 
 func testSchedule() *Schedule {
-	return NewSchedule(Options{AtOnce: 1, Bound: bound, Notice: 200 * time.Millisecond})
+	return NewSchedule(Options{MaxConcurrent: 1, Bound: bound, Notice: 200 * time.Millisecond})
 }
 
 // first returns the first load step of a schedule and its time.
@@ -58,7 +58,7 @@
 	for i := range 10 {
 		live = append(live, runner(fmt.Sprint(i), 1))
 	}
-	s := NewSchedule(Options{AtOnce: 10, Bound: bound, Notice: 200 * time.Millisecond})
+	s := NewSchedule(Options{MaxConcurrent: 10, Bound: bound, Notice: 200 * time.Millisecond})
 	s.Next(live, targets, start.Add(9*time.Second))
 	if got := s.Progress(); got.AtOnce < 7 || got.Lacking != 10 || got.Age(start.Add(9*time.Second)) != 9*time.Second {
 		t.Fatalf("account %+v, want AtOnce of 7 or more, 10 lacking, 9 s behind", got)
@@ -176,7 +176,7 @@
 
 func newFleet(runners int, stuck ...string) *fleet {
 	f := &fleet{
-		schedule: NewSchedule(Options{AtOnce: 3, Bound: bound, Notice: 200 * time.Millisecond}),
+		schedule: NewSchedule(Options{MaxConcurrent: 3, Bound: bound, Notice: 200 * time.Millisecond}),
 		targets:  NewTargetVersions(), stuck: map[string]bool{}, load: 1800 * time.Millisecond,
 	}
 	f.targets.Record("m", 2, start)
@@ -245,7 +245,7 @@
 		s.Release(step.Upstream, false, at)
 		step, at = first(s, []roster.Upstream{previous}, targets, at)
 	}
-	s.options.AtOnce = 2
+	s.options.MaxConcurrent = 2
 	if step, startedAt := first(s, []roster.Upstream{next, runner("b", 1)}, targets, at); step.Upstream.StartedMs != 2000 || startedAt.Sub(at) > time.Second {
 		t.Fatalf("%v after the restart the first step is %+v, want the new incarnation within a second", startedAt.Sub(at), step)
 	}
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -34,8 +34,8 @@
 
 // Options configure a Schedule.
 type Options struct {
-	// AtOnce bounds the runners that load at the same time.
-	AtOnce int
+	// MaxConcurrent bounds the runners that load at the same time.
+	MaxConcurrent int
 	// Bound is the time, from when a version becomes the target, after which no prompt may
 	// begin on an older one.
 	Bound time.Duration
@@ -183,7 +183,7 @@
 			n++
 		}
 	}
-	return min(n, (s.options.AtOnce+1)/2)
+	return min(n, (s.options.MaxConcurrent+1)/2)
 }
 
 // queue returns the runners that lack weights, the one that has waited for longest first,
@@ -228,7 +228,7 @@
 		left := max(queue[i].queuedSince.Add(within).Sub(now), s.loadTime)
 		needed = max(needed, int(math.Ceil(float64(i+1)*step/float64(left))))
 	}
-	limit := max(s.options.AtOnce, runners/runnersPerLoad)
+	limit := max(s.options.MaxConcurrent, runners/runnersPerLoad)
 	// Behind schedule, half as many more are allowed: runners that do not answer their
 	// orders occupy load slots without loading.
 	return min(needed, limit+limit/2)
