--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -112,7 +112,7 @@
 	if account.Lacking > 0 && now.Sub(o.loggedAt) >= lackingLogEvery {
 		o.loggedAt = now
 		o.leadership.steward.options.Log.Info("runners lack target weights", "runners", account.Lacking, "of", account.Runners,
-			"loading", account.Loading, "at_once", account.AtOnce, "longest", account.FurthestBehind, "for", account.Age(now))
+			"loading", account.Loading, "at_once", account.MaxConcurrent, "longest", account.FurthestBehind, "for", account.Age(now))
 	}
 	return steps
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -60,7 +60,7 @@
 	}
 	s := NewSchedule(Options{MaxConcurrent: 10, Bound: bound, Notice: 200 * time.Millisecond})
 	s.Next(live, targets, start.Add(9*time.Second))
-	if got := s.Progress(); got.AtOnce < 7 || got.Lacking != 10 || got.Age(start.Add(9*time.Second)) != 9*time.Second {
+	if got := s.Progress(); got.MaxConcurrent < 7 || got.Lacking != 10 || got.Age(start.Add(9*time.Second)) != 9*time.Second {
 		t.Fatalf("account %+v, want AtOnce of 7 or more, 10 lacking, 9 s behind", got)
 	}
 }
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -56,7 +56,7 @@
 	// Lacking is the number of runners that lack weights, of Runners in total. Loading is
 	// the number of runners that accept no prompts because of a load, and AtOnce the number
 	// that may load at the same time.
-	Lacking, Runners, Loading, AtOnce int
+	Lacking, Runners, Loading, MaxConcurrent int
 	// FurthestBehind is the runner that has lacked a version for longest, and Since the time since
 	// which it has.
 	FurthestBehind string
@@ -235,7 +235,7 @@
 }
 
 func (s *Schedule) recordAccount(queue []candidate, runners, limit int) {
-	s.account = Progress{Lacking: len(queue), Runners: runners, Loading: len(s.loading) + len(s.listed), AtOnce: limit}
+	s.account = Progress{Lacking: len(queue), Runners: runners, Loading: len(s.loading) + len(s.listed), MaxConcurrent: limit}
 	for i := range queue {
 		if i == 0 || queue[i].since.Before(s.account.Since) {
 			s.account.FurthestBehind, s.account.Since = queue[i].Upstream.ID, queue[i].since
