--- a/internal/steward/directory.go
+++ b/internal/steward/directory.go
@@ -62,7 +62,7 @@
 	var callers []string
 	for _, view := range views {
 		if view.Ready {
-			ready = append(ready, subset.Entry{Host: view.Host, DataCentre: view.DataCentre, Rate: view.Rate, Most: view.Most})
+			ready = append(ready, subset.Entry{Host: view.Host, DataCentre: view.DataCentre, Rate: view.Rate, Capacity: view.Most})
 			callers = append(callers, view.Callers)
 		}
 	}
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -31,7 +31,7 @@
 	Host, DataCentre string
 	// Rate is the requests a second that the entry serves. Most is the number that it can
 	// serve well, or 0 if it does not report one.
-	Rate, Most int
+	Rate, Capacity int
 }
 
 // Choose returns the indices of up to limit entries that callers in a data centre are to
@@ -50,8 +50,8 @@
 		}
 		own++
 		rate += e.Rate
-		if e.Most > 0 {
-			capacity += e.Most
+		if e.Capacity > 0 {
+			capacity += e.Capacity
 			reporting++
 		}
 	}
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -10,7 +10,7 @@
 func fleet(each int) []Entry {
 	var entries []Entry
 	for i := range 5 * each {
-		entries = append(entries, Entry{Host: fmt.Sprintf("10.%d.0.%d", i%5, i), DataCentre: fmt.Sprintf("z%d", i%5), Most: 60})
+		entries = append(entries, Entry{Host: fmt.Sprintf("10.%d.0.%d", i%5, i), DataCentre: fmt.Sprintf("z%d", i%5), Capacity: 60})
 	}
 	return entries
 }
@@ -80,7 +80,7 @@
 	few := fleet(3)
 	unreported := fleet(20)
 	for i := range unreported {
-		unreported[i].Most = 0
+		unreported[i].Capacity = 0
 	}
 	if n := len(Choose(few, "z0", 64)); n != 15 {
 		t.Errorf("%d of 15 entries chosen, want all", n)
