--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -88,7 +88,7 @@
 // differs between entries: together they send no more than a cold upstream sustains.
 func (s *state) delayProbe(u *upstreamState, now time.Time) {
 	if rate := s.coldRate(u.record.Service); rate > 0 {
-		interval := warmup.Every(rate, s.entries)
+		interval := warmup.ProbeInterval(rate, s.entries)
 		u.nextProbe = now.Add(interval/2 + rand.N(interval))
 	}
 }
--- a/warmup/granter.go
+++ b/warmup/granter.go
@@ -214,10 +214,10 @@
 // they learn that, requests under grants add to the probes.
 const probeShare = 0.5
 
-// Every returns the interval between two requests of one entry to an upstream that the
+// ProbeInterval returns the interval between two requests of one entry to an upstream that the
 // entry lost and that may restart cold, where perSecond is the rate that the upstream
 // sustains while cold. It is 0 if the upstream is never cold.
-func Every(perSecond float64, entries int) time.Duration {
+func ProbeInterval(perSecond float64, entries int) time.Duration {
 	if perSecond <= 0 {
 		return 0
 	}
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -177,12 +177,12 @@
 
 func TestProbesStayWithinSustainedRate(t *testing.T) {
 	for _, entries := range []int{0, 1, 9, 79, 300} {
-		every := Every(22, entries)
+		every := ProbeInterval(22, entries)
 		if perSecond := float64(max(entries, 1)) / every.Seconds(); perSecond > 11.001 {
 			t.Errorf("%d entries: %.1f probes a second", entries, perSecond)
 		}
 	}
-	if Every(0, 9) != 0 {
+	if ProbeInterval(0, 9) != 0 {
 		t.Error("Every is not 0 for an upstream that is never cold")
 	}
 }
