--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -66,7 +66,7 @@
 func (s *state) recordSent(u *upstreamState, now time.Time) {
 	switch {
 	case u.cold(now):
-		s.allowance.Sent(u.record.ID, now)
+		s.allowance.RecordSent(u.record.ID, now)
 	case !u.nextProbe.IsZero():
 		s.delayProbe(u, now)
 	}
--- a/warmup/allowance.go
+++ b/warmup/allowance.go
@@ -37,8 +37,8 @@
 	return a.recent(upstream, now) < a.grants[upstream]
 }
 
-// Sent records a request to a cold upstream.
-func (a *Allowance) Sent(upstream string, now time.Time) {
+// RecordSent records a request to a cold upstream.
+func (a *Allowance) RecordSent(upstream string, now time.Time) {
 	a.recent(upstream, now)
 	a.sent[upstream] = append(a.sent[upstream], now)
 }
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -90,7 +90,7 @@
 			}
 		}
 		for e.allowance.Allows("u", m.now) {
-			e.allowance.Sent("u", m.now)
+			e.allowance.RecordSent("u", m.now)
 			m.sent = append(m.sent, m.now)
 		}
 	}
