--- a/cacheindex/index.go
+++ b/cacheindex/index.go
@@ -253,8 +253,8 @@
 	x.changeLog = slices.Clone(x.changeLog[cut:])
 }
 
-// Ask returns the query for what this index lacks.
-func (x *Index) Ask() Query {
+// NextQuery returns the query for what this index lacks.
+func (x *Index) NextQuery() Query {
 	if x.position.Term != 0 {
 		return Query{At: x.position}
 	}
--- a/cacheindex/index_test.go
+++ b/cacheindex/index_test.go
@@ -102,7 +102,7 @@
 				}
 			}
 			sync := func(reader, from *Index) {
-				query := reader.Ask()
+				query := reader.NextQuery()
 				update := from.Answer(&query)
 				if reader.Apply(&update) {
 					check(reader)
@@ -154,7 +154,7 @@
 func complete(t *testing.T, reader, from *Index, check func(*Index)) {
 	t.Helper()
 	for range 100 {
-		query := reader.Ask()
+		query := reader.NextQuery()
 		update := from.Answer(&query)
 		if reader.Apply(&update) {
 			check(reader)
@@ -179,13 +179,13 @@
 	complete(t, entry, first, func(*Index) {})
 	second.StartTerm(2)
 	second.Write(Record{Address: "a", Change: Change{Key: Key{Part: "new"}, Tokens: 1}, Next: 5001})
-	query := entry.Ask()
+	query := entry.NextQuery()
 	if update := second.Answer(&query); !update.Unknown {
 		t.Fatalf("a position of another term was accepted: %+v", update)
 	} else {
 		entry.Apply(&update)
 	}
-	query = entry.Ask()
+	query = entry.NextQuery()
 	update := second.Answer(&query)
 	if len(toRecords(update.Batches)) != 1 || !entry.Apply(&update) || entry.Inventory("a").ReadableTokens(Key{Part: "new"}) != 1 {
 		t.Fatalf("got %d records, want 1", len(toRecords(update.Batches)))
@@ -205,7 +205,7 @@
 		}
 	}
 	for pages := 1; ; pages++ {
-		query := entry.Ask()
+		query := entry.NextQuery()
 		update := index.Answer(&query)
 		if len(toRecords(update.Batches)) > PageRecords+1501 {
 			t.Fatalf("a page has %d records", len(toRecords(update.Batches)))
--- a/cacheindex/snapshot_test.go
+++ b/cacheindex/snapshot_test.go
@@ -38,7 +38,7 @@
 				w.Write(Record{Address: address, Change: Change{Key: key, Tokens: 9000}, Next: step})
 				w.Write(Record{Address: address, Change: Change{Key: Key{Salt: "m.1", Part: fmt.Sprintf("new-%d", step-40)}, Tokens: -9000}, Next: step})
 			}
-			q := r.Ask()
+			q := r.NextQuery()
 			u := w.Answer(&q)
 			for i := range u.Batches {
 				if u.Batches[i].Cleared && len(u.Batches[i].Parts) > 0 {
@@ -97,7 +97,7 @@
 	sync := func(limit int) {
 		t.Helper()
 		for range limit {
-			q := r.Ask()
+			q := r.NextQuery()
 			if u := w.Answer(&q); r.Apply(&u) {
 				return
 			}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -189,7 +189,7 @@
 		// A control host answers immediately if the term differs from its own.
 		request.Term = 0
 	}
-	query := s.caches.Ask()
+	query := s.caches.NextQuery()
 	request.Inventories = &query
 	if s.index != nil {
 		request.Document = s.index.Version()
--- a/internal/steward/lostsource_test.go
+++ b/internal/steward/lostsource_test.go
@@ -61,7 +61,7 @@
 	}
 	follow := func(index *cacheindex.Index, from *sharedIndex) {
 		for range 20 {
-			query := index.Ask()
+			query := index.NextQuery()
 			if update, _ := from.answer(&query); update != nil {
 				index.Apply(update)
 			}
--- a/internal/steward/relaying_test.go
+++ b/internal/steward/relaying_test.go
@@ -37,7 +37,7 @@
 	go follower.Run(ctx, func() *WatchRequest {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		query := e.index.Ask()
+		query := e.index.NextQuery()
 		return &WatchRequest{
 			Entry: &EntryView{Host: name, Ready: true}, Document: e.document, Inventories: &query, Term: follower.term,
 		}
--- a/internal/steward/retirer_test.go
+++ b/internal/steward/retirer_test.go
@@ -248,7 +248,7 @@
 		return
 	}
 	e.inFlight = true
-	sent, query := w.now, e.index.Ask()
+	sent, query := w.now, e.index.NextQuery()
 	w.after(w.upTo(60*time.Millisecond), func() {
 		age := time.Duration(0)
 		if !h.leads {
@@ -328,7 +328,7 @@
 					electable = w.now.Add(electionMin)
 				}
 			case !h.leads && tick%7 == i && w.hosts[w.leader].leads:
-				query := h.index.Ask()
+				query := h.index.NextQuery()
 				update := w.hosts[w.leader].index.Answer(&query)
 				if h.index.Apply(&update) {
 					h.receivedAt = w.now
--- a/internal/steward/sharedindex.go
+++ b/internal/steward/sharedindex.go
@@ -40,7 +40,7 @@
 func (b *sharedIndex) query() *cacheindex.Query {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	query := b.index.Ask()
+	query := b.index.NextQuery()
 	return &query
 }
 
