--- a/cacheindex/index.go
+++ b/cacheindex/index.go
@@ -58,9 +58,9 @@
 // Query requests what a reader lacks: the records after At or, if Listed, those beyond
 // Progress.
 type Query struct {
-	At       Position   `cbor:"1,keyasint"`
-	Listed   bool       `cbor:"2,keyasint,omitempty"`
-	Progress []Progress `cbor:"3,keyasint,omitempty"`
+	At         Position   `cbor:"1,keyasint"`
+	ByProgress bool       `cbor:"2,keyasint,omitempty"`
+	Progress   []Progress `cbor:"3,keyasint,omitempty"`
 }
 
 // Update is the answer to a Query.
@@ -258,7 +258,7 @@
 	if x.position.Term != 0 {
 		return Query{At: x.position}
 	}
-	query := Query{Listed: true}
+	query := Query{ByProgress: true}
 	for _, address := range x.Addresses() {
 		src := x.inventories[address]
 		query.Progress = append(query.Progress, Progress{Address: address, Incarnation: src.inventory.Incarnation(), Next: src.next})
@@ -305,7 +305,7 @@
 	if !x.complete {
 		return Update{At: q.At, More: true}
 	}
-	if q.Listed {
+	if q.ByProgress {
 		return x.answerByProgress(q.Progress)
 	}
 	if q.At.Term == x.position.Term && q.At.Next > x.position.Next {
--- a/cacheindex/index_test.go
+++ b/cacheindex/index_test.go
@@ -226,7 +226,7 @@
 	// The change log does not hold all records: a reader that lagged beyond it must not get
 	// only the latest ones as the complete inventory.
 	lagging := NewIndex(false)
-	query := Query{Listed: true, Progress: []Progress{{Address: "store0", Incarnation: 1, Next: 10}}}
+	query := Query{ByProgress: true, Progress: []Progress{{Address: "store0", Incarnation: 1, Next: 10}}}
 	update := index.Answer(&query)
 	lagging.Apply(&update)
 	if lagging.Inventory("store0").Len() != 1500 {
@@ -263,7 +263,7 @@
 func restarted(stores, parts, salts int) (*Index, Query) {
 	index := NewIndex(true)
 	index.StartTerm(2)
-	query := Query{Listed: true}
+	query := Query{ByProgress: true}
 	for s := range stores {
 		address := fmt.Sprint("store", s)
 		records := []Record{{Address: address, Cleared: true, Incarnation: 7}}
--- a/cacheindex/snapshot_test.go
+++ b/cacheindex/snapshot_test.go
@@ -75,7 +75,7 @@
 	for b.Loop() {
 		step++
 		w.Write(Record{Address: "10.1.0.0:8080", Change: Change{Key: Key{Salt: "m.1", Part: fmt.Sprint(step)}, Tokens: 9000}, Next: step})
-		q := Query{Listed: true}
+		q := Query{ByProgress: true}
 		w.Answer(&q)
 	}
 }
--- a/internal/steward/relaystate_test.go
+++ b/internal/steward/relaystate_test.go
@@ -75,7 +75,7 @@
 	watch := func(at time.Duration, meanwhile func()) *WatchAnswer {
 		time.Sleep(time.Until(requestedAt.Add(at)))
 		request := entryRequest("e1", true)
-		request.Inventories = &cacheindex.Query{Listed: true}
+		request.Inventories = &cacheindex.Query{ByProgress: true}
 		answer := &WatchAnswer{}
 		b.fill(request, answer)
 		meanwhile()
--- a/internal/steward/restarted_test.go
+++ b/internal/steward/restarted_test.go
@@ -42,7 +42,7 @@
 func TestFirstCallersAfterRestartAreRedirected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
-		everything := cacheindex.Query{Listed: true}
+		everything := cacheindex.Query{ByProgress: true}
 		for i := range 10 {
 			name := fmt.Sprint("e", i)
 			answer := l.steward.watch(t.Context(), entryPeer(name), entryWatch(name, 64, everything))
@@ -68,7 +68,7 @@
 func TestDirectWatchesAfterRestartGetNoInventories(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := restartedLeader()
-		request := entryWatch("e1", 64, cacheindex.Query{Listed: true})
+		request := entryWatch("e1", 64, cacheindex.Query{ByProgress: true})
 		request.Direct = true
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories != nil || answer.Document == nil {
 			t.Fatalf("answer %+v", answer)
@@ -93,7 +93,7 @@
 			l.recordWatcher(entryPeer(fmt.Sprint("e", i)), entryWatch(fmt.Sprint("e", i), 64, cacheindex.Query{}), now)
 		}
 		l.recordWatcher(controlPeer("c2"), &WatchRequest{Relay: true}, now)
-		request := entryWatch("e1", 64, cacheindex.Query{Listed: true})
+		request := entryWatch("e1", 64, cacheindex.Query{ByProgress: true})
 		request.Overdue = true
 		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.Redirect || answer.Inventories != nil || answer.Document == nil {
 			t.Fatalf("answer %+v", answer)
@@ -111,7 +111,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, others := range []int{0, 1, maxDirectEntries} {
 			l := restartedLeader()
-			answer := l.steward.watch(t.Context(), entryPeer("e1"), entryWatch("e1", others, cacheindex.Query{Listed: true}))
+			answer := l.steward.watch(t.Context(), entryPeer("e1"), entryWatch("e1", others, cacheindex.Query{ByProgress: true}))
 			if answer.Inventories == nil || len(answer.Inventories.Batches) == 0 || answer.Relaying {
 				t.Errorf("with %d entries before: inventories %v, relaying %v", others, answer.Inventories, answer.Relaying)
 			}
@@ -127,7 +127,7 @@
 		for i := range maxDirectEntries + 1 {
 			l.recordWatcher(entryPeer(fmt.Sprint("e", i)), entryWatch(fmt.Sprint("e", i), 64, cacheindex.Query{}), time.Now())
 		}
-		request := entryWatch("e1", 64, cacheindex.Query{Listed: true})
+		request := entryWatch("e1", 64, cacheindex.Query{ByProgress: true})
 		request.Document, request.Weights, request.Roster = 1, 99, 99
 		request.Term = l.elected
 		go func() {
@@ -195,7 +195,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.inventories.run(ctx)
 			time.Sleep(100 * time.Millisecond)
-			l.steward.watch(ctx, entryPeer("e1"), entryWatch("e1", entries, cacheindex.Query{Listed: true}))
+			l.steward.watch(ctx, entryPeer("e1"), entryWatch("e1", entries, cacheindex.Query{ByProgress: true}))
 			time.Sleep(700 * time.Millisecond)
 			sources.mu.Lock()
 			if small := entries <= maxCacheWatchers; (sources.queries["a:1"] > 0) != small || sources.queries["store:1"] == 0 {
@@ -233,7 +233,7 @@
 					for ; time.Since(began) < relaysWithin+time.Second; time.Sleep(watchWait) {
 						// Entries that were answered report the count that they received.
 						sent := time.Now()
-						request := entryWatch(name, 0, cacheindex.Query{Listed: true})
+						request := entryWatch(name, 0, cacheindex.Query{ByProgress: true})
 						follower.addCallerState(request, "c1", sent)
 						if answer := l.steward.watch(ctx, entryPeer(name), request); !answer.Redirect {
 							follower.apply(&watchCall{answer: *answer, sent: sent}, func(*WatchAnswer, time.Time) {})
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -213,7 +213,7 @@
 	f.startThree()
 	f.stores.add(cacheindex.Change{Key: cacheindex.Key{Salt: "s", Part: "p"}, Tokens: 10})
 	f.put(1, "one")
-	request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Inventories: &cacheindex.Query{Listed: true}}
+	request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Inventories: &cacheindex.Query{ByProgress: true}}
 	parts := func(a *WatchAnswer) int {
 		n := 0
 		for _, batch := range a.Inventories.Batches {
