--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -70,7 +70,7 @@
 		{"a higher version", document(3, "a"), document(5, "b"), Accepted},
 		{"the same document again", document(3, "a"), document(3, "a"), Repeated},
 		{"another document with the same version", document(3, "a"), document(3, "b"), Conflicting},
-		{"an older document that arrives late", document(5, "b"), document(3, "a"), Overtaken},
+		{"an older document that arrives late", document(5, "b"), document(3, "a"), Outdated},
 	}
 	for _, c := range cases {
 		if got := Compare(c.current, c.offered); got != c.want {
--- a/catalog/index.go
+++ b/catalog/index.go
@@ -88,8 +88,8 @@
 	Accepted Verdict = iota + 1
 	// Repeated documents are equal to the current one.
 	Repeated
-	// Overtaken documents are older than the current one and change nothing.
-	Overtaken
+	// Outdated documents are older than the current one and change nothing.
+	Outdated
 	// Conflicting documents have the version of the current one and other content.
 	Conflicting
 )
@@ -100,7 +100,7 @@
 	case current == nil || offered.Version > current.Version:
 		return Accepted
 	case offered.Version < current.Version:
-		return Overtaken
+		return Outdated
 	case bytes.Equal(current.Source, offered.Source):
 		return Repeated
 	}
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -23,7 +23,7 @@
 		version catalog.Version
 		source  string
 		verdict catalog.Verdict
-	}{{3, "three", catalog.Overtaken}, {9, "nine", catalog.Repeated}, {9, "other", catalog.Conflicting}} {
+	}{{3, "three", catalog.Outdated}, {9, "nine", catalog.Repeated}, {9, "other", catalog.Conflicting}} {
 		f.await("an outcome", func() bool {
 			v, err := f.any().PutDocument(context.Background(), testDocument(late.version, late.source))
 			if err != nil && !errors.Is(err, ErrConflict) {
