--- a/internal/gateway/apply.go
+++ b/internal/gateway/apply.go
@@ -68,10 +68,10 @@
 // applySilent applies the list of upstreams that the control hosts have no contact with, if it
 // has changed.
 func (s *state) applySilent(answer *steward.WatchAnswer) {
-	if answer.SilentAt != 0 && answer.SilentAt == s.silentRevision && answer.Term == s.term {
+	if answer.SilentRevision != 0 && answer.SilentRevision == s.silentRevision && answer.Term == s.term {
 		return
 	}
-	s.silentRevision = answer.SilentAt
+	s.silentRevision = answer.SilentRevision
 	silent := make(map[string]bool, len(answer.Silent))
 	for _, id := range answer.Silent {
 		silent[id] = true
--- a/internal/steward/announceinterval_test.go
+++ b/internal/steward/announceinterval_test.go
@@ -48,17 +48,17 @@
 		time.Sleep(2 * l.announceEvery.silentAfter())
 		request := &WatchRequest{Entry: &EntryView{Host: "e1"}, Document: 1, Roster: l.steward.machine.currentRevisions().roster}
 		first := l.steward.watch(t.Context(), entryPeer("e1"), request)
-		if len(first.Silent) != 1 || first.SilentAt == 0 {
-			t.Fatalf("silent %v at revision %d", first.Silent, first.SilentAt)
+		if len(first.Silent) != 1 || first.SilentRevision == 0 {
+			t.Fatalf("silent %v at revision %d", first.Silent, first.SilentRevision)
 		}
-		request.Term, request.SilentAt = first.Term, first.SilentAt
-		if again := l.steward.watch(t.Context(), entryPeer("e1"), request); again.Silent != nil || again.SilentAt != first.SilentAt {
+		request.Term, request.SilentAt = first.Term, first.SilentRevision
+		if again := l.steward.watch(t.Context(), entryPeer("e1"), request); again.Silent != nil || again.SilentRevision != first.SilentRevision {
 			t.Errorf("sent again: %v", again.Silent)
 		}
 		l.recordContact("a", time.Now())
 		time.Sleep(silentEvery)
-		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.SilentAt == first.SilentAt || len(answer.Silent) != 0 {
-			t.Errorf("the contact was not reported: silent %v at %d", answer.Silent, answer.SilentAt)
+		if answer := l.steward.watch(t.Context(), entryPeer("e1"), request); answer.SilentRevision == first.SilentRevision || len(answer.Silent) != 0 {
+			t.Errorf("the contact was not reported: silent %v at %d", answer.Silent, answer.SilentRevision)
 		}
 	})
 }
--- a/internal/steward/leadership.go
+++ b/internal/steward/leadership.go
@@ -318,7 +318,7 @@
 	if answer.EntriesUnchanged = l.entriesSentRecently(from, entries, now); !answer.EntriesUnchanged {
 		answer.Entries = entries
 	}
-	answer.Silent, answer.SilentAt = l.recentSilent(now)
+	answer.Silent, answer.SilentRevision = l.recentSilent(now)
 	answer.ActiveEntries = l.activeCount(entries, now)
 	answer.RelayedRevision = l.watchers.relayedRevision(from.Host)
 	answer.Relaying = answer.EntryCount > maxDirectEntries
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -163,8 +163,8 @@
 	Roster   *RosterView       `cbor:"7,keyasint,omitempty"`
 	// Silent are the upstreams that have not announced themselves recently, of revision
 	// SilentAt in Term. They are left out if the caller holds that revision.
-	Silent   []string `cbor:"8,keyasint,omitempty"`
-	SilentAt uint64   `cbor:"30,keyasint,omitempty"`
+	Silent         []string `cbor:"8,keyasint,omitempty"`
+	SilentRevision uint64   `cbor:"30,keyasint,omitempty"`
 	// Loading are the runners with an order to load weights.
 	Loading []string `cbor:"16,keyasint,omitempty"`
 	// Inventories is what the caller lacked of the inventories. StoreStates are the states of
--- a/internal/steward/relaystate.go
+++ b/internal/steward/relaystate.go
@@ -96,7 +96,7 @@
 	request := &WatchRequest{
 		Term: b.latest.Term, Document: revisions.document, Weights: revisions.weights, Roster: revisions.roster,
 		Quarantine: revisions.quarantine, Evacuation: revisions.evacuation, Grants: b.grantsRevision, LastContacts: b.contacts.list(time.Now()),
-		SilentAt: b.latest.SilentAt,
+		SilentAt: b.latest.SilentRevision,
 	}
 	if !b.latest.Relaying || !revisions.covers(b.required) {
 		return request
@@ -147,7 +147,7 @@
 	if answer.EntriesUnchanged {
 		b.latest.Entries = before.Entries
 	}
-	if answer.SilentAt == before.SilentAt && answer.Term == before.Term {
+	if answer.SilentRevision == before.SilentRevision && answer.Term == before.Term {
 		b.latest.Silent = before.Silent
 	}
 	b.latest.Inventories, b.latest.Document, b.latest.Weights, b.latest.Roster = nil, nil, nil, nil
@@ -244,7 +244,7 @@
 	answer.Leader = latest.Leader
 	answer.Relaying, answer.Relays = latest.Relaying, latest.Relays
 	answer.EntryCount, answer.Counting, answer.ActiveEntries = latest.EntryCount, latest.Counting, latest.ActiveEntries
-	answer.Silent, answer.SilentAt, answer.Loading, answer.MinVersions = latest.Silent, latest.SilentAt, latest.Loading, latest.MinVersions
+	answer.Silent, answer.SilentRevision, answer.Loading, answer.MinVersions = latest.Silent, latest.SilentRevision, latest.Loading, latest.MinVersions
 	if latest.Clock > 0 {
 		// This elapsed time must not count suspensions: an inventory answer from before a
 		// suspension could otherwise permit fetches for longer.
