--- a/internal/steward/announceinterval_test.go
+++ b/internal/steward/announceinterval_test.go
@@ -51,7 +51,7 @@
 		if len(first.Silent) != 1 || first.SilentRevision == 0 {
 			t.Fatalf("silent %v at revision %d", first.Silent, first.SilentRevision)
 		}
-		request.Term, request.SilentAt = first.Term, first.SilentRevision
+		request.Term, request.SilentRevision = first.Term, first.SilentRevision
 		if again := l.steward.watch(t.Context(), entryPeer("e1"), request); again.Silent != nil || again.SilentRevision != first.SilentRevision {
 			t.Errorf("sent again: %v", again.Silent)
 		}
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -88,9 +88,9 @@
 	// LastContacts are the upstreams that announced themselves to the caller, a control host,
 	// since its latest answered request.
 	LastContacts []LastContact `cbor:"14,keyasint,omitempty"`
-	// SilentAt is the revision of the list of silent upstreams that the caller received in
+	// SilentRevision is the revision of the list of silent upstreams that the caller received in
 	// Term.
-	SilentAt uint64 `cbor:"19,keyasint,omitempty"`
+	SilentRevision uint64 `cbor:"19,keyasint,omitempty"`
 	// Listing is set while the caller receives the complete roster, page by page.
 	Listing bool `cbor:"18,keyasint,omitempty"`
 }
--- a/internal/steward/relaystate.go
+++ b/internal/steward/relaystate.go
@@ -96,7 +96,7 @@
 	request := &WatchRequest{
 		Term: b.latest.Term, Document: revisions.document, Weights: revisions.weights, Roster: revisions.roster,
 		Quarantine: revisions.quarantine, Evacuation: revisions.evacuation, Grants: b.grantsRevision, LastContacts: b.contacts.list(time.Now()),
-		SilentAt: b.latest.SilentRevision,
+		SilentRevision: b.latest.SilentRevision,
 	}
 	if !b.latest.Relaying || !revisions.covers(b.required) {
 		return request
--- a/internal/steward/watch.go
+++ b/internal/steward/watch.go
@@ -104,7 +104,7 @@
 // finishAnswer adds the content of every answer.
 func (s *Steward) finishAnswer(b watchSource, from port.Peer, request *WatchRequest, answer *WatchAnswer, now time.Time) {
 	b.addCommon(from, answer, now)
-	if request.SilentAt == answer.SilentRevision && request.Term == answer.Term {
+	if request.SilentRevision == answer.SilentRevision && request.Term == answer.Term {
 		// Thousands may be silent, and each entry sends several requests a second.
 		answer.Silent = nil
 	}
