--- a/internal/gateway/apply.go
+++ b/internal/gateway/apply.go
@@ -39,7 +39,7 @@
 	}
 	s.applySilent(answer)
 	s.term = answer.Term
-	if answer.GrantsAt > 0 {
+	if answer.GrantsRevision > 0 {
 		s.allowance.SetGrants(answer.Grants, sent.Add(-answer.GrantsAge))
 	}
 	s.applyLoads(answer)
--- a/internal/gateway/fleet_cold_test.go
+++ b/internal/gateway/fleet_cold_test.go
@@ -71,7 +71,7 @@
 	answer.Roster = view
 	c.granter.Update(cold, c.entries, time.Now())
 	grants, revision := c.granter.Grants()
-	answer.Grants, answer.GrantsAt = warmup.GrantsFor(grants, host), revision
+	answer.Grants, answer.GrantsRevision = warmup.GrantsFor(grants, host), revision
 }
 
 // maxPerSecond returns the largest number of requests to one cold runner in a second, and the
--- a/internal/steward/grants.go
+++ b/internal/steward/grants.go
@@ -82,7 +82,7 @@
 	if revision == 0 || !l.certain() {
 		return
 	}
-	answer.GrantsAt = revision
+	answer.GrantsRevision = revision
 	switch {
 	case from.Role == roleEntry:
 		answer.Grants = warmup.GrantsFor(grants, string(from.Host))
--- a/internal/steward/grants_test.go
+++ b/internal/steward/grants_test.go
@@ -18,7 +18,7 @@
 		return answer.Grants
 	}
 	grant := warmup.Grant{Upstream: "u", Host: "e1", Requests: 2}
-	b.apply(&WatchAnswer{Term: 4, GrantsAt: 7, Grants: []warmup.Grant{grant}}, now, now)
+	b.apply(&WatchAnswer{Term: 4, GrantsRevision: 7, Grants: []warmup.Grant{grant}}, now, now)
 	if got := grantsOf("e1"); len(got) != 1 || got[0] != grant || len(grantsOf("e2")) != 0 {
 		t.Errorf("received %v", got)
 	}
@@ -27,7 +27,7 @@
 	}
 	requestedAt := now
 	now = now.Add(400 * time.Millisecond)
-	b.apply(&WatchAnswer{Term: 4, GrantsAt: 7}, requestedAt, now)
+	b.apply(&WatchAnswer{Term: 4, GrantsRevision: 7}, requestedAt, now)
 	if got := grantsOf("e1"); len(got) != 1 {
 		t.Error("unchanged grants were dropped")
 	}
@@ -41,7 +41,7 @@
 	if grantsOf("e1") != nil {
 		t.Error("grants were sent that the leader had not confirmed for a second")
 	}
-	b.apply(&WatchAnswer{Term: 5, GrantsAt: 7, Grants: []warmup.Grant{{Upstream: "u", Host: "e2", Requests: 2}}}, now, now)
+	b.apply(&WatchAnswer{Term: 5, GrantsRevision: 7, Grants: []warmup.Grant{{Upstream: "u", Host: "e2", Requests: 2}}}, now, now)
 	if grantsOf("e1") != nil || len(grantsOf("e2")) != 1 {
 		t.Error("grants of the previous leader were sent")
 	}
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -211,8 +211,8 @@
 	// Grants are the caller's permits for cold upstreams or, for a control host that holds
 	// another revision, those of all entries. GrantsAt is their revision, 0 if none are
 	// confirmed.
-	Grants   []warmup.Grant `cbor:"26,keyasint,omitempty"`
-	GrantsAt uint64         `cbor:"27,keyasint,omitempty"`
+	Grants         []warmup.Grant `cbor:"26,keyasint,omitempty"`
+	GrantsRevision uint64         `cbor:"27,keyasint,omitempty"`
 	// GrantsAge is the maximum time between the leader's confirmation of the grants and the
 	// answer.
 	GrantsAge time.Duration `cbor:"28,keyasint,omitempty"`
--- a/internal/steward/relaystate.go
+++ b/internal/steward/relaystate.go
@@ -160,11 +160,11 @@
 	if answer.Term != b.latest.Term {
 		b.grants, b.grantsRevision = nil, 0
 	}
-	if answer.GrantsAt == 0 {
+	if answer.GrantsRevision == 0 {
 		return
 	}
-	if answer.GrantsAt != b.grantsRevision {
-		b.grants, b.grantsRevision = answer.Grants, answer.GrantsAt
+	if answer.GrantsRevision != b.grantsRevision {
+		b.grants, b.grantsRevision = answer.Grants, answer.GrantsRevision
 	}
 	b.grantsConfirmedAt = requestedAt
 }
@@ -261,7 +261,7 @@
 	if b.grantsRevision == 0 || age >= warmup.Validity {
 		return
 	}
-	answer.Grants, answer.GrantsAt, answer.GrantsAge = warmup.GrantsFor(b.grants, string(from.Host)), b.grantsRevision, age
+	answer.Grants, answer.GrantsRevision, answer.GrantsAge = warmup.GrantsFor(b.grants, string(from.Host)), b.grantsRevision, age
 }
 
 const (
