--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -183,7 +183,7 @@
 	defer s.mu.Unlock()
 	request := &steward.WatchRequest{
 		Entry: &view, Weights: s.weightsRevision, Roster: s.rosterRevision, Term: s.term,
-		Quarantine: s.verdicts.revision, Evacuation: s.evacuation.Revision, Listing: s.rosterListed != nil, SilentRevision: s.silentRevision,
+		Quarantine: s.verdicts.revision, Evacuation: s.evacuation.Revision, ReadingRoster: s.rosterListed != nil, SilentRevision: s.silentRevision,
 	}
 	if time.Since(s.inventoriesAt) > inventoryRefreshAge {
 		// A control host answers immediately if the term differs from its own.
--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -91,8 +91,8 @@
 	// SilentRevision is the revision of the list of silent upstreams that the caller received in
 	// Term.
 	SilentRevision uint64 `cbor:"19,keyasint,omitempty"`
-	// Listing is set while the caller receives the complete roster, page by page.
-	Listing bool `cbor:"18,keyasint,omitempty"`
+	// ReadingRoster is set while the caller receives the complete roster, page by page.
+	ReadingRoster bool `cbor:"18,keyasint,omitempty"`
 }
 
 // RelayView is a control host that answers the watches of entries.
--- a/internal/steward/rosterpage.go
+++ b/internal/steward/rosterpage.go
@@ -26,7 +26,7 @@
 		return &RosterView{Revision: m.roster.Revision()}
 	}
 	since := uint64(0)
-	if request.Listing || m.roster.Covers(request.Roster) {
+	if request.ReadingRoster || m.roster.Covers(request.Roster) {
 		since = request.Roster
 	}
 	return m.pages.after(m.roster, since, now)
--- a/internal/steward/rosterpage_test.go
+++ b/internal/steward/rosterpage_test.go
@@ -30,7 +30,7 @@
 		for _, u := range received.Roster.Upstreams {
 			held[u.ID] = u
 		}
-		request.Roster, request.Listing, more = received.Roster.Revision, received.Roster.More, received.Roster.More
+		request.Roster, request.ReadingRoster, more = received.Roster.Revision, received.Roster.More, received.Roster.More
 	}
 	return held, pages, largest
 }
@@ -64,7 +64,7 @@
 	announceUpstreams(m, 2000)
 	page := func(held uint64) *RosterView {
 		var answer WatchAnswer
-		m.fill(&WatchRequest{Entry: &EntryView{Host: "e1"}, Roster: held, Listing: true}, &answer)
+		m.fill(&WatchRequest{Entry: &EntryView{Host: "e1"}, Roster: held, ReadingRoster: true}, &answer)
 		return answer.Roster
 	}
 	first, again, next := page(0), page(0), page(500)
--- a/internal/steward/watch.go
+++ b/internal/steward/watch.go
@@ -192,7 +192,7 @@
 	}
 	found := s.machine.fill(request, answer)
 	lacks := b.fill(request, answer)
-	if request.Idle && request.Roster != 0 && !request.Listing {
+	if request.Idle && request.Roster != 0 && !request.ReadingRoster {
 		return asOf, answer.orders()
 	}
 	return asOf, found || lacks && !request.Idle
