--- a/cmd/lovage-fleet/control.go
+++ b/cmd/lovage-fleet/control.go
@@ -139,7 +139,7 @@
 		Self: ident.Host(s.Host), DataCentre: s.DataCentre, PeerPort: s.PeerPorts[0], Listener: peers,
 		Seeds: *c.seeds.Load(), Bootstrap: s.Bootstrap, Tolerated: s.ToleratedDisks,
 		Cluster: cluster, Key: []byte(peerKey), Data: s.Data,
-		LoadsAtOnce: maxConcurrentLoads, VersionTime: s.VersionTime(), HolderLease: s.HolderLease(),
+		MaxConcurrentLoads: maxConcurrentLoads, VersionTime: s.VersionTime(), HolderLease: s.HolderLease(),
 		AnnounceEvery: s.AnnounceEvery(),
 		DataCentres:   slices.Sorted(maps.Keys(s.DataCentres)),
 		Stores:        management, Runners: management, Log: c.env.Log,
--- a/internal/steward/faultygroup_test.go
+++ b/internal/steward/faultygroup_test.go
@@ -141,7 +141,7 @@
 			s, err := New(Options{
 				Self: h.name, DataCentre: "north", PeerPort: 1, Listener: g.net.listen(h.name), Seeds: seeds, Bootstrap: bootstrap,
 				Tolerated: 1, Cluster: "test", Key: []byte("a key of the test processes"), Data: "data",
-				LoadsAtOnce: 2, VersionTime: 10 * time.Second, HolderLease: 50 * time.Millisecond,
+				MaxConcurrentLoads: 2, VersionTime: 10 * time.Second, HolderLease: 50 * time.Millisecond,
 				Stores: &fakeStores{incarnation: 1}, Runners: &fakeRunners{versions: make(map[string]uint64)}, Log: logger,
 				Files: func(string) (disk.FS, error) { return files, nil },
 				dial:  g.net.dialer(h.name, process.ctx), Clock: time.Now,
--- a/internal/steward/loads.go
+++ b/internal/steward/loads.go
@@ -57,7 +57,7 @@
 func newLoader(l *leadership) *loader {
 	options := &l.steward.options
 	return &loader{leadership: l, schedule: rollout.NewSchedule(rollout.Options{
-		MaxConcurrent: options.LoadsAtOnce, Bound: options.VersionTime, Notice: loadNotice,
+		MaxConcurrent: options.MaxConcurrentLoads, Bound: options.VersionTime, Notice: loadNotice,
 	})}
 }
 
--- a/internal/steward/loads_test.go
+++ b/internal/steward/loads_test.go
@@ -16,7 +16,7 @@
 func testLoader(runners int) (*loader, []roster.Upstream) {
 	machine := NewMachine()
 	machine.applyWeights(roster.Loaded{Model: "m", Version: 2})
-	s := &Steward{machine: machine, options: Options{LoadsAtOnce: 3, VersionTime: 15 * time.Second, Log: log.New(io.Discard)}}
+	s := &Steward{machine: machine, options: Options{MaxConcurrentLoads: 3, VersionTime: 15 * time.Second, Log: log.New(io.Discard)}}
 	var live []roster.Upstream
 	for i := range runners {
 		live = append(live, roster.Upstream{ID: fmt.Sprintf("r%02d", i), State: roster.Serving, Loaded: []roster.Loaded{{Model: "m", Version: 1}}})
--- a/internal/steward/minversions_test.go
+++ b/internal/steward/minversions_test.go
@@ -19,7 +19,7 @@
 func testLeadership(versions ...uint64) *leadership {
 	machine := NewMachine()
 	s := &Steward{machine: machine, index: newSharedIndex(), options: Options{
-		LoadsAtOnce: 3, VersionTime: 15 * time.Second, Log: log.New(io.Discard),
+		MaxConcurrentLoads: 3, VersionTime: 15 * time.Second, Log: log.New(io.Discard),
 	}}
 	s.relay = newRelayState(machine, s.index, s.options.Log)
 	var leased port.Replica = &leasedReplica{steward: s}
--- a/internal/steward/options.go
+++ b/internal/steward/options.go
@@ -115,10 +115,10 @@
 	// system; nil means the operating system's.
 	Data  string
 	Files func(folder string) (disk.FS, error)
-	// LoadsAtOnce bounds the runners that load weights at the same time. VersionTime is the
+	// MaxConcurrentLoads bounds the runners that load weights at the same time. VersionTime is the
 	// time within which all runners must have a new target version.
-	LoadsAtOnce int
-	VersionTime time.Duration
+	MaxConcurrentLoads int
+	VersionTime        time.Duration
 	// HolderLease is the time after one host's orders in which no other host may issue any.
 	HolderLease time.Duration
 	// AnnounceEvery is the interval between an upstream's announcements, DefaultAnnounceEvery
@@ -150,7 +150,7 @@
 		return eris.Errorf("steward: Tolerated is %d; accepted: 0 to 5", o.Tolerated)
 	case o.AnnounceEvery < 0:
 		return eris.New("steward: AnnounceEvery must not be negative")
-	case o.LoadsAtOnce < 1 || o.VersionTime <= 0:
+	case o.MaxConcurrentLoads < 1 || o.VersionTime <= 0:
 		return eris.New("steward: LoadsAtOnce and VersionTime must be above 0")
 	case o.Stores == nil || o.Runners == nil || o.Log == nil:
 		return eris.New("steward: Stores, Runners and Log are required")
--- a/internal/steward/testgroup_test.go
+++ b/internal/steward/testgroup_test.go
@@ -177,7 +177,7 @@
 		Self: host, DataCentre: "north", Incarnation: f.incarnations[host], PeerPort: f.port, Listener: listener,
 		Seeds: []ident.Host{hostName(1), hostName(2), hostName(3)}, Bootstrap: bootstrap, Tolerated: 1,
 		Cluster: "test", Key: []byte("a key of the test processes"), Data: filepath.Join(f.dir, folder),
-		LoadsAtOnce: 2, VersionTime: 10 * time.Second, HolderLease: 50 * time.Millisecond,
+		MaxConcurrentLoads: 2, VersionTime: 10 * time.Second, HolderLease: 50 * time.Millisecond,
 		Stores: f.stores, Runners: f.runners, Log: log.New(io.Discard), Files: f.filesOf(folder), Clock: f.clock,
 	})
 	if err != nil {
