--- a/internal/port/porttest/open_test.go
+++ b/internal/port/porttest/open_test.go
@@ -149,7 +149,7 @@
 		return ctx
 	}
 	go func() {
-		for faults.Struck()[fault] == 0 && ctx.Err() == nil {
+		for faults.Injected()[fault] == 0 && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -260,6 +260,6 @@
 		ImportsRejected: c.importsRejected.Load(),
 		WrongBlocks:     wrong,
 		CachedBlocks:    cached,
-		Struck:          e.faults.Struck(),
+		Struck:          e.faults.Injected(),
 	}
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// Struck returns the number of uses of each kind. Clear doesn't reset it.
-func (f *Faults) Struck() map[FaultKind]uint64 {
+// Injected returns the number of uses of each kind. Clear doesn't reset it.
+func (f *Faults) Injected() map[FaultKind]uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	counts := make(map[FaultKind]uint64, len(f.struck))
--- a/internal/standin/parts_test.go
+++ b/internal/standin/parts_test.go
@@ -239,7 +239,7 @@
 		t.Errorf("strikes %v", strikes)
 	}
 	f.Clear()
-	if _, ok := f.Take(FaultReset, "/a"); ok || f.Struck()[FaultHung] != 2 {
+	if _, ok := f.Take(FaultReset, "/a"); ok || f.Injected()[FaultHung] != 2 {
 		t.Error("a cleared fault was applied, or Clear reset the counts")
 	}
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -217,7 +217,7 @@
 func (s *Service) Stats() ServiceStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stats := ServiceStats{Upstream: s.options.Upstream, Runs: s.total, Keys: len(s.runs), Struck: s.faults.Struck()}
+	stats := ServiceStats{Upstream: s.options.Upstream, Runs: s.total, Keys: len(s.runs), Struck: s.faults.Injected()}
 	for _, runs := range s.runs {
 		if runs > 1 {
 			stats.Doubled++
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -232,6 +232,6 @@
 		Reservations: c.reservations.Load(),
 		FullAnswers:  c.fullAnswers.Load(),
 		Tiers:        tiers,
-		Struck:       s.faults.Struck(),
+		Struck:       s.faults.Injected(),
 	}
 }
