--- a/internal/adapter/httpsend/ended.go
+++ b/internal/adapter/httpsend/ended.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// Ended reports whether connections to address are refused, as after the end of the
+// ConnectionRefused reports whether connections to address are refused, as after the end of the
 // listening process. After any other error, such as a timeout, it returns false.
-func Ended(ctx context.Context, address string) bool {
+func ConnectionRefused(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/adapter/httpsend/ended_test.go
+++ b/internal/adapter/httpsend/ended_test.go
@@ -13,16 +13,16 @@
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	if Ended(context.Background(), address) {
+	if ConnectionRefused(context.Background(), address) {
 		t.Error("a listening process is reported as ended")
 	}
 	_ = listener.Close()
-	if !Ended(context.Background(), address) {
+	if !ConnectionRefused(context.Background(), address) {
 		t.Error("an address that refuses connections is not reported as ended")
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if Ended(cancelled, address) {
+	if ConnectionRefused(cancelled, address) {
 		t.Error("a cancelled dial is reported as the end of the process")
 	}
 }
--- a/internal/entryhost/upstreams.go
+++ b/internal/entryhost/upstreams.go
@@ -58,7 +58,7 @@
 
 // Crashed implements entry.Upstreams.
 func (u *upstreamClients) Crashed(ctx context.Context, address string) bool {
-	return httpsend.Ended(ctx, address)
+	return httpsend.ConnectionRefused(ctx, address)
 }
 
 func cachedClient[C any](u *upstreamClients, clients map[string]C, address string, make func() C) C {
