--- a/internal/adapter/announce/announce.go
+++ b/internal/adapter/announce/announce.go
@@ -67,16 +67,16 @@
 type Assignment struct {
 	// Entries are the addresses to which the upstream sends announcements from now on.
 	Entries []string
-	// Pace holds the intervals of the upstream's reports to this entry.
-	Pace upstream.ReportIntervals
+	// ReportIntervals holds the intervals of the upstream's reports to this entry.
+	ReportIntervals upstream.ReportIntervals
 }
 
 func (a Assignment) reply(leaseMillis int64) Reply {
 	return Reply{
 		LeaseMillis:       leaseMillis,
 		Entries:           a.Entries,
-		ReportEveryMillis: a.Pace.ReportEvery.Milliseconds(),
-		EventsEveryMillis: a.Pace.EventsEvery.Milliseconds(),
+		ReportEveryMillis: a.ReportIntervals.ReportEvery.Milliseconds(),
+		EventsEveryMillis: a.ReportIntervals.EventsEvery.Milliseconds(),
 	}
 }
 
--- a/internal/adapter/announce/announce_test.go
+++ b/internal/adapter/announce/announce_test.go
@@ -25,7 +25,7 @@
 
 func (f *fakeSink) Announce(message port.Announcement) (Assignment, error) {
 	f.announced = append(f.announced, message)
-	return Assignment{Entries: []string{"127.0.0.1:7102"}, Pace: upstream.ReportIntervalsFor(100)}, f.err
+	return Assignment{Entries: []string{"127.0.0.1:7102"}, ReportIntervals: upstream.ReportIntervalsFor(100)}, f.err
 }
 
 func (f *fakeSink) Load(message port.LoadReport) error {
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -69,7 +69,7 @@
 	if result == upstream.Refused || result == upstream.Full {
 		return announce.Assignment{}, eris.Wrapf(ErrRefused, "upstream %s, incarnation %d", message.Upstream, message.Incarnation)
 	}
-	return announce.Assignment{Entries: e.announceAddresses(), Pace: pace}, nil
+	return announce.Assignment{Entries: e.announceAddresses(), ReportIntervals: pace}, nil
 }
 
 func (e *Entry) announceAddresses() []string {
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -23,8 +23,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := upstream.ReportIntervalsFor(i + 1); assignment.Pace != want {
-			t.Fatalf("upstream %d got the intervals %+v, want %+v", i+1, assignment.Pace, want)
+		if want := upstream.ReportIntervalsFor(i + 1); assignment.ReportIntervals != want {
+			t.Fatalf("upstream %d got the intervals %+v, want %+v", i+1, assignment.ReportIntervals, want)
 		}
 		if len(assignment.Entries) == 0 {
 			t.Fatal("no entry was returned")
--- a/internal/standin/announcer_test.go
+++ b/internal/standin/announcer_test.go
@@ -52,7 +52,7 @@
 	defer h.mu.Unlock()
 	h.announcements = append(h.announcements, a)
 	h.wake()
-	return announce.Assignment{Entries: h.entries, Pace: h.intervals}, nil
+	return announce.Assignment{Entries: h.entries, ReportIntervals: h.intervals}, nil
 }
 
 // Load implements announce.Sink.
