--- a/internal/adapter/disk/disktest/fs.go
+++ b/internal/adapter/disk/disktest/fs.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// LimitRoom makes the disk full after n more bytes; a negative n removes the limit.
-func (f *FS) LimitRoom(n int) { f.set(func() { f.freeBytes = n }) }
+// LimitFreeBytes makes the disk full after n more bytes; a negative n removes the limit.
+func (f *FS) LimitFreeBytes(n int) { f.set(func() { f.freeBytes = n }) }
 
 // FailSync makes one sync fail after n more have succeeded.
 func (f *FS) FailSync(n int) { f.set(func() { f.syncsUntilFailure = n }) }
--- a/internal/adapter/disk/fault_test.go
+++ b/internal/adapter/disk/fault_test.go
@@ -174,7 +174,7 @@
 // acknowledged before must be present after a restart.
 func TestFailureIsPermanent(t *testing.T) {
 	faults := map[string]func(fs *disktest.FS, step int){
-		"full disk": func(fs *disktest.FS, step int) { fs.LimitRoom(step * 50) },
+		"full disk": func(fs *disktest.FS, step int) { fs.LimitFreeBytes(step * 50) },
 		"sync":      func(fs *disktest.FS, step int) { fs.FailSync(step) },
 	}
 	for name, inject := range faults {
@@ -215,7 +215,7 @@
 		if !errors.As(err, &fatal) || folder.Err() == nil {
 			t.Fatalf("step %d: save %d: %v", step, index, err)
 		}
-		fs.LimitRoom(-1)
+		fs.LimitFreeBytes(-1)
 	}
 	if !failed {
 		t.Fatalf("step %d: no save failed", step)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -126,7 +126,7 @@
 func TestFailedDiskSuspends(t *testing.T) {
 	for name, inject := range map[string]func(h *testHost){
 		"sync fails": func(h *testHost) { h.fs.FailSync(0) },
-		"disk full":  func(h *testHost) { h.fs.LimitRoom(10) },
+		"disk full":  func(h *testHost) { h.fs.LimitFreeBytes(10) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/steward/faultkinds_test.go
+++ b/internal/steward/faultkinds_test.go
@@ -90,7 +90,7 @@
 		g.logf("disk of %s", h.name)
 		switch g.random.IntN(4) {
 		case 0:
-			h.files.LimitRoom(0)
+			h.files.LimitFreeBytes(0)
 		case 1:
 			h.files.SlowSync(time.Duration(100+g.random.IntN(900)) * time.Millisecond)
 		case 2:
--- a/internal/steward/faultygroup_test.go
+++ b/internal/steward/faultygroup_test.go
@@ -192,7 +192,7 @@
 		close(h.gate)
 		h.gate = nil
 	}
-	h.files.LimitRoom(-1)
+	h.files.LimitFreeBytes(-1)
 	h.files.FailSync(-1)
 	h.files.SlowSync(h.group.syncTime)
 }
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -122,7 +122,7 @@
 	f.mu.Lock()
 	full := f.running[hostName(3)]
 	f.mu.Unlock()
-	files.LimitRoom(0)
+	files.LimitFreeBytes(0)
 	for version := catalog.Version(2); ; version++ {
 		f.put(version, fmt.Sprint("version ", version, strings.Repeat("x", 1<<16)))
 		if full.steward.folder.Err() != nil {
@@ -133,7 +133,7 @@
 	if !errors.Is(full.err, ErrDisk) {
 		t.Fatalf("the host ended with %v", full.err)
 	}
-	files.LimitRoom(1 << 30)
+	files.LimitFreeBytes(1 << 30)
 	f.mu.Lock()
 	delete(f.running, hostName(3))
 	f.mu.Unlock()
