--- a/internal/adapter/disk/disktest/fs.go
+++ b/internal/adapter/disk/disktest/fs.go
@@ -102,9 +102,9 @@
 // FailSync makes one sync fail after n more have succeeded.
 func (f *FS) FailSync(n int) { f.set(func() { f.syncsUntilFailure = n }) }
 
-// EndAfter crashes the process that uses f after n more operations: every later
+// CrashAfter crashes the process that uses f after n more operations: every later
 // operation fails and changes nothing.
-func (f *FS) EndAfter(n int) { f.set(func() { f.remainingOps = n }) }
+func (f *FS) CrashAfter(n int) { f.set(func() { f.remainingOps = n }) }
 
 // Stall makes each sync first receive from gate; a nil gate removes the stall.
 func (f *FS) Stall(gate <-chan struct{}) { f.set(func() { f.stall = gate }) }
--- a/internal/adapter/disk/fault_test.go
+++ b/internal/adapter/disk/fault_test.go
@@ -261,7 +261,7 @@
 	complete := 0
 	for step := 0; complete < 3; step++ {
 		fs := disktest.New()
-		fs.EndAfter(step)
+		fs.CrashAfter(step)
 		acked := saveUntilCrash(fs)
 		if acked == plannedUpdates {
 			complete++
--- a/internal/steward/faultkinds_test.go
+++ b/internal/steward/faultkinds_test.go
@@ -44,7 +44,7 @@
 				if h.process.Load() == nil {
 					continue
 				}
-				h.files.EndAfter(g.random.IntN(20))
+				h.files.CrashAfter(g.random.IntN(20))
 			}
 			g.pause(100 * time.Millisecond)
 		}
