--- a/internal/adapter/peer/session.go
+++ b/internal/adapter/peer/session.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Unreached returns the error of the last dial of address. It returns nil if the address is
+// LastDialError returns the error of the last dial of address. It returns nil if the address is
 // connected or no dial has failed since the given time.
-func (t *Transport) Unreached(address string, since time.Time) error {
+func (t *Transport) LastDialError(address string, since time.Time) error {
 	t.mu.Lock()
 	l := t.links[address]
 	t.mu.Unlock()
--- a/internal/steward/reachability.go
+++ b/internal/steward/reachability.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		view := VoterView{Host: string(host)}
-		if err := s.transport.Unreached(s.peerAddress(host), now.Add(-failureMaxAge)); err != nil {
+		if err := s.transport.LastDialError(s.peerAddress(host), now.Add(-failureMaxAge)); err != nil {
 			view.Unreached = err.Error()
 		}
 		views = append(views, view)
