--- a/internal/steward/messages.go
+++ b/internal/steward/messages.go
@@ -162,7 +162,7 @@
 	Weights  *WeightsView      `cbor:"6,keyasint,omitempty"`
 	Roster   *RosterView       `cbor:"7,keyasint,omitempty"`
 	// Silent are the upstreams that have not announced themselves recently, of revision
-	// SilentAt in Term. They are left out if the caller holds that revision.
+	// SilentRevision in Term. They are left out if the caller holds that revision.
 	Silent         []string `cbor:"8,keyasint,omitempty"`
 	SilentRevision uint64   `cbor:"30,keyasint,omitempty"`
 	// Loading are the runners with an order to load weights.
@@ -209,7 +209,7 @@
 	// Evacuation lists the data centres whose upstreams get no new work.
 	Evacuation *evacuation.View `cbor:"25,keyasint,omitempty"`
 	// Grants are the caller's permits for cold upstreams or, for a control host that holds
-	// another revision, those of all entries. GrantsAt is their revision, 0 if none are
+	// another revision, those of all entries. GrantsRevision is their revision, 0 if none are
 	// confirmed.
 	Grants         []warmup.Grant `cbor:"26,keyasint,omitempty"`
 	GrantsRevision uint64         `cbor:"27,keyasint,omitempty"`
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -26,7 +26,7 @@
 type LostAttempts struct{ attempts map[Incarnation][]Attempt }
 
 // Add records an attempt and reports whether it is the first at its upstream, which
-// then has to be checked after LookAfter.
+// then has to be checked after CheckDelay.
 func (l *LostAttempts) Add(incarnation Incarnation, a Attempt) bool {
 	if l.attempts == nil {
 		l.attempts = make(map[Incarnation][]Attempt)
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -108,10 +108,10 @@
 }
 
 // Quarantined returns the requests that must not be sent to any upstream, at most
-// MaxTold. The caller must not modify it.
+// MaxListed. The caller must not modify it.
 func (t *Tracker) Quarantined() []Fingerprint { return t.quarantined }
 
-// Suspects returns further requests, at most MaxTold, that one more crash may
+// Suspects returns further requests, at most MaxListed, that one more crash may
 // quarantine. The caller must not modify it.
 func (t *Tracker) Suspects() []Fingerprint { return t.suspects }
 
@@ -242,7 +242,7 @@
 	return crashes
 }
 
-// boundedList returns the requests in ascending order, at most MaxTold.
+// boundedList returns the requests in ascending order, at most MaxListed.
 func boundedList(requests map[Fingerprint]bool) []Fingerprint {
 	sorted := slices.SortedFunc(maps.Keys(requests), func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
 	return sorted[:min(len(sorted), MaxListed)]
