--- a/cacheindex/index.go
+++ b/cacheindex/index.go
@@ -69,7 +69,7 @@
 	At      Position `cbor:"1,keyasint"`
 	Batches []Batch  `cbor:"2,keyasint,omitempty"`
 	// Unknown indicates that the position in the query is not known here. The next query
-	// must be ByProgress.
+	// must set ByProgress.
 	Unknown bool `cbor:"3,keyasint,omitempty"`
 	// More indicates that the reader lacks more than Batches, so that its index does not
 	// match any state of the leader's.
