--- a/internal/capacity/bounds_test.go
+++ b/internal/capacity/bounds_test.go
@@ -111,7 +111,8 @@
 
 // The leader crashes, and its successor has an empty membership: all daemons attach
 // again through their relays. The successor must receive messages from the relays,
-// not from each daemon; otherwise a large deployment overloads its new leader.
+// not from each daemon; otherwise a large deployment overloads its new leader when it
+// is needed most.
 func TestLeaderChangeCostsMessagesOfRelaysOnly(t *testing.T) {
 	const daemons = 140
 	messages, _, err := leaderChangeCost(daemons, relaysFor(daemons))
--- a/internal/capacity/probes_home.go
+++ b/internal/capacity/probes_home.go
@@ -14,8 +14,9 @@
 )
 
 var (
-	// homeSizes are numbers of prompts at one home. The first is the average,
-	// so that the range includes the busiest home.
+	// homeSizes are numbers of prompts at one home, from the average,
+	// PromptsPerDaemon, to far above it, so that the range includes the busiest
+	// home.
 	homeSizes = []int{PromptsPerDaemon, 1_000, 5_000, 16_000}
 	// sharedSizes are numbers of teams with a share in one pool, waitingSizes
 	// numbers of teams with waiting requests.
--- a/internal/simload/decision_bench_test.go
+++ b/internal/simload/decision_bench_test.go
@@ -226,9 +226,9 @@
 type fleetSize struct{ upstreams, cells, owned, prompts int }
 
 // BenchmarkDecision measures the cost of one decision, including its 99th percentile,
-// from the size of the current deployment to the target. At the target, 670 daemons own three times 120 cells,
-// less than one each; it measures a daemon with two and, as the worst case, one with
-// all of them.
+// from the size of the current deployment to the target. At the target, 670 daemons own
+// three times 120 cells, less than one each; it measures a daemon with two and, as the
+// worst case, one with all of them.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []fleetSize{
 		{21, 1, 1, 1200}, {1200, 12, 2, 16_000}, {12_000, 120, 2, 160_000}, {12_000, 120, 120, 160_000},
--- a/internal/simload/results.go
+++ b/internal/simload/results.go
@@ -182,7 +182,8 @@
 	return out
 }
 
-// quantile returns the q-quantile of sorted, zero if it is empty.
+// quantile returns the q-quantile of sorted, the value at index ⌊q·n⌋ without
+// interpolation (at most the last), zero if it is empty.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/simload/swap.go
+++ b/internal/simload/swap.go
@@ -9,8 +9,9 @@
 // secondVersion is the version that a swap loads.
 const secondVersion ident.Version = "v2"
 
-// swap replaces the weights of all engines, a few at a time. An engine drains,
-// loads, and restarts as a new incarnation with an empty cache.
+// swap replaces the weights of all engines, a few at a time. An engine drains: it is
+// offered no new jobs once the entries are informed, and completes those it has under
+// the old weights. It then loads and restarts as a new incarnation with an empty cache.
 type swap struct {
 	sim     *sim
 	waiting []*engine
--- a/internal/simload/workloads.go
+++ b/internal/simload/workloads.go
@@ -8,9 +8,9 @@
 )
 
 // Merrimack returns the workload of a flower clock auction. Load pattern: bursts of
-// buyers' questions while the clock falls, appraisals, and letters with a long
-// deadline. The prompts are quality histories, which are reused after several sales
-// of other lots.
+// buyers' questions while the clock falls, appraisals also between the bursts, and
+// letters that may wait (their deadline is long). The prompts are quality histories,
+// which are reused after several sales of other lots.
 func Merrimack() *Workload {
 	return &Workload{
 		Name:        "merrimack",
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -23,16 +23,18 @@
 	FaultLate FaultKind = "late"
 	// FaultCrossed answers with the content of another request.
 	FaultCrossed FaultKind = "crossed"
-	// FaultTruncated ends an answer early, without a connection error.
+	// FaultTruncated ends an answer early. Streams end without a connection
+	// error; a short answer lacks half of its announced length.
 	FaultTruncated FaultKind = "truncated"
 	// FaultDuplicated sends every part of an answer twice.
 	FaultDuplicated FaultKind = "duplicated"
-	// FaultRefused refuses the request with a signed statement that it did not
-	// run.
+	// FaultRefused refuses the request with the statement, for this request
+	// and attempt, that it did not run.
 	FaultRefused FaultKind = "refused"
 	// FaultError fails with status 500 after the request has run.
 	FaultError FaultKind = "error"
-	// FaultUnavailable fails with status 503 without a signed statement.
+	// FaultUnavailable fails with status 503 without the statement that the
+	// request did not run.
 	FaultUnavailable FaultKind = "unavailable"
 	// FaultHung accepts the request and never answers.
 	FaultHung FaultKind = "hung"
@@ -69,8 +71,9 @@
 	Path string `json:"path,omitempty"`
 	// Rate is the fraction of requests affected; zero means all.
 	Rate float64 `json:"rate,omitempty"`
-	// Count is the number of requests affected before the fault is removed;
-	// zero means unlimited.
+	// Count is the number of times that the fault takes effect, on a request,
+	// an announcement, a report or a batch of cache events, before it is
+	// removed; zero means unlimited.
 	Count int `json:"count,omitempty"`
 	// DelayMillis is the delay of FaultLate in milliseconds.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
