--- a/cmd/lovage-dev/controls.go
+++ b/cmd/lovage-dev/controls.go
@@ -70,8 +70,8 @@
 
 func controlName(i int) ident.Host { return ident.Host(fmt.Sprintf("control-%d", i+1)) }
 
-// run runs the control hosts until ctx ends. They are stopped together and without a
-// drain, since none is needed after a graceful stop of the entries.
+// run runs the control hosts until ctx ends. They are stopped without a drain: all of
+// them stop together, so no host remains to which leadership could be transferred.
 func (c *controls) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, host := range c.hosts {
--- a/cmd/lovage-entry/settings.go
+++ b/cmd/lovage-entry/settings.go
@@ -42,8 +42,8 @@
 	Limits       Limits `yaml:"limits"`
 	// KeepAddress is how long callers may cache an address answer.
 	KeepAddress settings.Duration `yaml:"keep_address"`
-	// TokenGap is the longest allowed pause between two tokens of an engine's
-	// stream.
+	// TokenGap is the maximum time without data from an engine, before the first
+	// token and between tokens; comments of the event stream count as data.
 	TokenGap settings.Duration `yaml:"token_gap"`
 	// DrainTimeout is the maximum duration of a graceful stop.
 	DrainTimeout settings.Duration `yaml:"drain_timeout"`
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -87,8 +87,9 @@
 	Rate float64
 	// Repeatable calls have no idempotency key.
 	Repeatable bool
-	// Resend is the fraction of keys that are sent twice, half of them to
-	// another entry while the first call is open.
+	// Resend is the fraction of keys that are sent twice, the second time to the
+	// next entry of the address answer: for half of them while the first call is
+	// open, for the others after it.
 	Resend float64
 	// MaxResends bounds the retries of a call without a definite outcome under
 	// its key.
--- a/internal/loadgen/prompt.go
+++ b/internal/loadgen/prompt.go
@@ -75,8 +75,9 @@
 	reused     int
 	keptFrom   string
 	resumes    int
-	// crossed is true if a token belongs to another answer, short if the answer
-	// was marked complete but is not.
+	// crossed is true if the answer does not have its request's id or a token
+	// differs from the expected answer, short if the answer was marked complete
+	// but is not.
 	crossed bool
 	short   bool
 	// noOutcome is true if no entry reported the outcome of the request.
--- a/internal/simtree/simtree_test.go
+++ b/internal/simtree/simtree_test.go
@@ -118,7 +118,8 @@
 // Relays and entries crash, restart and are partitioned, messages are lost, clocks
 // drift and leaders change, all at random. No entry may serve with a revision older
 // than one reported to an operator as in force. The same runs with one seeded bug
-// each must cause such a violation; otherwise the check has no effect.
+// each must cause such a violation; otherwise the absence of violations in the runs
+// without a bug would prove nothing.
 func TestNoEntryServesBehindTheRevisionInForce(t *testing.T) {
 	const seeds = 6
 	cases := []struct {
